--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -14,9 +14,9 @@
 import time
 from random import Random
 
+from notchjunction.fleet.agent import Datagram, FleetInput, Member, Scope
 from notchjunction.fleet.envelope import Key
-from notchjunction.fleet.limits import Permit, Plan, Split
-from notchjunction.fleet.member import Datagram, FleetInput, Member, Scope
+from notchjunction.fleet.quotas import Permit, Plan, Split
 
 TICK = 0.1  # s
 BEGIN = 60.0  # s in which all find one another
--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -17,13 +17,13 @@
 from pathlib import Path
 from statistics import median
 
+from notchjunction.balancing.interface import Effect, Profile
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.fleet.envelope import Sender
-from notchjunction.fleet.limits import Grant, Limits, Phase, Plan, Split, Standing
-from notchjunction.interface import Effect, Profile
-from notchjunction.standins.fleet_stage import FleetPart, FleetStage
-from notchjunction.standins.links import Links
-from notchjunction.standins.stage import Stage
+from notchjunction.fleet.quotas import Grant, Limits, Phase, Plan, Split, Standing
+from notchjunction.testbed.fleet_stage import FleetPart, FleetStage
+from notchjunction.testbed.links import Links
+from notchjunction.testbed.stage import Stage
 from tests.helpers import FakeHost
 
 RUNS = 7  # of each figure
--- a/notchjunction/__main__.py
+++ b/notchjunction/__main__.py
@@ -25,16 +25,16 @@
 import sys
 from pathlib import Path
 
-from notchjunction import checks
-from notchjunction.net import logs, node_input
-from notchjunction.net.node import Node
-from notchjunction.net.observed_loop import ObservedLoop
+from notchjunction.config import node_config, validation
+from notchjunction.net.event_loop import ObservedLoop
+from notchjunction.node.node import Node
+from notchjunction.telemetry import logs
 
 log = logging.getLogger("notchjunction")
 LATE = {signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT}
 
 
-async def serve(told: node_input.NodeInput) -> None:
+async def serve(told: node_config.NodeInput) -> None:
     await Node(told).run()
     # Guards against another end than 0: the loop's close takes the node's handlers away.
     signal.pthread_sigmask(signal.SIG_BLOCK, LATE)
@@ -43,8 +43,8 @@
 def check(file: str) -> int:
     """Whether a node in service would take the file at SIGHUP, as far as the file alone tells."""
     try:
-        checks.check(checks.parse(Path(file).read_text(encoding="utf-8")))
-    except checks.Unfit as unfit:
+        validation.check(validation.parse(Path(file).read_text(encoding="utf-8")))
+    except validation.Unfit as unfit:
         for error in unfit.errors:
             print(f"{file}: {error}")
         return 1
@@ -65,8 +65,8 @@
     if asked.check is not None:
         return check(asked.check)
     try:
-        told = node_input.read(os.environ)
-    except checks.Unfit as unfit:
+        told = node_config.read(os.environ)
+    except validation.Unfit as unfit:
         for each in unfit.errors:
             log.error("unfit configuration", extra=logs.pairs(why=each))
         return 2
--- a/notchjunction/rules.py
+++ b/notchjunction/balancing/balancer.py
@@ -18,9 +18,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
-from notchjunction.clearing import Clearing, Take
-from notchjunction.following import renewal_pause
-from notchjunction.interface import (
+from notchjunction.balancing.interface import (
     Effect,
     Group,
     Host,
@@ -28,14 +26,16 @@
     Load,
     News,
     Outcome,
-    Presence,
     Profile,
     Result,
     ServerEntry,
     Terms,
     Told,
 )
-from notchjunction.records import LAST_FEW, Dispatch, End, Held, Input, Server, State, Usual, middle
+from notchjunction.balancing.records import LAST_FEW, Dispatch, End, Held, Input, Server, State, Usual, middle
+from notchjunction.balancing.throughput import Clearing, Take
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.watch_state import renewal_pause
 
 # Constants: unit, and why this size.
 RETRY_SHARE = 0.2  # retries per first send; the design's upper bound, rounded down, no floor
--- a/notchjunction/decider.py
+++ b/notchjunction/balancing/engine.py
@@ -17,23 +17,23 @@
 from dataclasses import dataclass, field, replace
 from typing import Any, NamedTuple
 
-from notchjunction.interface import (
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import (
     Decisions,
     Effect,
     Job,
     Load,
     News,
     Outcome,
-    Presence,
     Profile,
     Result,
     ServerEntry,
     Terms,
     Told,
 )
-from notchjunction.notes import Notes, Word, tag_of
-from notchjunction.rules import Balancer
-from notchjunction.starts import Starts
+from notchjunction.balancing.outcome_gossip import Notes, Word, tag_of
+from notchjunction.discovery.endpoints import Listed, Presence
+from notchjunction.discovery.start_times import Starts
 
 GONE_KEPT = 1024  # names that left the list and that operators may still speak of; a release of a large fleet
 UNKNOWN = -1  # the number of no profile
@@ -73,17 +73,6 @@
     spent: bool = False  # more of the request was sent on than is kept: there is no other dispatch
 
 
-@dataclass(frozen=True, slots=True)
-class Listed:
-    """A server in the list; a cell that is not given is shared with no other server."""
-
-    name: str
-    presence: Presence
-    started_at: float = 0.0
-    zone: str = ""
-    cell: int | None = None
-
-
 class Kind(NamedTuple):
     """A profile as it is in force, and its numbers."""
 
--- a/notchjunction/interface.py
+++ b/notchjunction/balancing/interface.py
@@ -10,6 +10,8 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
+from notchjunction.discovery.endpoints import Presence
+
 
 class Effect(Enum):
     """What a second run of a job does."""
@@ -27,14 +29,6 @@
     CELL = "cell"
 
 
-class Presence(Enum):
-    """What the list says of a server."""
-
-    READY = "ready"
-    DRAINING = "draining"
-    GONE = "gone"
-
-
 class Result(Enum):
     """How a dispatch or a probe ended."""
 
--- a/notchjunction/notes.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from notchjunction.interface import Told
+from notchjunction.balancing.interface import Told
 
 VERSION = 1
 MOST = 256  # bytes of a note
--- a/notchjunction/records.py
+++ b/notchjunction/balancing/records.py
@@ -9,7 +9,7 @@
 from enum import Enum, auto
 from typing import Any, NamedTuple
 
-from notchjunction.interface import Load, Profile, ServerEntry
+from notchjunction.balancing.interface import Load, Profile, ServerEntry
 
 LAST_FEW = 8  # outcomes kept of a server; fewer are chance, more are old news
 LONG_AGO = 3600.0  # s after which a thing is as good as never
--- a/notchjunction/clearing.py
+++ b/notchjunction/balancing/throughput.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from notchjunction.records import middle
+from notchjunction.balancing.records import middle
 
 RATE_SPAN = 2.0  # s of answers from which the clearing rate is worked out
 RATE_LEAST = 0.1  # s that count as passed at least; the first answers would make a rate without bound
--- /dev/null
+++ b/notchjunction/config/__init__.py
@@ -0,0 +1,1 @@
+"""The settings as types, and what is wrong with a configuration."""
--- a/notchjunction/net/node_input.py
+++ b/notchjunction/config/node_config.py
@@ -10,12 +10,12 @@
 from pathlib import Path
 from typing import Any
 
-from notchjunction import checks, terms
-from notchjunction.decider import Names
-from notchjunction.interface import Terms
-from notchjunction.net import words
-from notchjunction.net.connections import Address, address_of
-from notchjunction.net.discovery import ServerList, Unusable, read_list
+from notchjunction import protocol
+from notchjunction.addresses import Address, address_of
+from notchjunction.balancing.engine import Names
+from notchjunction.balancing.interface import Terms
+from notchjunction.config import settings, validation
+from notchjunction.discovery.endpoint_list import ServerList, Unusable, read_list
 
 LOOP_TICK = 0.01  # s by which timers of a loop on a shared core come late; 12 ms was the most seen
 SOCKETS = 1024  # descriptors where no limit is told
@@ -51,15 +51,15 @@
     """What a node starts with. Read as safely as it can be: one that does not start serves nobody."""
     file = environment.get("GW_CONFIG") or None
     told = _object(file) if file else {}
-    if mixed := checks.mixes(told):
+    if mixed := validation.mixes(told):
         # Guards against half of one shape and half of the other: it would serve, and lose jobs.
-        raise checks.Unfit(mixed)
+        raise validation.Unfit(mixed)
     given = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
     try:
         return _started({**told, **given}, told, environment)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         # Guards against an error that says what is wrong and not where.
-        wrong = checks.errors_of(checks.SCHEMA, {**told, **given})
+        wrong = validation.errors_of(validation.SCHEMA, {**told, **given})
         raise ValueError("; ".join(wrong) or repr(error)) from error
 
 
@@ -85,13 +85,13 @@
 def read_again(told: NodeInput) -> NodeInput:
     """The same node with the discovery and the settings of its file now; Unfit with all that is wrong."""
     if told.file is None:
-        raise checks.Unfit(["no file to read"])
-    found = checks.parse(Path(told.file).read_text(encoding="utf-8"))
-    checks.check(found, told.told)
+        raise validation.Unfit(["no file to read"])
+    found = validation.parse(Path(told.file).read_text(encoding="utf-8"))
+    validation.check(found, told.told)
     settled = _settled(found)
     shape = _shape_changed(told.terms, settled.terms) + _fleet_changed(told.fleet, settled.fleet)
     if shape:
-        raise checks.Unfit([f"{key}: changes with a start only" for key in shape])
+        raise validation.Unfit([f"{key}: changes with a start only" for key in shape])
     return replace(
         settled,
         name=told.name,
@@ -126,8 +126,8 @@
 
 def _settled(told: Mapping[str, Any]) -> NodeInput:
     """What follows from the settings; the rest is blank."""
-    paths = terms.flatten(told.get("settings", {}))
-    found = terms.terms(int(str(told.get("seed", "0")), 16), paths)
+    paths = settings.flatten(told.get("settings", {}))
+    found = settings.terms(int(str(told.get("seed", "0")), 16), paths)
     return NodeInput(
         name="",
         listen=NOWHERE,
@@ -135,18 +135,18 @@
         # On sockets the list must always be asked for.
         terms=replace(found, must_follow=True, tick=max(found.tick, LOOP_TICK)),
         names=Names(
-            profiles=terms.named(paths, "profiles"),
-            operators=terms.named(paths, "tenants"),
-            zones=terms.words(paths, "localities"),
+            profiles=settings.named(paths, "profiles"),
+            operators=settings.named(paths, "tenants"),
+            zones=settings.words(paths, "localities"),
         ),
         known=None,
         sockets=SOCKETS,
-        connect_within=terms.number(paths, "limits.connect_timeout", terms.CONNECT_WITHIN) / 1000,
-        idle_most=terms.number(paths, "limits.conn_idle", IDLE) / 1000,
+        connect_within=settings.number(paths, "limits.connect_timeout", settings.CONNECT_WITHIN) / 1000,
+        idle_most=settings.number(paths, "limits.conn_idle", IDLE) / 1000,
         key_header=str(told.get("key_header", "")).lower(),
         fleet=told.get("fleet"),
         pushed=paths.get("registry_mode") == PUSHED,
-        load_path=words.LOAD if terms.words(paths, "report.fields") else words.HEALTH,
+        load_path=protocol.LOAD if settings.words(paths, "report.fields") else protocol.HEALTH,
         told=told,
     )
 
--- a/notchjunction/terms.py
+++ b/notchjunction/config/settings.py
@@ -8,7 +8,7 @@
 import math
 from collections.abc import Mapping
 
-from notchjunction.interface import Effect, Group, Load, Profile, Terms
+from notchjunction.balancing.interface import Effect, Group, Load, Profile, Terms
 
 Paths = Mapping[str, str]
 
--- a/notchjunction/checks.py
+++ b/notchjunction/config/validation.py
@@ -24,7 +24,7 @@
     Any as AnyOf,
 )
 
-from notchjunction.terms import BESIDE_CLIENTS, EFFECTS, GROUPS, Paths, flatten
+from notchjunction.config.settings import BESIDE_CLIENTS, EFFECTS, GROUPS, Paths, flatten
 
 ERRORS_MOST = 20  # named at once; a file with more is another kind of file
 PORT_MOST = 65535
--- a/notchjunction/net/known_servers.py
+++ b/notchjunction/discovery/known_endpoints.py
@@ -5,11 +5,9 @@
 from collections.abc import Collection
 from dataclasses import replace
 
-from notchjunction.decider import Listed
-from notchjunction.interface import Presence
-from notchjunction.net import words
-from notchjunction.net.connections import Address, text_of
-from notchjunction.net.discovery import ServerList
+from notchjunction.addresses import Address, text_of
+from notchjunction.discovery.endpoint_list import ServerList, row
+from notchjunction.discovery.endpoints import Listed, Presence
 
 
 class KnownServers:
@@ -48,7 +46,7 @@
     def rows(self) -> list[dict[str, object]]:
         """All of them in the list's own form."""
         return [
-            words.row(server, text_of(self._addresses[name]) if name in self._addresses else None)
+            row(server, text_of(self._addresses[name]) if name in self._addresses else None)
             for name, server in self._listed.items()
         ]
 
--- a/notchjunction/emulator/checkers.py
+++ b/notchjunction/emulator/checkers.py
@@ -7,6 +7,8 @@
 from math import inf, sqrt
 from typing import NamedTuple
 
+from notchjunction.balancing.interface import Effect, Group
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.trace import (
     Answered,
     Final,
@@ -24,7 +26,6 @@
     Tipped,
     Told,
 )
-from notchjunction.interface import Effect, Group, Presence
 
 TOLD_AFTER = 6.0  # s after discovery had a change and could be reached from which it counts; the operators'
 GONE_AFTER = 0.1  # s after its caller has closed from which a job gets no attempt; the operators'
--- a/notchjunction/emulator/discovery.py
+++ b/notchjunction/emulator/discovery.py
@@ -7,11 +7,11 @@
 from functools import partial
 from math import inf
 
+from notchjunction.balancing.interface import ServerEntry
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.servers import Server
 from notchjunction.emulator.trace import Published, Reached, Row
-from notchjunction.interface import ServerEntry
 
 Heard = Callable[[Sequence[ServerEntry] | None, int], None]  # None: the call failed; the version
 
--- a/notchjunction/emulator/faults.py
+++ b/notchjunction/emulator/faults.py
@@ -5,10 +5,10 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.scenario import Fault, Kind
 from notchjunction.emulator.servers import Server
-from notchjunction.interface import Presence
 
 
 class Place(Protocol):
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -9,15 +9,7 @@
 from random import Random
 from typing import Protocol
 
-from notchjunction.emulator.clock import Clock
-from notchjunction.emulator.discovery import Discovery
-from notchjunction.emulator.discovery import Heard as Listener
-from notchjunction.emulator.scenario import Scenario
-from notchjunction.emulator.servers import Call, Server
-from notchjunction.emulator.trace import Answered, Final, Landed, Probed, Row, Sent, Taken
-from notchjunction.emulator.trace import Told as Heard
-from notchjunction.following import Following, Input
-from notchjunction.interface import (
+from notchjunction.balancing.interface import (
     Decisions,
     Effect,
     Host,
@@ -30,6 +22,14 @@
     Terms,
     Told,
 )
+from notchjunction.discovery.watch_state import Following, Input
+from notchjunction.emulator.clock import Clock
+from notchjunction.emulator.discovery import Discovery
+from notchjunction.emulator.discovery import Heard as Listener
+from notchjunction.emulator.scenario import Scenario
+from notchjunction.emulator.servers import Call, Server
+from notchjunction.emulator.trace import Answered, Final, Landed, Probed, Row, Sent, Taken
+from notchjunction.emulator.trace import Told as Heard
 
 TICK = 0.005  # s; what a node is told its timers may be late by
 ASK_WITHIN = 10.0  # s in which a node has to ask for the list
--- a/notchjunction/emulator/scenario.py
+++ b/notchjunction/emulator/scenario.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from notchjunction.interface import Effect, Profile
+from notchjunction.balancing.interface import Effect, Profile
 
 
 class Kind(Enum):
--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -13,9 +13,10 @@
 from random import Random
 from typing import Protocol
 
+from notchjunction.balancing.interface import Effect, Group, Load, Profile, Result
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario, Tier
-from notchjunction.interface import Effect, Group, Load, Presence, Profile, Result
 
 PROBE_WORK = 0.003  # s of a server's work that a probe costs
 HUNG_LOOK = 0.1  # s between looks of a job that is done whether its server still hangs
--- a/notchjunction/emulator/trace.py
+++ b/notchjunction/emulator/trace.py
@@ -6,7 +6,8 @@
 from enum import Enum, auto
 from math import inf
 
-from notchjunction.interface import Presence, Profile
+from notchjunction.balancing.interface import Profile
+from notchjunction.discovery.endpoints import Presence
 
 
 class Final(Enum):
--- a/notchjunction/emulator/world.py
+++ b/notchjunction/emulator/world.py
@@ -11,14 +11,14 @@
 
 import simpy
 
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import Effect
 from notchjunction.emulator import faults
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.node import TICK, Asked, Make, Node
 from notchjunction.emulator.scenario import Fault, Scenario, Stream
 from notchjunction.emulator.servers import Below, Call, Server, build
 from notchjunction.emulator.trace import Final, Pushed, Ran, Row, Story, Tipped
-from notchjunction.interface import Effect
-from notchjunction.rules import Balancer
 
 BEGAN = 1_000_000.0  # s; Unix time at which a run begins, so that no server start is mistaken for "long ago"
 GRACE = 0.5  # s after word of a drain within which a send is forgiven
--- /dev/null
+++ b/notchjunction/experiments/__main__.py
@@ -0,0 +1,5 @@
+"""`python -m notchjunction.experiments`."""
+
+from notchjunction.experiments.cli import main
+
+main()
--- a/notchjunction/lab/baselines.py
+++ b/notchjunction/experiments/baselines.py
@@ -7,23 +7,23 @@
 from random import Random
 from typing import Any
 
-from notchjunction.emulator.node import Node
-from notchjunction.emulator.servers import Server
-from notchjunction.interface import (
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import (
     Decisions,
     Host,
     Job,
     Load,
     News,
     Outcome,
-    Presence,
     Profile,
     Result,
     ServerEntry,
     Terms,
     Told,
 )
-from notchjunction.rules import Balancer
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.emulator.node import Node
+from notchjunction.emulator.servers import Server
 
 BUDGET_USED = 0.7  # of a cold server's budget that the top uses; the rest is what is on its way
 GUARD = 0.02  # s before the abandon time at which a job without an answer is given up
--- a/notchjunction/lab/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -15,22 +15,22 @@
 
 import click
 
-from notchjunction import checks
+from notchjunction.addresses import address_of
+from notchjunction.config import validation
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import Story
-from notchjunction.lab import report as reports
-from notchjunction.lab.baselines import VARIANTS
-from notchjunction.lab.files import Experiment, read_experiment
-from notchjunction.lab.load import Load, Send, Shape, read_trace, schedule
-from notchjunction.lab.runs import Run, figures, kept, play, run_all, runs_of
-from notchjunction.net.connections import address_of
-from notchjunction.standins.fleet_stage import SEEN_LATE, FleetPart, staged
-from notchjunction.standins.stage import Stage
-from notchjunction.standins.stage import breaches as stage_breaches
-
-
-def refuse(file: Path, unfit: checks.Unfit) -> click.ClickException:
+from notchjunction.experiments import report as reports
+from notchjunction.experiments.baselines import VARIANTS
+from notchjunction.experiments.files import Experiment, read_experiment
+from notchjunction.experiments.load import Load, Send, Shape, read_trace, schedule
+from notchjunction.experiments.runs import Run, figures, kept, play, run_all, runs_of
+from notchjunction.testbed.fleet_stage import SEEN_LATE, FleetPart, staged
+from notchjunction.testbed.stage import Stage
+from notchjunction.testbed.stage import breaches as stage_breaches
+
+
+def refuse(file: Path, unfit: validation.Unfit) -> click.ClickException:
     """All errors at once, each with file and place; exit code 1."""
     return click.ClickException("\n".join(f"{file}: {error}" for error in unfit.errors))
 
@@ -48,7 +48,7 @@
 def experiment_in(file: Path) -> Experiment:
     try:
         return read_experiment(file)
-    except checks.Unfit as unfit:
+    except validation.Unfit as unfit:
         raise refuse(file, unfit) from unfit
 
 
@@ -86,8 +86,8 @@
         elif file.suffix == ".csv":
             read_trace(file)
         else:
-            checks.check(checks.parse(file.read_text(encoding="utf-8")))
-    except checks.Unfit as unfit:
+            validation.check(validation.parse(file.read_text(encoding="utf-8")))
+    except validation.Unfit as unfit:
         raise refuse(file, unfit) from unfit
     click.echo(f"{file}: sound")
 
@@ -267,7 +267,7 @@
     if trace is not None:
         try:
             sends = read_trace(trace)
-        except checks.Unfit as unfit:
+        except validation.Unfit as unfit:
             raise refuse(trace, unfit) from unfit
     else:
         shapes = [Shape(rate, seconds, rate_end), *([Shape(flush, 1.0)] if flush else [])]
--- a/notchjunction/lab/files.py
+++ b/notchjunction/experiments/files.py
@@ -10,13 +10,13 @@
 
 from voluptuous import All, In, Length, Optional, Range, Required, Schema
 
-from notchjunction.checks import ABOVE_0, DRIFT_MOST, FROM_0, WORD, Unfit, errors_of, whole_number
+from notchjunction.balancing.interface import Effect, Group, Profile
+from notchjunction.config.validation import ABOVE_0, DRIFT_MOST, FROM_0, WORD, Unfit, errors_of, whole_number
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
-from notchjunction.interface import Effect, Group, Profile
-from notchjunction.lab.baselines import VARIANTS
-from notchjunction.standins.fleet_stage import DRIFT, FleetPart, ProcessFault, ProcessKind
-from notchjunction.standins.links import Kind as LinkKind
-from notchjunction.standins.links import LinkFault
+from notchjunction.experiments.baselines import VARIANTS
+from notchjunction.testbed.fleet_stage import DRIFT, FleetPart, ProcessFault, ProcessKind
+from notchjunction.testbed.links import Kind as LinkKind
+from notchjunction.testbed.links import LinkFault
 
 VERSION = 1  # of the files; another one is refused
 RUNS_MOST = 10_000  # of one experiment; more is a slip of the pen
--- a/notchjunction/lab/load.py
+++ b/notchjunction/experiments/load.py
@@ -14,10 +14,10 @@
 from hdrh.histogram import HdrHistogram
 from voluptuous import Invalid
 
-from notchjunction.checks import Unfit
+from notchjunction.addresses import Address
+from notchjunction.config.validation import Unfit
 from notchjunction.http1.messages import Request
-from notchjunction.net.connections import Address
-from notchjunction.standins.caller import Callers
+from notchjunction.testbed.client import Callers
 
 LONGEST = 3600.0  # s; the longest latency that the histogram holds
 DIGITS = 3  # significant digits of its figures
--- a/notchjunction/lab/runs.py
+++ b/notchjunction/experiments/runs.py
@@ -18,8 +18,8 @@
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import Answered, Final, Probed, Sent, Story, Taken
 from notchjunction.emulator.world import BEGAN, World
-from notchjunction.lab.baselines import VARIANTS
-from notchjunction.lab.files import Experiment
+from notchjunction.experiments.baselines import VARIANTS
+from notchjunction.experiments.files import Experiment
 
 STRETCH = 1.0  # s of a run that make one figure of its course
 BREACHES_KEPT = 5  # of a run, as text; all are counted
--- a/notchjunction/fleet/member.py
+++ b/notchjunction/fleet/agent.py
@@ -13,11 +13,11 @@
 import msgspec
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet import limits as limits_module
-from notchjunction.fleet import roster as roster_module
+from notchjunction.fleet import membership as roster_module
+from notchjunction.fleet import quotas as limits_module
 from notchjunction.fleet.envelope import Envelope, Key, Malformed, Out, Sender
-from notchjunction.fleet.limits import Limits, Plan, Split
-from notchjunction.fleet.roster import Roster
+from notchjunction.fleet.membership import Roster
+from notchjunction.fleet.quotas import Limits, Plan, Split
 
 LIST_BYTES = 5  # of a list's own head in msgpack, at most
 ROSTER_EVERY = 0.1  # s between looks at who is there; a tenth of the time between two probes
--- a/notchjunction/fleet/worlds.py
+++ b/notchjunction/fleet/exploration.py
@@ -17,7 +17,7 @@
 from typing import NamedTuple
 
 from notchjunction.fleet.envelope import Out, Sender
-from notchjunction.fleet.limits import Limits, Message, Permit, Phase, Plan
+from notchjunction.fleet.quotas import Limits, Message, Permit, Phase, Plan
 
 NAME = "l"
 TINY = 1e-6  # s by which a moment is passed, or not yet reached
--- a/notchjunction/lab/__main__.py
+++ /dev/null
@@ -1,5 +0,0 @@
-"""`python -m notchjunction.lab`."""
-
-from notchjunction.lab.cli import main
-
-main()
--- a/notchjunction/net/management.py
+++ b/notchjunction/net/admin.py
@@ -15,14 +15,15 @@
 from tornado.iostream import StreamClosedError
 from tornado.netutil import bind_sockets
 
+from notchjunction.addresses import Address
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net.connections import BUFFER_MOST, PIECE, Address, read_piece
-from notchjunction.net.counters import Counters
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
-from notchjunction.net.logs import pairs
-from notchjunction.net.streams import NodeStream, Unread, end_sending, give_up
+from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, give_up
+from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE, read_piece
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/net/relay.py
+++ b/notchjunction/net/body_streaming.py
@@ -9,7 +9,7 @@
 
 from notchjunction.http1.messages import Answer, Malformed
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.net.connections import PIECE, STALL_MOST, Connection, Cut, Withheld
+from notchjunction.net.upstream_connection import PIECE, STALL_MOST, Connection, Cut, Withheld
 
 STEPS = ((32, PIECE), (128, 16 * 1024))  # streams up to which a piece has so many bytes
 PIECE_LEAST = 4 * 1024  # bytes of one past those; memory then depends on the number of descriptors alone
--- a/notchjunction/net/caller.py
+++ b/notchjunction/net/client_connection.py
@@ -16,20 +16,20 @@
 
 from tornado.iostream import StreamClosedError
 
+from notchjunction import protocol
 from notchjunction.http1.encoder import encode_answer, encode_end, encode_piece
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net import words
-from notchjunction.net.connections import LOOK_EVERY, PIECE, Cut, read_piece
-from notchjunction.net.flight_recorder import Occurrence
-from notchjunction.net.jobs import Job, Rights, ask_of, own_failure, passed_on
-from notchjunction.net.observed_loop import waited_most
-from notchjunction.net.relay import Download, Upload
-from notchjunction.net.streams import NodeStream, Unread, discard_unread, end_sending
-from notchjunction.permits import ConnectionFacts, Refusal, StartFacts, may_close, may_start
+from notchjunction.net.body_streaming import Download, Upload
+from notchjunction.net.event_loop import waited_most
+from notchjunction.net.request_handler import Job, Rights, ask_of, own_failure, passed_on
+from notchjunction.net.socket_stream import NodeStream, Unread, discard_unread, end_sending
+from notchjunction.net.upstream_connection import LOOK_EVERY, PIECE, Cut, read_piece
+from notchjunction.safety.preconditions import ConnectionFacts, Refusal, StartFacts, may_close, may_start
+from notchjunction.telemetry.flight_recorder import Occurrence
 
 if TYPE_CHECKING:
-    from notchjunction.net.callers import Callers
+    from notchjunction.net.client_listener import Callers
 
 log = logging.getLogger(__name__)
 
@@ -154,7 +154,7 @@
     def _note_answer(self, request: Request, job: Job | None, answer: Answer | Download) -> None:
         status = answer.beginning.status if isinstance(answer, Download) else answer.status
         recorder = self._callers.counters.recorder
-        recorder.note(Occurrence.REQUEST_ANSWERED, request.headers.get(words.JOB_ID, ""), status=status)
+        recorder.note(Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.JOB_ID, ""), status=status)
         if job is not None:
             refused = status in REFUSALS
             job.check(job.ledger.final_answer(self._callers.clock(), refused), status=status)
@@ -295,9 +295,9 @@
         return now >= self._due
 
     def _misplaced(self, request: Request) -> Answer | None:
-        if request.path == words.READY and request.method == "GET":
+        if request.path == protocol.READY and request.method == "GET":
             return Answer(200 if self._callers.ready() and not self._callers.draining else 503)
-        if request.path != words.JOBS and not request.path.startswith(words.JOBS + "/"):
+        if request.path != protocol.JOBS and not request.path.startswith(protocol.JOBS + "/"):
             return self._bad(404)
         return self._bad(405) if request.method not in ("GET", "POST") else None
 
@@ -307,7 +307,7 @@
         ask = ask_of(request, waited, self._callers.profiles)
         if ask is None:
             return None, self._bad(400)
-        job_id = request.headers[words.JOB_ID]
+        job_id = request.headers[protocol.JOB_ID]
         refusal = may_start(StartFacts(self._parted, held=job_id in self._callers.ids))
         if refusal is Refusal.CONNECTION_ENDING:
             # Guards against a request that crosses the end of its connection: no answer could be given.
--- a/notchjunction/net/callers.py
+++ b/notchjunction/net/client_listener.py
@@ -15,18 +15,19 @@
 from tornado.iostream import StreamClosedError
 from tornado.netutil import bind_sockets
 
-from notchjunction.decider import Ask
+from notchjunction.addresses import Address
+from notchjunction.balancing.engine import Ask
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Request
-from notchjunction.net.caller import Caller, CallerStream, Mover
-from notchjunction.net.connections import BUFFER_MOST, PIECE, Address
-from notchjunction.net.counters import Counters
+from notchjunction.net.body_streaming import Download, Streams, Upload
+from notchjunction.net.client_connection import Caller, CallerStream, Mover
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE, Descriptors
-from notchjunction.net.jobs import Job, Rights
-from notchjunction.net.logs import pairs
-from notchjunction.net.observed_loop import waited_most
-from notchjunction.net.relay import Download, Streams, Upload
-from notchjunction.net.streams import give_up
+from notchjunction.net.event_loop import waited_most
+from notchjunction.net.request_handler import Job, Rights
+from notchjunction.net.socket_stream import give_up
+from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/net/discovery.py
+++ b/notchjunction/net/discovery_client.py
@@ -5,98 +5,25 @@
 import asyncio
 import json
 import logging
-import math
-from collections.abc import Callable, Mapping
-from dataclasses import dataclass, replace
+from collections.abc import Callable
+from dataclasses import replace
 from typing import Any
 
-from notchjunction.decider import Listed
-from notchjunction.following import DRIP_MOST, SILENT_AFTER, Effect, Following, Input
+from notchjunction import protocol
+from notchjunction.addresses import Address, text_of
+from notchjunction.discovery.endpoint_list import ServerList, Unusable, read_list
+from notchjunction.discovery.watch_state import DRIP_MOST, SILENT_AFTER, Effect, Following, Input
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.interface import Presence
-from notchjunction.net import words
-from notchjunction.net.connections import (
-    Address,
-    Connection,
-    Cut,
-    NotSent,
-    address_of,
-    connection_to,
-    text_of,
-)
-from notchjunction.net.flight_recorder import FlightRecorder, Occurrence
-from notchjunction.net.logs import pairs
+from notchjunction.net.upstream_connection import Connection, Cut, NotSent, connection_to
+from notchjunction.telemetry.flight_recorder import FlightRecorder, Occurrence
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
-PORT_MOST = 65535
 LIST_MOST = 8 * 1024 * 1024  # bytes of a list; tens of thousands of servers, and far under the memory limit
 
 
-class Unusable(Exception):
-    """The call failed, or its answer is no list; `event`: how, to what follows the list."""
-
-    def __init__(self, why: str, event: Input = Input.BREAK) -> None:
-        super().__init__(why)
-        self.event = event
-
-
-@dataclass(frozen=True, slots=True)
-class ServerList:
-    version: int
-    whole: bool
-    servers: tuple[Listed, ...]
-    addresses: Mapping[str, Address]
-    older: bool = False  # than the last one heard: counted anew, or from a place that lags
-
-    def closings(self) -> ServerList:
-        """What it says of servers that may get nothing new; as changes, whatever else it says."""
-        closed = tuple(server for server in self.servers if server.presence is not Presence.READY)
-        return replace(self, whole=False, servers=closed, addresses={})
-
-
-def read_list(value: Any) -> ServerList:
-    try:
-        # Guards against two words on one server in one list: the last one holds, for all who read it.
-        rows = list({str(row["name"]): row for row in value["endpoints"]}.values())
-        addresses = {str(row["name"]): _address(row["address"]) for row in rows if row.get("address")}
-        unreachable = {name for name, address in addresses.items() if address is None}
-        return ServerList(
-            version=int(value["index"]),
-            whole=bool(value["snapshot"]),
-            servers=tuple(_listed(row, str(row["name"]) not in unreachable) for row in rows),
-            addresses={name: address for name, address in addresses.items() if address is not None},
-        )
-    except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise Unusable(f"malformed list: {error!r}") from error
-
-
-def _address(text: Any) -> Address | None:
-    """None where there can be nobody: no connection can be tried there, and it must not fail in the node."""
-    address = address_of(text)
-    return address if 0 < address[1] <= PORT_MOST else None
-
-
-def _listed(row: Mapping[str, Any], reachable: bool = True) -> Listed:
-    since = float(row.get("since_ms") or 0)
-    if not math.isfinite(since):
-        raise ValueError("since_ms is no time")
-    return Listed(
-        name=str(row["name"]),
-        # Guards against sending to a server in a state this node does not know, or at no address.
-        presence=_presence(row["status"], reachable),
-        started_at=since / 1000,
-        zone=str(row.get("zone") or ""),
-        cell=None if row.get("group") is None else int(row["group"]),
-    )
-
-
-def _presence(status: Any, reachable: bool) -> Presence:
-    found = words.PRESENCES.get(status, Presence.DRAINING)
-    return found if reachable or found is not Presence.READY else Presence.DRAINING
-
-
 class Discovery:
     def __init__(
         self,
@@ -179,7 +106,7 @@
         return self.following.told_by() - self._clock()
 
     async def _ask(self) -> ServerList:
-        target = words.LIST
+        target = protocol.LIST
         wait = self.following.next_wait(known=self.version is not None)
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={int(wait * 1000)}"
--- a/notchjunction/net/fleet_talk.py
+++ b/notchjunction/net/fleet_transport.py
@@ -15,15 +15,15 @@
 from dataclasses import dataclass, replace
 from typing import Any, cast
 
-from notchjunction.decider import Ask
+from notchjunction.addresses import Address, address_of, text_of
+from notchjunction.balancing.engine import Ask
 from notchjunction.errors import FleetError
-from notchjunction.fleet.limits import ASK_WITHIN, Permit
-from notchjunction.fleet.member import Datagram, Member, read_section
+from notchjunction.fleet.agent import Datagram, Member, read_section
+from notchjunction.fleet.quotas import ASK_WITHIN, Permit
 from notchjunction.http1.messages import Answer
-from notchjunction.net.connections import Address, address_of, text_of
-from notchjunction.net.counters import Counters
-from notchjunction.net.jobs import turned_back
-from notchjunction.net.logs import pairs
+from notchjunction.net.request_handler import turned_back
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/net/talk.py
+++ b/notchjunction/net/gossip_socket.py
@@ -7,10 +7,10 @@
 from collections.abc import Callable, Sequence
 from typing import cast
 
-from notchjunction.net.connections import Address, text_of
-from notchjunction.net.counters import Counters
-from notchjunction.net.logs import pairs
-from notchjunction.notes import MOST
+from notchjunction.addresses import Address, text_of
+from notchjunction.balancing.outcome_gossip import MOST
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/net/jobs.py
+++ b/notchjunction/net/request_handler.py
@@ -10,7 +10,8 @@
 from functools import partial
 from typing import Protocol
 
-from notchjunction.decider import (
+from notchjunction import protocol
+from notchjunction.balancing.engine import (
     Ask,
     Begin,
     Decider,
@@ -22,16 +23,15 @@
     TurnBack,
     WriteOff,
 )
+from notchjunction.balancing.interface import Effect, Result
 from notchjunction.http1.messages import Answer, Request
-from notchjunction.interface import Result
-from notchjunction.invariants import RequestLedger, Violation
-from notchjunction.net import words
-from notchjunction.net.connections import Cut
-from notchjunction.net.counters import Counters
-from notchjunction.net.flight_recorder import Occurrence
-from notchjunction.net.relay import Download, Upload
-from notchjunction.net.servers import Attempt, Exchanged, Servers
-from notchjunction.permits import HELD_UP
+from notchjunction.net.body_streaming import Download, Upload
+from notchjunction.net.upstream import Attempt, Exchanged, Servers
+from notchjunction.net.upstream_connection import Cut
+from notchjunction.safety.invariants import RequestLedger, Violation
+from notchjunction.safety.preconditions import HELD_UP
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.flight_recorder import Occurrence
 
 WORD = re.compile(r"[!-~]{1,128}")  # an id or a number: what is longer or not printable is none
 DIGITS_MOST = 6  # digits of milliseconds: over a quarter of an hour is no time that a caller waits
@@ -52,7 +52,7 @@
 
 def passed_on(answer: Answer) -> Answer:
     """Guards against a server's oddities: its body and what that is are the caller's alone."""
-    back = {name: value for name, value in answer.headers.items() if name in words.BACK}
+    back = {name: value for name, value in answer.headers.items() if name in protocol.BACK}
     return replace(answer, headers=back, keep=True)
 
 
@@ -100,7 +100,7 @@
         self._answers: dict[int, Answer] = {}
         self._broken = False
         self._answer_within = max(0.0, ask.time_left) + LOST_AFTER
-        self.name = request.headers.get(words.JOB_ID, "")
+        self.name = request.headers.get(protocol.JOB_ID, "")
         deadline = decider.now() + ask.time_left if ask.whole else math.inf
         self._whole_until = math.inf  # s; the end of its time, once the last byte of a large body has come
         self.ledger = RequestLedger(ask.effect, deadline, decider.now())
@@ -265,24 +265,24 @@
 def ask_of(request: Request, waited: float, profiles: Collection[str]) -> Ask | None:
     """The job that a request states; None where its id, number, profile or time is missing or absurd."""
     headers = request.headers
-    if not WORD.fullmatch(headers.get(words.JOB_ID, "")) or not WORD.fullmatch(
-        headers.get(words.NUMBER, "-")
+    if not WORD.fullmatch(headers.get(protocol.JOB_ID, "")) or not WORD.fullmatch(
+        headers.get(protocol.NUMBER, "-")
     ):
         return None
-    if profiles and headers.get(words.PROFILE, "") not in profiles:
+    if profiles and headers.get(protocol.PROFILE, "") not in profiles:
         # Guards against work that no server knows: each would only refuse it, at the cost of sound jobs.
         return None
-    left = _whole(headers.get(words.TIME_LEFT, ""))
-    hint = _whole(headers.get(words.WORK_HINT, ""), HINT_MOST)
+    left = _whole(headers.get(protocol.TIME_LEFT, ""))
+    hint = _whole(headers.get(protocol.WORK_HINT, ""), HINT_MOST)
     if left is None:
         return None
     return Ask(
-        profile=headers.get(words.PROFILE, ""),
+        profile=headers.get(protocol.PROFILE, ""),
         time_left=left / 1000 - waited,
         whole=not request.more,
-        effect=words.effect(request.method, words.NUMBER in headers),
-        operator=headers.get(words.OPERATOR, ""),
-        repeat=headers.get(words.REPEAT) == "1",
+        effect=effect_of(request.method, protocol.NUMBER in headers),
+        operator=headers.get(protocol.OPERATOR, ""),
+        repeat=headers.get(protocol.REPEAT) == "1",
         work_hint=None if hint is None else hint / 1e6,  # microseconds on sockets
     )
 
@@ -290,3 +290,10 @@
 def _whole(text: str, most: int = DIGITS_MOST) -> int | None:
     """A whole number; None where there is none, or an absurd one (a float would let "nan" in)."""
     return int(text) if text.isascii() and text.isdigit() and len(text) <= most else None
+
+
+def effect_of(method: str, numbered: bool) -> Effect:
+    """What method and key say a second run does."""
+    if method == "GET":
+        return Effect.REISSUABLE
+    return Effect.NUMBERED if numbered else Effect.AT_MOST_ONCE
--- a/notchjunction/net/servers.py
+++ b/notchjunction/net/upstream.py
@@ -13,13 +13,16 @@
 from statistics import median_high
 from typing import Any, NoReturn
 
-from notchjunction.decider import Ended
+from notchjunction import protocol
+from notchjunction.addresses import Address
+from notchjunction.balancing.engine import Ended
+from notchjunction.balancing.interface import Load, Result
+from notchjunction.config.settings import load
 from notchjunction.http1.messages import BODY_MOST, LARGE_MOST, Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.interface import Load, Result
-from notchjunction.net import words
-from notchjunction.net.connections import (
-    Address,
+from notchjunction.net.body_streaming import Download, Streams, Upload
+from notchjunction.net.descriptors import Descriptors
+from notchjunction.net.upstream_connection import (
     Connection,
     Cut,
     NoDescriptor,
@@ -27,12 +30,9 @@
     Withheld,
     connection_to,
 )
-from notchjunction.net.counters import Counters
-from notchjunction.net.descriptors import Descriptors
-from notchjunction.net.flight_recorder import Occurrence
-from notchjunction.net.relay import Download, Streams, Upload
-from notchjunction.permits import AttemptFacts, Refusal, may_write, time_to_tell
-from notchjunction.terms import load
+from notchjunction.safety.preconditions import AttemptFacts, Refusal, may_write, time_to_tell
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.flight_recorder import Occurrence
 
 IDLE_SHARE = (
     0.75  # of the servers' idle time; then a connection is retired, so that no request crosses its end
@@ -97,7 +97,7 @@
     if answer.status == 200:
         return Result.HONOURED
     if answer.status in (503, 504):
-        return Result.FULL if answer.headers.get(words.DECLINED) == "1" else Result.ERROR
+        return Result.FULL if answer.headers.get(protocol.DECLINED) == "1" else Result.ERROR
     return Result.ERROR if answer.status == 500 else Result.UNKNOWN
 
 
@@ -148,7 +148,9 @@
             return Exchanged(Ended(Result.NEVER_SENT, 0.0, spent=True))
         # Guards against a caller's oddities, on which a server would close the connection.
         headers = {
-            name: value for name, value in request.headers.items() if name in words.ONWARD and value.isascii()
+            name: value
+            for name, value in request.headers.items()
+            if name in protocol.ONWARD and value.isascii()
         }
         exchanged = await self._exchange(attempt, replace(request, headers=headers))
         return replace(exchanged, ended=replace(exchanged.ended, spent=rest is not None and rest.spent))
@@ -158,7 +160,11 @@
         probe = Attempt(server, self._clock() + PROBE_WITHIN)
         exchanged = await self._exchange(probe, request)
         answer = exchanged.answer
-        if exchanged.ended.result is Result.HONOURED and answer is not None and self._load_path == words.LOAD:
+        if (
+            exchanged.ended.result is Result.HONOURED
+            and answer is not None
+            and self._load_path == protocol.LOAD
+        ):
             return Ended(Result.HONOURED, exchanged.ended.seconds, read_load(answer.body))
         return exchanged.ended
 
@@ -234,10 +240,10 @@
         finally:
             if connection is not None:
                 self._give_back(server, connection, keep)
-        report = answer.headers.get(words.SERVER_LOAD) if answer is not None else None
+        report = answer.headers.get(protocol.SERVER_LOAD) if answer is not None else None
         self._recorder.note(
             Occurrence.ATTEMPT_ENDED,
-            request.headers.get(words.JOB_ID, ""),
+            request.headers.get(protocol.JOB_ID, ""),
             server=server,
             result=result.value,
             after=round(self._clock() - began, 4),
@@ -257,7 +263,7 @@
         what became of earlier attempts.
         """
         now = self._clock()
-        is_probe = words.JOB_ID not in request.headers
+        is_probe = protocol.JOB_ID not in request.headers
         facts = AttemptFacts(
             now=now,
             # The time of a request whose body still comes counts from its last byte.
@@ -276,7 +282,7 @@
         if is_probe:
             return request
         attempt.written(told)
-        job_id = request.headers[words.JOB_ID]
+        job_id = request.headers[protocol.JOB_ID]
         self._recorder.note(
             Occurrence.ATTEMPT_WRITTEN,
             job_id,
@@ -285,12 +291,12 @@
             kept=str(connection.kept),
         )
         told_ms = str(max(1, int(told * 1000)))
-        return replace(request, headers={**request.headers, words.TIME_LEFT: told_ms})
+        return replace(request, headers={**request.headers, protocol.TIME_LEFT: told_ms})
 
     def _withhold(self, attempt: Attempt, request: Request, refusal: Refusal) -> NoReturn:
         """What may not be written is not, and it is counted why."""
         self._counters.add(f"withheld_{refusal.name.lower()}")
-        job_id = request.headers.get(words.JOB_ID, "")
+        job_id = request.headers.get(protocol.JOB_ID, "")
         self._recorder.note(Occurrence.ATTEMPT_WITHHELD, job_id, server=attempt.server, why=refusal.value)
         if refusal is Refusal.NOT_LISTED:
             raise NotSent(refusal.value)
--- a/notchjunction/net/connections.py
+++ b/notchjunction/net/upstream_connection.py
@@ -13,12 +13,12 @@
 
 from tornado.iostream import IOStream, StreamClosedError
 
+from notchjunction.addresses import Address
 from notchjunction.http1.encoder import encode_end, encode_piece, encode_request
 from notchjunction.http1.messages import BODY_MOST, HEAD_MOST, Answer, Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.net.streams import NodeStream, Unread
+from notchjunction.net.socket_stream import NodeStream, Unread
 
-Address = tuple[str, int]
 PIECE = 64 * 1024  # bytes read at once
 STALL_MOST = 10.0  # s in which the other side gives or takes nothing; over any pause of a slow one
 LOOK_EVERY = 0.05  # s after which it is looked whether a caller is there whose bytes have no room
@@ -73,15 +73,6 @@
     async def get(self) -> bytes: ...
 
 
-def address_of(text: str) -> Address:
-    host, _, port = text.rpartition(":")
-    return host.strip("[]"), int(port)
-
-
-def text_of(address: Address) -> str:
-    return f"{address[0]}:{address[1]}"
-
-
 def _cause(error: Exception) -> str:
     """What the operating system said, where the stream tells it."""
     return str(getattr(error, "real_error", None) or error)
--- /dev/null
+++ b/notchjunction/node/__init__.py
@@ -0,0 +1,1 @@
+"""Wiring, start and shutdown of one node process."""
--- a/notchjunction/net/node.py
+++ b/notchjunction/node/node.py
@@ -13,33 +13,35 @@
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
 
-from notchjunction.checks import Unfit
-from notchjunction.decider import Ask, Decider, Follow, Probe, SetAside, Tell
+from notchjunction.addresses import Address, text_of
+from notchjunction.balancing.engine import Ask, Decider, Follow, Probe, SetAside, Tell
+from notchjunction.balancing.interface import News
+from notchjunction.config import node_config
+from notchjunction.config.node_config import NodeInput
+from notchjunction.config.validation import Unfit
+from notchjunction.discovery.endpoint_list import ServerList, Unusable, read_list
+from notchjunction.discovery.known_endpoints import KnownServers
+from notchjunction.discovery.watch_state import Following
 from notchjunction.errors import NotchjunctionError
-from notchjunction.following import Following
 from notchjunction.http1.messages import Request
-from notchjunction.interface import News
-from notchjunction.net import management, node_input, talk
-from notchjunction.net.callers import LINGER_LAST, Callers
-from notchjunction.net.connections import Address, text_of
-from notchjunction.net.counters import Counters
+from notchjunction.net import admin, gossip_socket
+from notchjunction.net.admin import Management
+from notchjunction.net.body_streaming import Streams, Upload
+from notchjunction.net.client_listener import LINGER_LAST, Callers
 from notchjunction.net.descriptors import OWN, Descriptors
-from notchjunction.net.discovery import Discovery, ServerList, Unusable, read_list
-from notchjunction.net.ending import Effect as Do
-from notchjunction.net.ending import Ending
-from notchjunction.net.flight_recorder import Occurrence
-from notchjunction.net.handover import Giver, Handover, Inherited
-from notchjunction.net.jobs import Job, Rights
-from notchjunction.net.known_servers import KnownServers
-from notchjunction.net.logs import pairs
-from notchjunction.net.management import Management
-from notchjunction.net.node_input import NodeInput
-from notchjunction.net.relay import Streams, Upload
-from notchjunction.net.servers import Servers
-from notchjunction.net.service_state import Effect, Input, ServiceState, State
+from notchjunction.net.discovery_client import Discovery
+from notchjunction.net.request_handler import Job, Rights
+from notchjunction.net.upstream import Servers
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.flight_recorder import Occurrence
+from notchjunction.telemetry.logs import pairs
+from notchjunction.upgrade.handover import Giver, Handover, Inherited
+from notchjunction.upgrade.serving_state import Effect, Input, ServiceState, State
+from notchjunction.upgrade.shutdown import Effect as Do
+from notchjunction.upgrade.shutdown import Ending
 
 if TYPE_CHECKING:
-    from notchjunction.net.fleet_talk import FleetTalk
+    from notchjunction.net.fleet_transport import FleetTalk
 
 log = logging.getLogger(__name__)
 
@@ -62,9 +64,9 @@
         self._offset = time.time() - time.monotonic()
         self._loop = asyncio.get_running_loop()
         self.counters = counters = Counters(self.now)
-        kept_back = management.DESCRIPTORS if told.mgmt else 0
-        kept_back += talk.DESCRIPTORS if told.talk else 0
-        kept_back += talk.DESCRIPTORS if told.fleet is not None else 0
+        kept_back = admin.DESCRIPTORS if told.mgmt else 0
+        kept_back += gossip_socket.DESCRIPTORS if told.talk else 0
+        kept_back += gossip_socket.DESCRIPTORS if told.fleet is not None else 0
         self._descriptors = descriptors = Descriptors(told.sockets, kept_back)
         streams = Streams()
         self._following = Following(told.terms.ask_within, told.pushed, told.terms.seed, told.terms.nodes)
@@ -111,7 +113,7 @@
         self._move_call: asyncio.TimerHandle | None = None
         self._tasks: set[asyncio.Task[None]] = set()
         self._decider = Decider(told.terms, told.names, self.now, self._wake, time.time)
-        self._talk = talk.Talk(*told.talk, self._decider.hear, counters) if told.talk else None
+        self._talk = gossip_socket.Talk(*told.talk, self._decider.hear, counters) if told.talk else None
         if self._talk is not None:
             counters.gauge("notes_passed_over", lambda: self._decider.notes_passed_over)
         counters.gauge("held", lambda: self._decider.held)
@@ -124,7 +126,7 @@
 
     def _share(self, told: NodeInput) -> FleetTalk:
         # Loaded here and not above: where nothing is shared, nothing of it is in memory.
-        from notchjunction.net.fleet_talk import FleetTalk
+        from notchjunction.net.fleet_transport import FleetTalk
 
         assert told.fleet is not None
         terms = told.terms
@@ -297,7 +299,7 @@
 
     def used_elsewhere(self) -> None:
         if self._handover is not None:
-            others = self._handover.others * (OWN + management.DESCRIPTORS)
+            others = self._handover.others * (OWN + admin.DESCRIPTORS)
             self._descriptors.elsewhere = self._handover.used_elsewhere("held") + others
             self._descriptors.callers_elsewhere = self._handover.used_elsewhere("callers")
 
@@ -359,7 +361,7 @@
     def read_again(self) -> None:
         """Takes the file's discovery and settings, whole; where anything is wrong, all stays as it was."""
         try:
-            told = node_input.read_again(self._told)
+            told = node_config.read_again(self._told)
         except (Unfit, OSError, UnicodeDecodeError) as error:
             self.counters.add("reloads_failed")
             for each in error.errors if isinstance(error, Unfit) else [str(error)]:
@@ -387,7 +389,7 @@
                 new=",".join(sorted(found - had)) or "none",
                 gone=",".join(sorted(had - found)) or "none",
                 attempts=told.terms.max_dispatches,
-                needs_restart=",".join(node_input.changed(before, told)) or "none",
+                needs_restart=",".join(node_config.changed(before, told)) or "none",
             ),
         )
         if told.discovery != before.discovery:
--- a/notchjunction/invariants.py
+++ b/notchjunction/safety/invariants.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from notchjunction.interface import Effect, Result
+from notchjunction.balancing.interface import Effect, Result
 
 # s by which a server may be told more than is left: the operators', for a process that is held up between its
 # clock and its act.
--- a/notchjunction/simhost.py
+++ b/notchjunction/simulator/host.py
@@ -10,14 +10,15 @@
 import traceback
 from collections.abc import Sequence
 
-from notchjunction import terms
-from notchjunction.interface import Decisions, Job, News, Outcome, Presence, Result, ServerEntry, Told
-from notchjunction.notes import Notes, Word, tag_of
-from notchjunction.rules import Balancer
-from notchjunction.simwire import words
-from notchjunction.simwire.codec import Event, Fields, Reader, WireError, act, write_reply
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import Decisions, Job, News, Outcome, Result, ServerEntry, Told
+from notchjunction.balancing.outcome_gossip import Notes, Word, tag_of
+from notchjunction.config import settings
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.simulator import vocabulary
+from notchjunction.simulator.codec import Event, Fields, Reader, WireError, act, write_reply
 
-log = logging.getLogger("notchjunction.simhost")
+log = logging.getLogger("notchjunction.simulator.host")
 
 
 class Instance:
@@ -36,7 +37,7 @@
         paths = provision.fields
         self._sized = paths.get("weight_kind") in ("nominal", "rough")
         self._load_fields = paths.get("report.fields", "").split(",")
-        self._core: Decisions = Balancer(terms.terms(seed, paths), self)
+        self._core: Decisions = Balancer(settings.terms(seed, paths), self)
 
     def now(self) -> float:
         return self._clock
@@ -93,7 +94,7 @@
         event = Event(0, "M", fields)
         return ServerEntry(
             server=self._server(event.text("server")),
-            presence=words.PRESENCES.get(fields.get("availability", ""), Presence.DRAINING),
+            presence=vocabulary.PRESENCES.get(fields.get("availability", ""), Presence.DRAINING),
             started_at=event.number("start_time", 0.0) / 1000,
             zone=event.whole("campus", 0),
             cell=event.whole("bay", 0),
@@ -114,11 +115,11 @@
         elif event.name == "ELAPSED":
             core.timer(event.whole("nonce"))
         elif event.name == "HEALTH":
-            result = words.RESULTS.get(event.text("code"), Result.UNKNOWN)
-            report = words.load(self._load_fields, event.fields.get("report"))
+            result = vocabulary.RESULTS.get(event.text("code"), Result.UNKNOWN)
+            report = vocabulary.load(self._load_fields, event.fields.get("report"))
             core.probed(self._server(event.text("server")), result, report)
         elif event.name == "UPDATE":
-            news = words.NEWS.get(event.text("scope"))
+            news = vocabulary.NEWS.get(event.text("scope"))
             if news is News.FAILED:
                 core.listed(news, ())
             elif news is not None:
@@ -158,10 +159,10 @@
             job=index,
             dispatch=event.whole("go"),
             server=self._server(event.text("server")),
-            result=words.RESULTS.get(event.text("code"), Result.UNKNOWN),
+            result=vocabulary.RESULTS.get(event.text("code"), Result.UNKNOWN),
             seconds=event.number("wait_time", 0.0) / 1000,
             over=event.flag("over"),
-            load=words.load(self._load_fields, event.fields.get("report")),
+            load=vocabulary.load(self._load_fields, event.fields.get("report")),
         )
 
 
@@ -212,7 +213,7 @@
 
 
 def main() -> int:
-    parser = argparse.ArgumentParser(prog="notchjunction.simhost", description=__doc__)
+    parser = argparse.ArgumentParser(prog="notchjunction.simulator.host", description=__doc__)
     parser.add_argument("--log-level", default="ERROR", help="of the standard error log (default: ERROR)")
     logging.basicConfig(stream=sys.stderr, level=parser.parse_args().log_level.upper())
     host = SimHost()
--- a/notchjunction/simwire/words.py
+++ b/notchjunction/simulator/vocabulary.py
@@ -4,8 +4,9 @@
 
 from collections.abc import Sequence
 
-from notchjunction import terms
-from notchjunction.interface import Load, News, Presence, Result
+from notchjunction.balancing.interface import Load, News, Result
+from notchjunction.config import settings
+from notchjunction.discovery.endpoints import Presence
 
 RESULTS = {
     "done": Result.HONOURED,
@@ -23,4 +24,4 @@
 
 def load(fields: Sequence[str], row: str | None) -> Load | None:
     """A report row; a value that is missing or unreadable stays unknown."""
-    return terms.load(dict(zip(fields, row.split(","), strict=False))) if row else None
+    return settings.load(dict(zip(fields, row.split(","), strict=False))) if row else None
--- a/notchjunction/soak/discovery.py
+++ b/notchjunction/soak/discovery.py
@@ -9,9 +9,9 @@
 from random import Random
 from urllib.parse import parse_qs, urlsplit
 
+from notchjunction.addresses import Address
 from notchjunction.http1.messages import Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net.connections import Address
 from notchjunction.soak.backend import HOST, Backend
 from notchjunction.soak.events import Journal, Notified, Published, Reachable
 
--- a/notchjunction/soak/node.py
+++ b/notchjunction/soak/node.py
@@ -12,10 +12,10 @@
 from pathlib import Path
 from typing import Any
 
-from notchjunction.net.connections import Address, text_of
+from notchjunction.addresses import Address, text_of
 from notchjunction.soak import shim
 from notchjunction.soak.events import Journal, Killed, Upgrade
-from notchjunction.standins.process import counters_in
+from notchjunction.testbed.process import counters_in
 
 READY_WITHIN = 30.0  # s for a node to answer that it is ready, on a busy machine
 READY_LOOK = 0.03  # s between two looks
--- a/notchjunction/soak/run.py
+++ b/notchjunction/soak/run.py
@@ -12,7 +12,7 @@
 from random import Random
 from typing import Any
 
-from notchjunction.net.connections import text_of
+from notchjunction.addresses import text_of
 from notchjunction.soak.backend import CAPACITY_SPAN, Backend, Behaviour, Trouble
 from notchjunction.soak.client import Clients, Manner
 from notchjunction.soak.discovery import ACTIVE, LEAVING, LEFT, DiscoveryService
--- /dev/null
+++ b/notchjunction/telemetry/__init__.py
@@ -0,0 +1,1 @@
+"""Log lines, counters and the flight recorder."""
--- a/notchjunction/net/counters.py
+++ b/notchjunction/telemetry/counters.py
@@ -7,8 +7,8 @@
 from collections import Counter
 from collections.abc import Callable
 
-from notchjunction.interface import Result
-from notchjunction.net.flight_recorder import FlightRecorder
+from notchjunction.balancing.interface import Result
+from notchjunction.telemetry.flight_recorder import FlightRecorder
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/net/flight_recorder.py
+++ b/notchjunction/telemetry/flight_recorder.py
@@ -13,7 +13,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-from notchjunction.net.logs import pairs
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/notchjunction/standins/caller.py
+++ b/notchjunction/testbed/client.py
@@ -5,10 +5,10 @@
 import asyncio
 from collections import deque
 
+from notchjunction.addresses import Address
 from notchjunction.http1.encoder import encode_request
 from notchjunction.http1.messages import Malformed, Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.net.connections import Address
 
 KEEP_MOST = 64  # idle connections to one address; more are closed
 Link = tuple[asyncio.StreamReader, asyncio.StreamWriter]
--- a/notchjunction/standins/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -7,16 +7,16 @@
 from collections.abc import Callable, Sequence
 from urllib.parse import parse_qs, urlsplit
 
-from notchjunction.decider import Listed
+from notchjunction.addresses import Address, text_of
+from notchjunction.balancing.interface import ServerEntry
+from notchjunction.discovery.endpoint_list import row
+from notchjunction.discovery.endpoints import Listed
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.interface import ServerEntry
-from notchjunction.net import words
-from notchjunction.net.connections import Address, text_of
-from notchjunction.standins.server import HOST
+from notchjunction.testbed.server import HOST
 
 WATCH_GOES_ON = 0.2  # s after an answer within which the next call costs no work; the protocol's
 
@@ -38,7 +38,7 @@
         listed = Listed(
             server_name(entry.server), entry.presence, entry.started_at, zone_name(entry.zone), entry.cell
         )
-        rows.append(words.row(listed, text_of(address_of(entry.server))))
+        rows.append(row(listed, text_of(address_of(entry.server))))
     return json.dumps({"index": version, "snapshot": whole, "endpoints": rows}).encode()
 
 
--- a/notchjunction/standins/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -16,12 +16,12 @@
 from pathlib import Path
 from typing import Any
 
+from notchjunction.addresses import Address, text_of
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import Story
-from notchjunction.net.connections import Address, text_of
-from notchjunction.standins.links import LinkFault, Links
-from notchjunction.standins.server import HOST, free_listener
-from notchjunction.standins.stage import Stage
+from notchjunction.testbed.links import LinkFault, Links
+from notchjunction.testbed.server import HOST, free_listener
+from notchjunction.testbed.stage import Stage
 
 SECRET = "5a" * 16  # the stand-ins' key; a fleet of an operator's has one of its own
 SETTLED_WITHIN = 60.0  # s for all nodes to know one another and to own what they do, on a busy machine
--- a/notchjunction/standins/links.py
+++ b/notchjunction/testbed/links.py
@@ -19,8 +19,8 @@
 from random import Random
 from typing import Self
 
-from notchjunction.net.connections import Address
-from notchjunction.standins.server import HOST, reset
+from notchjunction.addresses import Address
+from notchjunction.testbed.server import HOST, reset
 
 HELD_BACK = 0.05  # s that a datagram is longer on its way which later ones overtake; over the gaps of a burst
 PIECE = 64 * 1024  # bytes of a stream read at once
--- a/notchjunction/standins/process.py
+++ b/notchjunction/testbed/process.py
@@ -12,14 +12,14 @@
 from pathlib import Path
 from typing import Any
 
+from notchjunction.addresses import Address, text_of
+from notchjunction.config.settings import EFFECTS, GROUPS
 from notchjunction.emulator.node import ASK_WITHIN, CONNECTION_PRICE, CROSSING_PRICE, MAX_DISPATCHES
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.http1.messages import Request
-from notchjunction.net.connections import Address, text_of
-from notchjunction.standins.caller import Callers
-from notchjunction.standins.discovery import zone_name
-from notchjunction.standins.server import REPORTED
-from notchjunction.terms import EFFECTS, GROUPS
+from notchjunction.testbed.client import Callers
+from notchjunction.testbed.discovery import zone_name
+from notchjunction.testbed.server import REPORTED
 
 READY_WITHIN = 20.0  # s for a node to be ready, where many start on few cores
 READY_LOOK = 0.05  # s between looks
--- a/notchjunction/standins/server.py
+++ b/notchjunction/testbed/server.py
@@ -10,15 +10,16 @@
 from contextlib import suppress
 from urllib.parse import parse_qs, urlsplit
 
+from notchjunction import protocol
+from notchjunction.addresses import Address
+from notchjunction.balancing.interface import Result
+from notchjunction.config.settings import LOAD_WORDS
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.servers import Call, Server
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.interface import Presence, Result
-from notchjunction.net import words
-from notchjunction.net.connections import Address
-from notchjunction.terms import LOAD_WORDS
 
 HOST = "127.0.0.1"
 WORK = "work"  # in the query: s of work of the job, on a server of speed 1
@@ -27,7 +28,7 @@
 ANSWERS = {
     Result.HONOURED: Answer(200, body=b"done"),
     Result.ERROR: Answer(500),
-    Result.FULL: Answer(503, {words.DECLINED: "1"}),
+    Result.FULL: Answer(503, {protocol.DECLINED: "1"}),
 }
 HARD_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
 
@@ -77,7 +78,7 @@
                 while (request := requests.next()) is not None:
                     if self.silent:
                         continue
-                    if request.path == words.JOBS:
+                    if request.path == protocol.JOBS:
                         if not held:
                             self.say(writer, ANSWERS[Result.FULL])
                             continue
@@ -113,7 +114,7 @@
 
 def time_left(request: Request) -> float:
     """Seconds that its sender waits."""
-    return int(request.headers.get(words.TIME_LEFT, "1000")) / 1000
+    return int(request.headers.get(protocol.TIME_LEFT, "1000")) / 1000
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -176,12 +177,12 @@
         headers = request.headers
         query = parse_qs(urlsplit(request.target).query)
         call = Call(
-            name=(door.node, headers.get(words.JOB_ID, ""), 0),
-            profile=int(headers.get(words.PROFILE, "p0")[1:]),
+            name=(door.node, headers.get(protocol.JOB_ID, ""), 0),
+            profile=int(headers.get(protocol.PROFILE, "p0")[1:]),
             seconds=float(query.get(WORK, [str(WORK_LEAST)])[0]),
             until=self._clock.now + time_left(request),
             answer=lambda result: door.end(writer, call, result),
-            number=headers.get(words.NUMBER),
+            number=headers.get(protocol.NUMBER),
             knowing=self._came(door.node, request),
         )
         self._out[call] = request
@@ -201,6 +202,6 @@
         sound = self.server.presence is Presence.READY
         load = self.server.report()
         report = {word: getattr(load, held) for held, word in REPORTED.items()}
-        body = json.dumps(report).encode() if request.path == words.LOAD else b""
+        body = json.dumps(report).encode() if request.path == protocol.LOAD else b""
         answer = Answer(200 if sound else 503, body=body)
         self._clock.after(seconds, lambda: door.say(writer, answer))
--- a/notchjunction/standins/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -16,6 +16,9 @@
 from random import Random
 from typing import Any
 
+from notchjunction import protocol
+from notchjunction.addresses import Address
+from notchjunction.balancing.interface import Effect, ServerEntry
 from notchjunction.emulator import faults
 from notchjunction.emulator.checkers import (
     GONE_AFTER,
@@ -47,14 +50,11 @@
     Told,
 )
 from notchjunction.http1.messages import Request
-from notchjunction.interface import Effect, ServerEntry
-from notchjunction.net import words
-from notchjunction.net.connections import Address
-from notchjunction.standins.caller import Callers
-from notchjunction.standins.clock import LoopClock
-from notchjunction.standins.discovery import DiscoveryStandIn, list_text
-from notchjunction.standins.process import NodeProcess
-from notchjunction.standins.server import WORK, ServerStandIn, free_listener, time_left
+from notchjunction.testbed.client import Callers
+from notchjunction.testbed.clock import LoopClock
+from notchjunction.testbed.discovery import DiscoveryStandIn, list_text
+from notchjunction.testbed.process import NodeProcess
+from notchjunction.testbed.server import WORK, ServerStandIn, free_listener, time_left
 
 GRACE = 0.55  # s after word of a drain within which a send is forgiven; the rule's, and its slack on sockets
 LOOK_EVERY = 0.01  # s between looks at how late this process's own loop is; short against any bound
@@ -301,15 +301,15 @@
         effect = self.scenario.profiles[profile].effect
         headers = {
             "host": "app",
-            words.JOB_ID: name,
-            words.PROFILE: f"p{profile}",
-            words.TIME_LEFT: str(max(1, int(left * 1000))),
-            **({words.REPEAT: "1"} if repeat else {}),
-            **({words.NUMBER: name} if effect is Effect.NUMBERED else {}),
-            **({words.OPERATOR: f"o{operator}"} if self.scenario.quotas else {}),
+            protocol.JOB_ID: name,
+            protocol.PROFILE: f"p{profile}",
+            protocol.TIME_LEFT: str(max(1, int(left * 1000))),
+            **({protocol.REPEAT: "1"} if repeat else {}),
+            **({protocol.NUMBER: name} if effect is Effect.NUMBERED else {}),
+            **({protocol.OPERATOR: f"o{operator}"} if self.scenario.quotas else {}),
         }
         method = "GET" if effect is Effect.REISSUABLE else "POST"
-        request = Request(method, f"{words.JOBS}?{WORK}={work:.5f}", headers)
+        request = Request(method, f"{protocol.JOBS}?{WORK}={work:.5f}", headers)
         self.rows.append(Taken(self.clock.now, node, job, profile, self.clock.now + left, first))
         try:
             place = self._places[node].process.listen
@@ -342,7 +342,7 @@
 
     def _came(self, server: Server, node: int, request: Request) -> bool:
         """A dispatch has been read; whether its node had been told of the server's last start."""
-        name = request.headers.get(words.JOB_ID, "")
+        name = request.headers.get(protocol.JOB_ID, "")
         number = self._dispatches.get((node, name), 0)
         self._dispatches[node, name] = number + 1
         job = self._jobs.get((node, name), 0)
--- a/notchjunction/net/handover.py
+++ b/notchjunction/upgrade/handover.py
@@ -19,9 +19,9 @@
 from pathlib import Path
 from typing import Any, Protocol
 
-from notchjunction.net.counters import Counters
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
-from notchjunction.net.logs import pairs
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,8 +4,9 @@
 
 import pytest
 
-from notchjunction.net import callers, ending, handover
-from notchjunction.net import node as node_module
+from notchjunction.net import client_listener
+from notchjunction.node import node as node_module
+from notchjunction.upgrade import handover, shutdown
 
 pytest_plugins = ("tests.known_red",)
 
@@ -21,8 +22,8 @@
 def _short_spans(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, span in SPANS.items():
         monkeypatch.setattr(node_module, name, span)
-    monkeypatch.setattr(ending, "LISTEN_ON", 0.05)
-    monkeypatch.setattr(ending, "MOVE_AFTER", 0.1)
-    monkeypatch.setattr(ending, "ANSWER_SHARE", 1.0)
+    monkeypatch.setattr(shutdown, "LISTEN_ON", 0.05)
+    monkeypatch.setattr(shutdown, "MOVE_AFTER", 0.1)
+    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 1.0)
     monkeypatch.setattr(handover, "TOLD_EVERY", 0.005)
-    monkeypatch.setattr(callers, "LINGER_WITHIN", 0.1)
+    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.1)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -15,28 +15,28 @@
 from pathlib import Path
 from typing import Any, Self
 
-from notchjunction.decider import Names
-from notchjunction.http1.messages import Answer, Request
-from notchjunction.http1.parser import AnswerReader, RequestReader
-from notchjunction.interface import (
+from notchjunction.addresses import Address
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.engine import Names
+from notchjunction.balancing.interface import (
     Effect,
     Group,
     Job,
     Load,
     News,
     Outcome,
-    Presence,
     Profile,
     Result,
     ServerEntry,
     Terms,
     Told,
 )
-from notchjunction.net.connections import Address
-from notchjunction.net.discovery import read_list
-from notchjunction.net.node import Node
-from notchjunction.net.node_input import NodeInput
-from notchjunction.rules import Balancer
+from notchjunction.config.node_config import NodeInput
+from notchjunction.discovery.endpoint_list import read_list
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.parser import AnswerReader, RequestReader
+from notchjunction.node.node import Node
 
 PLAIN = Profile(contract_time=1.0, abandon_time=2.0, revenue=1.0, late_share=0.5, effect=Effect.REISSUABLE)
 TERMS = Terms(seed=7, profiles=[PLAIN], depth=0, depths=1, max_dispatches=5)
--- a/tests/test_rules.py
+++ b/tests/test_balancer.py
@@ -6,10 +6,11 @@
 
 import pytest
 
+from notchjunction.balancing.interface import Effect, Group, Load, News, Outcome, Result, ServerEntry
+from notchjunction.config.settings import terms
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.watch_state import TOLD_AFTER
 from notchjunction.emulator.world import GRACE
-from notchjunction.following import TOLD_AFTER
-from notchjunction.interface import Effect, Group, Load, News, Outcome, Presence, Result, ServerEntry
-from notchjunction.terms import terms
 from tests.helpers import PLAIN, FakeHost, profile
 
 ONCE = Effect.AT_MOST_ONCE
--- a/tests/test_room.py
+++ b/tests/test_capacity.py
@@ -14,15 +14,17 @@
 
 import pytest
 
-from notchjunction import checks, following
-from notchjunction.following import Following
-from notchjunction.interface import Result
-from notchjunction.net import caller as caller_module
-from notchjunction.net import callers, handover, node_input
-from notchjunction.net.connections import Address
+from notchjunction.addresses import Address
+from notchjunction.balancing.interface import Result
+from notchjunction.config import node_config, validation
+from notchjunction.discovery import watch_state
+from notchjunction.discovery.watch_state import Following
+from notchjunction.net import client_connection as caller_module
+from notchjunction.net import client_listener
 from notchjunction.net.descriptors import SHORT_PAUSE
-from notchjunction.net.discovery import Discovery
-from notchjunction.net.node import Node
+from notchjunction.net.discovery_client import Discovery
+from notchjunction.node.node import Node
+from notchjunction.upgrade import handover
 from tests.helpers import (
     OK,
     SILENT,
@@ -120,8 +122,8 @@
     room_within: float, let_in: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 0.3)
-    monkeypatch.setattr(callers, "HEAD_PRESSED", 30.0)  # the crowd stays, however late the loop is
-    monkeypatch.setattr(callers, "ROOM_WITHIN", room_within)
+    monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)  # the crowd stays, however late the loop is
+    monkeypatch.setattr(client_listener, "ROOM_WITHIN", room_within)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -143,7 +145,7 @@
     """Nobody leaves. Each of those who wait has an answer and an orderly end, and soon."""
     monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 30.0)
     monkeypatch.setattr(caller_module, "HEAD_WITHIN", 30.0)
-    monkeypatch.setattr(callers, "HEAD_PRESSED", 30.0)
+    monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -166,7 +168,7 @@
 ) -> None:
     monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 0.5)
     monkeypatch.setattr(caller_module, "HEAD_WITHIN", 0.5)
-    monkeypatch.setattr(callers, "ROOM_WITHIN", 5.0)
+    monkeypatch.setattr(client_listener, "ROOM_WITHIN", 5.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -197,7 +199,7 @@
 ) -> None:
     for span in ("HEAD_WITHIN", "REFUSED_WITHIN", "BODY_SLACK"):
         monkeypatch.setattr(caller_module, span, 30.0)  # nobody goes by itself
-    monkeypatch.setattr(callers, "ROOM_WITHIN", 30.0)
+    monkeypatch.setattr(client_listener, "ROOM_WITHIN", 30.0)
     turn_away = caller_module.Caller.turn_away_in_head
     crossing: list[RawClient] = []
 
@@ -417,7 +419,7 @@
 def test_a_node_with_a_remembered_list_is_ready_and_serves_whatever_discovery_does(
     how: str, pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(following, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.1)
     found = DISCOVERIES[how]
 
     async def story() -> None:
@@ -453,7 +455,7 @@
 def test_a_process_before_that_hangs_delays_no_start_for_long(
     pushed: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(following, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.1)
     monkeypatch.setattr(handover, "JOINED_WITHIN", 0.1)
 
     async def story() -> None:
@@ -473,7 +475,7 @@
 
 
 def test_the_waits_of_a_start_leave_half_of_its_10_s() -> None:
-    assert handover.JOINED_WITHIN + following.FIRST_WITHIN < 5.0
+    assert handover.JOINED_WITHIN + watch_state.FIRST_WITHIN < 5.0
 
 
 def test_without_any_list_a_node_says_so_and_is_ready_with_the_first_one() -> None:
@@ -578,12 +580,12 @@
     file = tmp_path / "told.json"
     file.write_text(json.dumps({**configuration(), **told}))
     with pytest.raises(ValueError, match=rf"(^|; ){re.escape(place)}: expected"):
-        node_input.read({"GW_CONFIG": str(file)})
+        node_config.read({"GW_CONFIG": str(file)})
 
 
 def test_limits_that_say_more_than_sockets_are_sound(tmp_path: Path) -> None:
     found = {**configuration(), "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024}}
-    checks.check(found)
+    validation.check(found)
     file = tmp_path / "told.json"
     file.write_text(json.dumps(found))
-    assert node_input.read({"GW_CONFIG": str(file)}).sockets == 1024
+    assert node_config.read({"GW_CONFIG": str(file)}).sockets == 1024
--- a/tests/test_closing.py
+++ b/tests/test_connection_close.py
@@ -17,19 +17,20 @@
 import pytest
 from tornado.netutil import bind_sockets
 
+from notchjunction.addresses import Address, text_of
+from notchjunction.balancing.interface import News
+from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.interface import News
-from notchjunction.net import caller as caller_module
-from notchjunction.net import callers, ending, handover
-from notchjunction.net.caller import Caller, CallerStream
-from notchjunction.net.callers import Callers
-from notchjunction.net.connections import Address, text_of
-from notchjunction.net.discovery import read_list
-from notchjunction.net.flight_recorder import Occurrence
-from notchjunction.net.jobs import Job
-from notchjunction.net.node import Node
-from notchjunction.net.relay import Download
+from notchjunction.net import client_connection as caller_module
+from notchjunction.net import client_listener
+from notchjunction.net.body_streaming import Download
+from notchjunction.net.client_connection import Caller, CallerStream
+from notchjunction.net.client_listener import Callers
+from notchjunction.net.request_handler import Job
+from notchjunction.node.node import Node
+from notchjunction.telemetry.flight_recorder import Occurrence
+from notchjunction.upgrade import handover, shutdown
 from tests.helpers import (
     Client,
     Peer,
@@ -42,7 +43,7 @@
     running,
     wire_of,
 )
-from tests.test_large import Talk, served
+from tests.test_large_bodies import Talk, served
 from tests.test_net import run
 
 # More than a caller's system takes in unasked, and less than the node's holds: a reset destroys the rest.
@@ -138,7 +139,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for name, span in spans.items():
-        monkeypatch.setattr(caller_module if hasattr(caller_module, name) else callers, name, span)
+        monkeypatch.setattr(caller_module if hasattr(caller_module, name) else client_listener, name, span)
 
     async def story() -> None:
         async with Peer(LONG) as peer, running(peer) as (node, address):
@@ -162,7 +163,7 @@
     """Its job was turned back early; more of the body comes as the node gives it up."""
     monkeypatch.setattr(caller_module, "BODY_SLACK", 0.1 if ends == "stalls" else 60.0)
     monkeypatch.setattr(caller_module, "BODY_PACE", 10_000_000)
-    monkeypatch.setattr(ending, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
         async with running() as (node, address):
@@ -248,8 +249,8 @@
 @pytest.mark.parametrize("then", ["closes", "sends on", "says nothing", "says nothing at the last"])
 def test_a_caller_is_read_from_for_a_moment_only(then: str, monkeypatch: pytest.MonkeyPatch) -> None:
     last = then == "says nothing at the last"
-    monkeypatch.setattr(callers, "LINGER_WITHIN", 0.05 if then == "says nothing" else 60.0)
-    monkeypatch.setattr(callers, "LINGER_LAST", 0.05 if last else 60.0)
+    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.05 if then == "says nothing" else 60.0)
+    monkeypatch.setattr(client_listener, "LINGER_LAST", 0.05 if last else 60.0)
     monkeypatch.setattr(caller_module, "LINGER_MOST", 100_000)
 
     async def story() -> None:
@@ -271,8 +272,8 @@
 
 
 def test_callers_that_have_their_last_answer_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(callers, "LINGER_WITHIN", 60.0)
-    monkeypatch.setattr(callers, "LINGER_SPARED", 0.0)
+    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 60.0)
+    monkeypatch.setattr(client_listener, "LINGER_SPARED", 0.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -354,7 +355,7 @@
 
         async with Peer() as peer, running(peer, starting=told_to_end_meanwhile):
             assert (await heard(late[0])).startswith(b"HTTP/1.1 200")
-            span = ending.KILL_AFTER - ending.KILL_MARGIN + 2.0  # s, 2.0 of them the longest abandon time
+            span = shutdown.KILL_AFTER - shutdown.KILL_MARGIN + 2.0  # s, 2.0 of them the longest abandon time
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= (span - 1.0) * 1000
 
     run(story())
@@ -629,7 +630,7 @@
 import os, runpy, signal, sys
 class Signals:
     def find_spec(self, name, path=None, target=None):
-        if name == "notchjunction.net.node":
+        if name == "notchjunction.node.node":
             os.kill(os.getpid(), signal.SIGHUP)
             os.kill(os.getpid(), signal.SIGUSR1)
 sys.meta_path.insert(0, Signals())
--- a/tests/test_gone.py
+++ b/tests/test_departed_clients.py
@@ -10,17 +10,18 @@
 import pytest
 from tornado.iostream import IOStream
 
-from notchjunction.decider import Ask, Stop, TurnBack, WriteOff
+from notchjunction.addresses import Address
+from notchjunction.balancing.engine import Ask, Stop, TurnBack, WriteOff
+from notchjunction.balancing.interface import Result
 from notchjunction.http1.messages import BODY_MOST
-from notchjunction.interface import Result
-from notchjunction.net import caller as caller_module
-from notchjunction.net.caller import Caller
-from notchjunction.net.connections import PIECE, Address, Connection
-from notchjunction.net.node import Node
-from notchjunction.net.servers import SETTLED, Attempt, Servers
-from notchjunction.net.streams import NodeStream
+from notchjunction.net import client_connection as caller_module
+from notchjunction.net.client_connection import Caller
+from notchjunction.net.socket_stream import NodeStream
+from notchjunction.net.upstream import SETTLED, Attempt, Servers
+from notchjunction.net.upstream_connection import PIECE, Connection
+from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
-from tests.test_large import Talk, served
+from tests.test_large_bodies import Talk, served
 from tests.test_net import JOB, Dispatches, hanging, run
 
 BODY = b"x" * (BODY_MOST + 10_000)  # more than is whole before it goes on
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -7,6 +7,10 @@
 
 import pytest
 
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import Host, News, Outcome, Result, Terms
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.watch_state import Following
 from notchjunction.emulator import node
 from notchjunction.emulator.checkers import (
     GONE_AFTER,
@@ -30,9 +34,6 @@
     Told,
 )
 from notchjunction.emulator.world import GRACE, World
-from notchjunction.following import Following
-from notchjunction.interface import Host, News, Outcome, Presence, Result, Terms
-from notchjunction.rules import Balancer
 
 CALM = Scenario("calm", length=12.0)
 FAULTS = {
--- a/tests/test_decider.py
+++ b/tests/test_engine.py
@@ -9,14 +9,13 @@
 
 import pytest
 
-from notchjunction import terms
-from notchjunction.decider import (
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.engine import (
     Ask,
     Decider,
     Ended,
     Follow,
     Leave,
-    Listed,
     Names,
     Order,
     PassOn,
@@ -26,8 +25,9 @@
     TurnBack,
     WriteOff,
 )
-from notchjunction.interface import Effect, Group, News, Presence, Result, Terms
-from notchjunction.rules import Balancer
+from notchjunction.balancing.interface import Effect, Group, News, Result, Terms
+from notchjunction.config import settings
+from notchjunction.discovery.endpoints import Listed, Presence
 from tests.helpers import PLAIN, TERMS, profile
 
 SAFE, NUMBERED, ONCE = Effect.REISSUABLE, Effect.NUMBERED, Effect.AT_MOST_ONCE
@@ -190,7 +190,7 @@
     def broken(*_: object) -> None:
         raise RuntimeError("module")
 
-    monkeypatch.setattr("notchjunction.rules.Balancer.take", broken)
+    monkeypatch.setattr("notchjunction.balancing.balancer.Balancer.take", broken)
     with pytest.raises(RuntimeError):
         fail(story)
     assert story.decider.kept == 0
@@ -198,7 +198,7 @@
 
 @pytest.mark.parametrize("figure", ["nan", "inf", float("nan"), -1, "much", None, [], {}])
 def test_a_load_figure_that_is_no_number_stays_unknown(figure: object) -> None:
-    found = terms.load({"q": figure, "rate": 2.5, "news": 1})
+    found = settings.load({"q": figure, "rate": 2.5, "news": 1})
     assert found is not None and (found.waiting, found.rate) == (None, 2.5)
 
 
@@ -223,8 +223,8 @@
         "profiles.0.revenue": "3",
         "tenants.count": "0",
     }
-    assert terms.flatten(nested) == flat
-    found = terms.terms(7, flat)
+    assert settings.flatten(nested) == flat
+    found = settings.terms(7, flat)
     assert (found.depth, found.depths, found.recalls, found.connection_idle) == (1, 2, True, 60.0)
     assert found.profiles[0] == replace(
         PLAIN, contract_time=2.0, revenue=3.0, late_share=0.0, effect=ONCE, group=Group.CELL
--- a/tests/test_lab.py
+++ b/tests/test_experiments.py
@@ -15,13 +15,13 @@
 import pytest
 from click.testing import CliRunner
 
-from notchjunction import checks
+from notchjunction.config import validation
 from notchjunction.emulator.scenario import Scenario
-from notchjunction.lab import report
-from notchjunction.lab.cli import main
-from notchjunction.lab.files import read_experiment
-from notchjunction.lab.load import TRACE, Load, Send, Shape, read_trace, schedule
-from notchjunction.lab.runs import Run, kept, play, run_all, runs_of
+from notchjunction.experiments import report
+from notchjunction.experiments.cli import main
+from notchjunction.experiments.files import read_experiment
+from notchjunction.experiments.load import TRACE, Load, Send, Shape, read_trace, schedule
+from notchjunction.experiments.runs import Run, kept, play, run_all, runs_of
 from tests.helpers import OK, Peer, Reply
 from tests.test_net import run
 
@@ -63,7 +63,7 @@
     old: str, new: str, place: str, tmp_path: Path
 ) -> None:
     file = changed(tmp_path, old, new)
-    with pytest.raises(checks.Unfit) as refused:
+    with pytest.raises(validation.Unfit) as refused:
         read_experiment(file)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
     asked = CliRunner().invoke(main, ["check", str(file)])
@@ -87,7 +87,7 @@
     kept = HERE / "fleet.toml"
     file = tmp_path / "changed.toml"
     file.write_text(kept.read_text().replace(old, new, 1))
-    with pytest.raises(checks.Unfit) as refused:
+    with pytest.raises(validation.Unfit) as refused:
         read_experiment(file)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
     for asked in (["emulate", str(kept)], ["experiment", str(kept), "--into", str(tmp_path)]):
@@ -101,7 +101,7 @@
         file.write_text(text[:end])
         try:
             found = read_experiment(file)
-        except checks.Unfit:
+        except validation.Unfit:
             continue
         assert found.scenarios  # cut between two scenarios or faults, a file may be whole
 
@@ -113,7 +113,8 @@
 
 def test_a_run_is_the_same_in_every_process_whatever_its_hash_seed() -> None:
     code = (
-        "import json; from notchjunction.lab.runs import *; from notchjunction.emulator.scenario import *;"
+        "import json; from notchjunction.experiments.runs import *;"
+        "from notchjunction.emulator.scenario import *;"
         "s = Scenario('small', nodes=2, servers=4, length=4.0, faults=(Fault(Kind.CRASH, 1, 2, (0, 1)),));"
         "print(json.dumps(play(Run(s, 'module', 5, 'r'))))"
     )
@@ -301,7 +302,7 @@
         (["0.5,a,a,p,1,reissuable", "0.1,b,b,p,1,reissuable"], "\n", "the rows are not in order"),
         (["0.0,a,a,p,1.0,reissuable"], "", "the last line has no end"),
     ):
-        with pytest.raises(checks.Unfit) as refused:
+        with pytest.raises(validation.Unfit) as refused:
             read_trace(trace(tmp_path, *lines, end=end))
         assert refused.value.errors[0].startswith(place)
     (tmp_path / "trace.csv").write_text("when,who\n")
@@ -315,11 +316,11 @@
 
 
 def test_the_node_never_imports_the_laboratory() -> None:
-    code = "import sys, notchjunction.__main__, notchjunction.net.node; print(*sys.modules)"
+    code = "import sys, notchjunction.__main__, notchjunction.node.node; print(*sys.modules)"
     said = subprocess.run(
         [sys.executable, "-c", code], capture_output=True, text=True, check=True
     ).stdout.split()
-    assert not {"simpy", "click", "hdrh", "matplotlib", "numpy", "notchjunction.lab"} & set(said)
+    assert not {"simpy", "click", "hdrh", "matplotlib", "numpy", "notchjunction.experiments"} & set(said)
     assert not any(name.startswith("notchjunction.emulator") for name in said)
 
 
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -15,20 +15,20 @@
 
 import pytest
 
-from notchjunction import checks
+from notchjunction.addresses import text_of
+from notchjunction.balancing.interface import Effect, Profile
+from notchjunction.config import validation
 from notchjunction.emulator.checkers import limit_held
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.emulator.trace import Answered, Final
 from notchjunction.errors import FleetError
-from notchjunction.fleet import limits
+from notchjunction.fleet import quotas
+from notchjunction.fleet.agent import Member, read_section
 from notchjunction.fleet.envelope import Forged, Malformed
-from notchjunction.fleet.member import Member, read_section
-from notchjunction.interface import Effect, Profile
-from notchjunction.net import fleet_talk
-from notchjunction.net.connections import text_of
-from notchjunction.net.node import Node
-from notchjunction.standins.fleet_stage import SEEN_LATE, FleetPart, ProcessFault, ProcessKind, staged
-from notchjunction.standins.links import Kind, LinkFault
+from notchjunction.net import fleet_transport
+from notchjunction.node.node import Node
+from notchjunction.testbed.fleet_stage import SEEN_LATE, FleetPart, ProcessFault, ProcessKind, staged
+from notchjunction.testbed.links import Kind, LinkFault
 from tests.helpers import OK, Client, Peer, call, configuration, free_address, running
 from tests.test_net import run
 
@@ -67,8 +67,8 @@
     more: Mapping[str, Any], key: str, tmp_path: Path
 ) -> None:
     found = {**configuration(), "fleet": section(**more)}
-    with pytest.raises(checks.Unfit) as unfit:
-        checks.check(found)
+    with pytest.raises(validation.Unfit) as unfit:
+        validation.check(found)
     assert any(error.startswith(key) for error in unfit.value.errors), unfit.value.errors
     file = tmp_path / "told.json"
     file.write_text(json.dumps(found))
@@ -159,7 +159,7 @@
 def test_a_job_past_the_limit_is_turned_back_at_once_and_a_right_comes_back_with_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(limits, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
@@ -194,7 +194,7 @@
 def test_a_job_that_ends_unanswered_keeps_its_right_until_its_time_is_over(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(limits, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
@@ -219,9 +219,9 @@
 def test_a_job_that_waits_under_a_limit_that_goes_is_sent_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(limits, "TERM_TIMES", 0.01)
-    monkeypatch.setattr(fleet_talk, "ASK_WITHIN", 5.0)
-    monkeypatch.setattr(fleet_talk, "WAIT_SHARE", 1.0)
+    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(fleet_transport, "ASK_WITHIN", 5.0)
+    monkeypatch.setattr(fleet_transport, "WAIT_SHARE", 1.0)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
@@ -247,7 +247,7 @@
 
 
 def test_two_processes_of_one_name_never_own_its_rights_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(limits, "TERM_TIMES", 0.05)
+    monkeypatch.setattr(quotas, "TERM_TIMES", 0.05)
 
     def owned(node: Node) -> int:
         return int((node.fleet_figures() or {})["limits"]["l"]["owned"])
@@ -297,7 +297,7 @@
 def test_limits_and_keys_change_at_sighup_whole_or_not_at_all(
     changed: Mapping[str, Any], taken: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(limits, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
--- a/tests/test_incident.py
+++ b/tests/test_incident_replay.py
@@ -9,8 +9,8 @@
 
 import pytest
 
+from notchjunction import protocol
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net import words
 from notchjunction.soak.discovery import LEAVING
 from notchjunction.soak.plan import Plan
 from notchjunction.soak.run import SoakRun
@@ -65,8 +65,8 @@
         while piece := await asyncio.get_running_loop().sock_recv(opened, 65536):
             requests.feed(piece)
             while (request := requests.next()) is not None:
-                if request.path.startswith(words.JOBS):
-                    came.put_nowait((time.monotonic(), int(request.headers[words.TIME_LEFT]) / 1000))
+                if request.path.startswith(protocol.JOBS):
+                    came.put_nowait((time.monotonic(), int(request.headers[protocol.TIME_LEFT]) / 1000))
         opened.close()
 
     def close(self) -> None:
--- a/tests/test_known_servers.py
+++ b/tests/test_known_endpoints.py
@@ -6,9 +6,9 @@
 
 import pytest
 
-from notchjunction.interface import Presence
-from notchjunction.net.discovery import ServerList, read_list
-from notchjunction.net.known_servers import KnownServers
+from notchjunction.discovery.endpoint_list import ServerList, read_list
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.known_endpoints import KnownServers
 
 
 def row(name: str, status: str = "active", port: int = 80, since: float = 0.0) -> dict[str, Any]:
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -44,7 +44,7 @@
     [
         ("", "1 failed, 1 passed"),  # a failure that nobody listed
         ("test_suite.py::test_green | none | issue 1\n", "XPASS(strict)"),
-        ("test_suite.py::test_gone | none | issue 1\n", "no such test"),
+        ("test_suite.py::test_departed_clients | none | issue 1\n", "no such test"),
         ("test_elsewhere.py::test_red | none | issue 1\n", "no such test"),
         ("test_suite.py::test_red\n", "not of the form"),
     ],
--- a/tests/test_large.py
+++ b/tests/test_large_bodies.py
@@ -20,18 +20,20 @@
 import pytest
 from tornado.iostream import IOStream
 
-from notchjunction.decider import Begin, Decider, Stop, Ticket
+from notchjunction.addresses import Address
+from notchjunction.balancing.engine import Begin, Decider, Stop, Ticket
+from notchjunction.balancing.interface import Job, News, Outcome, Result
+from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader, Reader, RequestReader
-from notchjunction.interface import Job, News, Outcome, Result
-from notchjunction.net import caller as caller_module
-from notchjunction.net import connections, ending, handover, relay, servers
-from notchjunction.net.connections import Address, Cut
-from notchjunction.net.discovery import read_list
-from notchjunction.net.node import Node
-from notchjunction.net.relay import Download, Streams
-from notchjunction.net.servers import Attempt
-from notchjunction.net.streams import NodeStream
+from notchjunction.net import body_streaming, upstream, upstream_connection
+from notchjunction.net import client_connection as caller_module
+from notchjunction.net.body_streaming import Download, Streams
+from notchjunction.net.socket_stream import NodeStream
+from notchjunction.net.upstream import Attempt
+from notchjunction.net.upstream_connection import Cut
+from notchjunction.node.node import Node
+from notchjunction.upgrade import handover, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
 from tests.test_net import JOB, Dispatches, run
 from tests.test_upgrade import until_yes
@@ -323,7 +325,7 @@
 def test_an_answer_that_drips_goes_on_before_much_of_it_has_come(
     length: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connections, "HOLD_SPAN", 0.05)
+    monkeypatch.setattr(upstream_connection, "HOLD_SPAN", 0.05)
 
     async def story() -> None:
         heard = asyncio.Event()
@@ -379,7 +381,7 @@
 def test_an_answer_broken_off_midway_is_told_as_broken_and_sent_nowhere_else(
     end: str, framing: str, version: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(relay, "STALL_MOST", 0.1)
+    monkeypatch.setattr(body_streaming, "STALL_MOST", 0.1)
 
     async def story() -> None:
         requests = 0
@@ -889,7 +891,7 @@
     missing: int | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It ends between two looks; by then a third one has the place, maybe out of reach for a moment."""
-    monkeypatch.setattr(ending, "KILL_AFTER", 8.0)
+    monkeypatch.setattr(shutdown, "KILL_AFTER", 8.0)
     connect, failures = socket.socket.connect, [missing]
 
     def fails_once(sock: socket.socket, place: Any) -> None:
@@ -951,7 +953,7 @@
 
 
 def test_a_body_that_is_not_whole_by_the_nodes_end_is_turned_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ending, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
         ran = []
@@ -1092,8 +1094,8 @@
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         kept = ours.dup()
-        connection = connections.Connection(("", 0), ours)
-        download = relay.Download(Streams(), connection, AnswerReader(), Answer(200, more=True))
+        connection = upstream_connection.Connection(("", 0), ours)
+        download = body_streaming.Download(Streams(), connection, AnswerReader(), Answer(200, more=True))
         assert download.take_held()
         theirs.send(b"more")
         download.move()
@@ -1116,7 +1118,7 @@
     answered: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its caller has its answer, and reads that only once all of its body is sent."""
-    monkeypatch.setattr(ending, "KILL_AFTER", -1.4)  # the node's end is 0.3 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.4)  # the node's end is 0.3 s after it was asked to
 
     async def story() -> None:
         ran: list[object] = []
@@ -1175,7 +1177,7 @@
 def test_a_server_that_takes_nothing_of_a_body_is_given_up(
     goes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(connections, "STALL_MOST", 0.5)
+    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.5)
 
     async def story() -> None:
         over = asyncio.Event()
@@ -1230,7 +1232,7 @@
                 await asyncio.sleep(0.002)
             left.set()
             await nothing_left(node)
-            await asyncio.sleep(2 * servers.SETTLED)  # a kept connection may be used again by then
+            await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
             caller = await Caller().open(address)
             caller.begin()
             assert await caller.whole() == (200, b"ok", True) and peer.connections == 2
@@ -1239,15 +1241,15 @@
 
 
 def test_a_body_does_not_become_whole_at_a_server_that_was_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(connections, "STALL_MOST", 0.2)
+    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.2)
     given_up, last = False, b"the last of it"
-    taken, write = connections.Connection._taken, IOStream.write_to_fd
+    taken, write = upstream_connection.Connection._taken, IOStream.write_to_fd
 
-    async def notes_the_end(self: connections.Connection, *args: Any) -> None:
+    async def notes_the_end(self: upstream_connection.Connection, *args: Any) -> None:
         nonlocal given_up
         try:
             await taken(self, *args)
-        except connections.NotSent:
+        except upstream_connection.NotSent:
             given_up = True
             raise
 
@@ -1264,7 +1266,7 @@
             await talk.request()
 
         async with served(takes_all) as (node, address, (peer,)):
-            monkeypatch.setattr(connections.Connection, "_taken", notes_the_end)
+            monkeypatch.setattr(upstream_connection.Connection, "_taken", notes_the_end)
             monkeypatch.setattr(IOStream, "write_to_fd", takes_the_last_once_it_is_late)
             caller = await Caller().open(address)
             caller.begin(BODY + last)
@@ -1311,17 +1313,17 @@
 
         async with served(large_to_the_end) as (node, address, (peer,)):
             caller = await Caller().open(address)
-            for _ in range(servers.LIVES_LEAST + 1):
+            for _ in range(upstream.LIVES_LEAST + 1):
                 caller.begin(b"")
                 status, body, _ = await caller.whole()
                 assert (status, body) == (200, BODY)
                 await nothing_left(node)
-                await asyncio.sleep(2 * servers.SETTLED)  # a kept connection may be used again by then
+                await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
             before = peer.connections
             for _ in range(3):
                 caller.begin()
                 assert await caller.whole() == (200, b"ok", True)
-                await asyncio.sleep(2 * servers.SETTLED)
+                await asyncio.sleep(2 * upstream.SETTLED)
             assert peer.connections == before + 1
 
     run(story())
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -15,19 +15,20 @@
 
 import pytest
 
+from notchjunction.balancing.interface import Effect, Profile, ServerEntry
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
 from notchjunction.emulator.trace import Landed, Probed, Row, Sent
 from notchjunction.emulator.world import BEGAN, World
 from notchjunction.http1.messages import Request
-from notchjunction.interface import Effect, Presence, Profile, ServerEntry
-from notchjunction.standins import links as of_links
-from notchjunction.standins.caller import Callers
-from notchjunction.standins.discovery import list_text
-from notchjunction.standins.links import CALM, Count, Impairment, LinkFault, Links
-from notchjunction.standins.process import NodeProcess
-from notchjunction.standins.server import HOST
-from notchjunction.standins.stage import Stage
+from notchjunction.testbed import links as of_links
+from notchjunction.testbed.client import Callers
+from notchjunction.testbed.discovery import list_text
+from notchjunction.testbed.links import CALM, Count, Impairment, LinkFault, Links
+from notchjunction.testbed.process import NodeProcess
+from notchjunction.testbed.server import HOST
+from notchjunction.testbed.stage import Stage
 from tests.helpers import free_address
 from tests.test_net import run
 
--- a/tests/test_roster.py
+++ b/tests/test_membership.py
@@ -14,9 +14,9 @@
 
 from notchjunction.errors import FleetError
 from notchjunction.fleet import envelope as env
-from notchjunction.fleet import roster as ros
+from notchjunction.fleet import membership as ros
 from notchjunction.fleet.envelope import Envelope, Key, Out, Sender
-from notchjunction.fleet.roster import Ack, Digest, Hello, Member, Ping, Roster, Rumour, State, Told, join
+from notchjunction.fleet.membership import Ack, Digest, Hello, Member, Ping, Roster, Rumour, State, Told, join
 
 ALIVE, SUSPECT, DEAD, LEFT = State
 KEYS = [Key(1, b"k" * 16)]
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -11,13 +11,14 @@
 
 import pytest
 
-from notchjunction import checks, terms
 from notchjunction.__main__ import main
-from notchjunction.decider import Ask, Decider, Ended, Listed, Names, Tell
-from notchjunction.interface import Effect, Group, Job, News, Presence, Result, Told
-from notchjunction.net.counters import Counters
-from notchjunction.net.talk import Talk
-from notchjunction.notes import MOST, Notes, Word, tag_of
+from notchjunction.balancing.engine import Ask, Decider, Ended, Names, Tell
+from notchjunction.balancing.interface import Effect, Group, Job, News, Result, Told
+from notchjunction.balancing.outcome_gossip import MOST, Notes, Word, tag_of
+from notchjunction.config import settings, validation
+from notchjunction.discovery.endpoints import Listed, Presence
+from notchjunction.net.gossip_socket import Talk
+from notchjunction.telemetry.counters import Counters
 from tests.helpers import PLAIN, Client, FakeHost, Peer, configuration, free_address, profile, running
 from tests.test_net import run
 
@@ -178,7 +179,7 @@
     path: str, value: Any, key: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capfd: Any
 ) -> None:
     found = beside_clients()
-    checks.check(found)
+    validation.check(found)
     *stems, last = path.split(".")
     place: Any = found
     for name in stems:
@@ -196,9 +197,9 @@
 
 
 def test_settings_alone_give_the_shape_and_sighup_does_not_change_it(tmp_path: Path) -> None:
-    old = terms.terms(7, terms.flatten(configuration()["settings"]))
+    old = settings.terms(7, settings.flatten(configuration()["settings"]))
     assert (old.beside_clients, old.may_tell, old.warm_keys, old.overage) == (False, False, False, 1.0)
-    new = terms.terms(7, terms.flatten(beside_clients()["settings"]))
+    new = settings.terms(7, settings.flatten(beside_clients()["settings"]))
     assert (new.beside_clients, new.may_tell, new.warm_keys, new.overage) == (True, True, True, 0.1)
 
     async def story() -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -19,22 +19,27 @@
 import pytest
 from tornado.iostream import IOStream
 
-from notchjunction import following
 from notchjunction.__main__ import main
-from notchjunction.following import RENEW_LEAST, Following
+from notchjunction.addresses import Address
+from notchjunction.balancing.interface import Result
+from notchjunction.config import node_config
+from notchjunction.discovery import watch_state
+from notchjunction.discovery.endpoint_list import Unusable, read_list
+from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.watch_state import RENEW_LEAST, Following
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.interface import Presence, Result
-from notchjunction.net import caller as caller_module
-from notchjunction.net import callers, discovery, ending, node_input
-from notchjunction.net.connections import Address, Connection, NotSent
-from notchjunction.net.counters import Counters
+from notchjunction.net import client_connection as caller_module
+from notchjunction.net import client_listener, discovery_client
+from notchjunction.net.body_streaming import Streams, Upload
 from notchjunction.net.descriptors import Descriptors
-from notchjunction.net.discovery import Discovery, Unusable, read_list
-from notchjunction.net.jobs import ask_of
-from notchjunction.net.logs import KeyValueFormatter, pairs
-from notchjunction.net.relay import Streams, Upload
-from notchjunction.net.servers import SETTLED, Attempt, Exchanged, Servers
+from notchjunction.net.discovery_client import Discovery
+from notchjunction.net.request_handler import ask_of
+from notchjunction.net.upstream import SETTLED, Attempt, Exchanged, Servers
+from notchjunction.net.upstream_connection import Connection, NotSent
+from notchjunction.telemetry.counters import Counters
+from notchjunction.telemetry.logs import KeyValueFormatter, pairs
+from notchjunction.upgrade import shutdown
 from tests.helpers import FULL, OK, SILENT, Client, Peer, Reply, configuration, news, rows, running
 
 PROGRAM = [sys.executable, "-m", "notchjunction"]
@@ -529,7 +534,7 @@
 
 
 def test_a_caller_who_goes_while_the_module_fails_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("notchjunction.rules.Balancer.withdrawn", broken)
+    monkeypatch.setattr("notchjunction.balancing.balancer.Balancer.withdrawn", broken)
 
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
@@ -752,7 +757,7 @@
 def test_where_lists_are_pushed_a_new_process_serves_by_the_agents_word_or_late_by_what_it_remembers(
     says: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(following, "FIRST_WITHIN", 0.2)
+    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.2)
 
     async def story() -> None:
         async with Peer() as drained, Peer() as sound:
@@ -779,7 +784,7 @@
             began = time.monotonic()
             while len(agent.requests) < 8:
                 await asyncio.sleep(0.001)
-            assert time.monotonic() - began < 8 * 2.5 * following.AGENT_PAUSE
+            assert time.monotonic() - began < 8 * 2.5 * watch_state.AGENT_PAUSE
 
     run(story())
 
@@ -908,8 +913,8 @@
 def test_a_silent_watch_is_asked_again_at_once_on_a_new_connection_and_need_not_wait(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(following, "WAIT_MOST", 0.05)
-    monkeypatch.setattr(following, "SILENT_AFTER", 0.05)
+    monkeypatch.setattr(watch_state, "WAIT_MOST", 0.05)
+    monkeypatch.setattr(watch_state, "SILENT_AFTER", 0.05)
 
     async def story() -> None:
         reply = lambda request: news(4, [], False) if "wait_ms=0" in request.target else SILENT  # noqa: E731
@@ -928,9 +933,9 @@
 def test_a_list_that_comes_slowly_is_not_silent_but_one_that_drips_is(
     pieces: int, silences: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(following, "BUSY_MOST", 0.1)
-    monkeypatch.setattr(discovery, "SILENT_AFTER", 0.1)
-    monkeypatch.setattr(discovery, "DRIP_MOST", 0.5)
+    monkeypatch.setattr(watch_state, "BUSY_MOST", 0.1)
+    monkeypatch.setattr(discovery_client, "SILENT_AFTER", 0.1)
+    monkeypatch.setattr(discovery_client, "DRIP_MOST", 0.5)
     text = news(2, [])[0]
 
     calls = 0
@@ -954,7 +959,7 @@
 
 
 def test_calls_wait_no_longer_however_many_were_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(following, "WAIT_SPREAD", 0.0)
+    monkeypatch.setattr(watch_state, "WAIT_SPREAD", 0.0)
 
     async def story() -> None:
         async with Peer((answer(b"503 Busy"), "keep")) as teller:
@@ -1026,11 +1031,13 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # However slow the machine is, none of the first seven has stood for so long that it makes room.
-    monkeypatch.setattr(callers, "SILENT_SPARED", 60.0)
-    monkeypatch.setattr(callers, "IDLE_SPARED", 60.0)
+    monkeypatch.setattr(client_listener, "SILENT_SPARED", 60.0)
+    monkeypatch.setattr(client_listener, "IDLE_SPARED", 60.0)
     # Nor is one that is about to ask taken for silent: the silent three go as the second of the refused ends.
-    monkeypatch.setattr(callers, "SILENT_PRESSED", 0.9 * caller_module.REFUSED_WITHIN)
-    monkeypatch.setattr(callers, "ROOM_WITHIN", 5.0)  # and that is when there is room for who comes last
+    monkeypatch.setattr(client_listener, "SILENT_PRESSED", 0.9 * caller_module.REFUSED_WITHIN)
+    monkeypatch.setattr(
+        client_listener, "ROOM_WITHIN", 5.0
+    )  # and that is when there is room for who comes last
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -1064,7 +1071,7 @@
 def test_where_descriptors_are_short_a_caller_with_no_request_open_makes_room(
     spared: str, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(callers, spared, 0.0)
+    monkeypatch.setattr(client_listener, spared, 0.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -1222,7 +1229,7 @@
 def test_a_draining_node_serves_on_callers_that_stay_and_takes_no_job_past_its_own_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(ending, "ANSWER_SHARE", 0.8)
+    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 0.8)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -1249,7 +1256,7 @@
         '"limits":{"sockets":64},"known":{"index":4,"snapshot":true,"endpoints":[]},'
         '"settings":{"localities":["x","y"],"limits":{"connect_timeout":75.0},"report":{"fields":["q"]}}}'
     )
-    told = node_input.read({"GW_CONFIG": str(file), "GW_LISTEN": "127.0.0.2:81"})
+    told = node_config.read({"GW_CONFIG": str(file), "GW_LISTEN": "127.0.0.2:81"})
     assert (told.name, told.listen, told.discovery) == ("n3", ("127.0.0.2", 81), ("::1", 85))
     assert (told.terms.seed, told.terms.must_follow, told.known) == (0x8C1F30D27A5BE964, True, None)
     assert (told.sockets, told.connect_within, told.load_path) == (64, 0.075, "/status/load")
@@ -1262,7 +1269,7 @@
     file = tmp_path / "told.json"
     told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "known": known}
     file.write_text(json.dumps(told))
-    assert node_input.read({"GW_CONFIG": str(file)}).known is None
+    assert node_config.read({"GW_CONFIG": str(file)}).known is None
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"name":"n","listen":"x","discovery":"y"}'])
@@ -1297,8 +1304,8 @@
     before = signal.getsignal(signal.SIGUSR1)
     monkeypatch.setattr("sys.argv", ["notchjunction"])
     monkeypatch.setattr("os.environ", {})
-    monkeypatch.setattr("notchjunction.net.logs.start", lambda _: None)
-    monkeypatch.setattr(node_input, "read", early)
+    monkeypatch.setattr("notchjunction.telemetry.logs.start", lambda _: None)
+    monkeypatch.setattr(node_config, "read", early)
     try:
         assert main() == 2
     finally:
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from notchjunction.interface import News
-from notchjunction.net import management
-from notchjunction.net import node as node_module
+from notchjunction.balancing.interface import News
+from notchjunction.discovery.endpoint_list import read_list
+from notchjunction.net import admin
+from notchjunction.net.admin import Management
 from notchjunction.net.descriptors import OWN
-from notchjunction.net.discovery import read_list
-from notchjunction.net.management import Management
-from notchjunction.net.node import Node
-from notchjunction.net.servers import Servers
-from notchjunction.net.service_state import TABLE, Effect, Input, ServiceState, State
+from notchjunction.net.upstream import Servers
+from notchjunction.node import node as node_module
+from notchjunction.node.node import Node
+from notchjunction.upgrade.serving_state import TABLE, Effect, Input, ServiceState, State
 from tests.helpers import OK, SILENT, Client, Peer, Reply, call, free_address, rows, running
 from tests.test_net import run
 
@@ -83,14 +83,14 @@
             mgmt = free_address()
             async with running(peer, mgmt=mgmt) as (node, _):
                 silent = []
-                for _ in range(3 * management.CALLS_MOST):
+                for _ in range(3 * admin.CALLS_MOST):
                     silent.append(await asyncio.open_connection(*mgmt))
                     silent[-1][1].write(wire)
                 began = time.monotonic()
                 for _ in range(3):
                     assert await call(mgmt, "GET", "/control/ready") == 200
                 assert time.monotonic() - began < 1.0
-                assert len(node._management._calls) <= management.CALLS_MOST
+                assert len(node._management._calls) <= admin.CALLS_MOST
                 for _, writer in silent:
                     writer.close()
 
@@ -102,9 +102,9 @@
     call_is: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """More of what it sends comes in that moment; while a call is under way, the new one is given up."""
-    monkeypatch.setattr(management, "CALLS_MOST", 1)
-    monkeypatch.setattr(management, "LINGER_WITHIN", 60.0)
-    monkeypatch.setattr(management, "ANSWERED_WITHIN", 60.0)
+    monkeypatch.setattr(admin, "CALLS_MOST", 1)
+    monkeypatch.setattr(admin, "LINGER_WITHIN", 60.0)
+    monkeypatch.setattr(admin, "ANSWERED_WITHIN", 60.0)
     accept = Management._accept
     crossing: list[socket.socket] = []
 
@@ -211,7 +211,7 @@
 def test_a_call_that_does_not_end_holds_up_the_nodes_end_for_a_moment_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(management, "ANSWERED_WITHIN", 60.0)
+    monkeypatch.setattr(admin, "ANSWERED_WITHIN", 60.0)
 
     async def story() -> None:
         mgmt = free_address()
@@ -254,7 +254,7 @@
 
 
 def test_a_call_that_never_ends_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(management, "CALL_WITHIN", 0.05)
+    monkeypatch.setattr(admin, "CALL_WITHIN", 0.05)
 
     async def story() -> None:
         async with Peer() as peer:
--- a/tests/test_permits.py
+++ b/tests/test_preconditions.py
@@ -10,12 +10,11 @@
 
 import pytest
 
-from notchjunction.interface import Effect, Result
-from notchjunction.invariants import LATE_ANSWER, TOLD_SLACK, RequestLedger, Violation
-from notchjunction.net import words
-from notchjunction.net.flight_recorder import ENTRIES_MOST, REPORTS_MOST, FlightRecorder, Occurrence
-from notchjunction.net.observed_loop import ObservedLoop
-from notchjunction.permits import (
+from notchjunction import protocol
+from notchjunction.balancing.interface import Effect, Result
+from notchjunction.net.event_loop import ObservedLoop
+from notchjunction.safety.invariants import LATE_ANSWER, TOLD_SLACK, RequestLedger, Violation
+from notchjunction.safety.preconditions import (
     HELD_UP,
     TOLD_LEAST,
     WAY_MOST,
@@ -29,6 +28,7 @@
     may_write,
     time_to_tell,
 )
+from notchjunction.telemetry.flight_recorder import ENTRIES_MOST, REPORTS_MOST, FlightRecorder, Occurrence
 from tests.helpers import Peer, RawClient, running
 
 SOUND = AttemptFacts(now=10.0, expires_at=11.0, stands=True, caller_there=True, listed=True)
@@ -181,7 +181,7 @@
             async with asyncio.timeout(2):
                 while len(peer.requests) < 1 + kept:
                     await asyncio.sleep(0.01)
-            told = int(peer.requests[-1].headers[words.TIME_LEFT]) / 1000
+            told = int(peer.requests[-1].headers[protocol.TIME_LEFT]) / 1000
             assert 1.3 < told <= 1.6 + 0.01  # of 2 s
 
     with asyncio.Runner(loop_factory=LateLoop) as runner:
--- a/tests/test_limits.py
+++ b/tests/test_quotas.py
@@ -15,10 +15,10 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchjunction.fleet import limits as module
+from notchjunction.fleet import quotas as module
 from notchjunction.fleet.envelope import Out, Sender
-from notchjunction.fleet.limits import ASK_WITHIN, Limits, NotSettled, OtherSplit, Permit, Phase, Plan, Split
-from notchjunction.fleet.worlds import Move, World, explore, walk
+from notchjunction.fleet.exploration import Move, World, explore, walk
+from notchjunction.fleet.quotas import ASK_WITHIN, Limits, NotSettled, OtherSplit, Permit, Phase, Plan, Split
 
 DRIFT = 0.05
 TWO = Plan("l", Split(1, {"a": 1, "b": 1}))
--- a/tests/test_redial.py
+++ b/tests/test_reconnect.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from notchjunction.net import servers
-from notchjunction.net.connections import Connection, NotSent
+from notchjunction.net import upstream
+from notchjunction.net.upstream_connection import Connection, NotSent
 from tests.helpers import SILENT, Client, Peer, running
 
 
@@ -55,7 +55,7 @@
             held.release.set()
             await held.came_up.wait()
             await settle(lambda: node.counters.read()["connections_idle"] == 2)
-            await asyncio.sleep(2 * servers.SETTLED)
+            await asyncio.sleep(2 * upstream.SETTLED)
             server.reply = SILENT
             other = await Client().open(listen)
             client.ask()
@@ -73,7 +73,7 @@
 def test_what_never_comes_up_or_is_refused_gives_every_descriptor_back(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(servers, "LATE_WITHIN", 0.05)
+    monkeypatch.setattr(upstream, "LATE_WITHIN", 0.05)
 
     async def story() -> None:
         held = Held(monkeypatch, lambda number: how)
@@ -102,7 +102,7 @@
                 client.ask()
             assert [(await client.answer()).status for client in clients] == [503] * 4
             assert len(held.opened) == 8
-            assert len(node._servers._late["s0"]) <= servers.LATE_MOST
+            assert len(node._servers._late["s0"]) <= upstream.LATE_MOST
             node._servers.point({})
             held.release.set()
             await settle(lambda: not node._servers._late)
--- a/tests/test_retune.py
+++ b/tests/test_reload.py
@@ -12,10 +12,10 @@
 
 import pytest
 
-from notchjunction import checks
 from notchjunction.__main__ import main
-from notchjunction.decider import Names, Send, TurnBack, WriteOff
-from notchjunction.interface import Effect, Result
+from notchjunction.balancing.engine import Names, Send, TurnBack, WriteOff
+from notchjunction.balancing.interface import Effect, Result
+from notchjunction.config import validation
 from tests.helpers import (
     PLAIN,
     SILENT,
@@ -27,7 +27,7 @@
     profile,
     running,
 )
-from tests.test_decider import NUMBERED, ONCE, SAFE, Story
+from tests.test_engine import NUMBERED, ONCE, SAFE, Story
 from tests.test_net import run
 
 Change = Callable[[dict[str, Any]], None]
@@ -93,37 +93,37 @@
     before = configuration()
     found = copy.deepcopy(before)
     change(found)
-    with pytest.raises(checks.Unfit) as refused:
-        checks.check(found, before)
+    with pytest.raises(validation.Unfit) as refused:
+        validation.check(found, before)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
 
 
 def test_all_errors_are_named_at_once_and_a_sound_file_has_none() -> None:
     before = configuration()
-    checks.check(before, before)
+    validation.check(before, before)
     found = copy.deepcopy(before)
     for change, _ in BROKEN[:1] + BROKEN[6:7] + BROKEN[10:11] + BROKEN[16:17]:
         change(found)
-    with pytest.raises(checks.Unfit) as refused:
-        checks.check(found, before)
+    with pytest.raises(validation.Unfit) as refused:
+        validation.check(found, before)
     assert len(refused.value.errors) == 4
     more = copy.deepcopy(before)
     more["settings"]["profiles"].append({**first(more), "name": "new", "effect": "once", "window": 5})
     more["settings"]["limits"]["max_dispatches"] = 1
-    checks.check(more, before)
+    validation.check(more, before)
 
 
 @pytest.mark.parametrize("text", ["", " \n", "[]", "7", "[" * 100000, '{"a": }'])
 def test_what_is_no_object_is_refused(text: str) -> None:
-    with pytest.raises(checks.Unfit):
-        checks.parse(text)
+    with pytest.raises(validation.Unfit):
+        validation.parse(text)
 
 
 def test_a_file_cut_anywhere_is_refused() -> None:
     text = json.dumps(configuration())
     for end in range(len(text)):
-        with pytest.raises(checks.Unfit):
-            checks.check(checks.parse(text[:end]), configuration())
+        with pytest.raises(validation.Unfit):
+            validation.check(validation.parse(text[:end]), configuration())
 
 
 def retune(story: Story, attempts: int = 5, **profiles: Any) -> None:
--- a/tests/test_ending.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from notchjunction.net.ending import Effect, Ending, Phase
+from notchjunction.upgrade.shutdown import Effect, Ending, Phase
 
 Look = tuple[float, bool, int]  # s since SIGTERM, whether another process follows, callers
 Do = Effect
@@ -14,7 +14,7 @@
 
 @pytest.fixture(autouse=True)
 def _half_for_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("notchjunction.net.ending.ANSWER_SHARE", 0.5)  # of 2.4 s
+    monkeypatch.setattr("notchjunction.upgrade.shutdown.ANSWER_SHARE", 0.5)  # of 2.4 s
 
 
 def story(*looks: Look) -> list[Effect]:
--- a/tests/test_cold_ramp.py
+++ b/tests/test_slow_start.py
@@ -1,6 +1,6 @@
 """What all nodes together push on cold servers, in drawn fleets; servers are simulated.
 
-`python -m tests.test_cold_ramp FIRST LAST` plays so many drawn fleets and prints how near they come.
+`python -m tests.test_slow_start FIRST LAST` plays so many drawn fleets and prints how near they come.
 """
 
 from __future__ import annotations
@@ -13,15 +13,15 @@
 
 import pytest
 
-from notchjunction.clearing import Take
+from notchjunction.balancing.balancer import Balancer
+from notchjunction.balancing.interface import Effect, Profile
+from notchjunction.balancing.records import Server
+from notchjunction.balancing.throughput import Take
 from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
 from notchjunction.emulator.node import Make, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.trace import Answered, Final, Pushed, Story
 from notchjunction.emulator.world import World
-from notchjunction.interface import Effect, Profile
-from notchjunction.records import Server
-from notchjunction.rules import Balancer
 from tests.helpers import FakeHost
 
 CALM = 11.0  # s before anything starts cold: over the span that a node learns its traffic from
--- a/tests/test_starts.py
+++ b/tests/test_start_times.py
@@ -7,9 +7,10 @@
 
 import pytest
 
-from notchjunction.decider import Ask, Decider, Listed, Names, Send, TurnBack, WriteOff
-from notchjunction.interface import Effect, News, Presence, Profile, Terms
-from notchjunction.starts import KEPT_MOST, LISTED_LATE, Starts
+from notchjunction.balancing.engine import Ask, Decider, Names, Send, TurnBack, WriteOff
+from notchjunction.balancing.interface import Effect, News, Profile, Terms
+from notchjunction.discovery.endpoints import Listed, Presence
+from notchjunction.discovery.start_times import KEPT_MOST, LISTED_LATE, Starts
 
 HOUR = 3600.0
 NOW = 1_000_000.0  # s on the node's clock, which was set by the wall clock as the node started
--- a/tests/test_standins.py
+++ b/tests/test_testbed.py
@@ -15,21 +15,22 @@
 
 import pytest
 
+from notchjunction import protocol
+from notchjunction.addresses import Address
+from notchjunction.balancing.interface import Effect, Profile, ServerEntry
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.servers import Server
 from notchjunction.emulator.trace import Answered, Final, Left, Ran, Taken, Told
+from notchjunction.experiments.cli import on_sockets, unaccounted
 from notchjunction.http1.messages import Request
-from notchjunction.interface import Effect, Presence, Profile, ServerEntry
-from notchjunction.lab.cli import on_sockets, unaccounted
-from notchjunction.net import words
-from notchjunction.net.connections import Address
-from notchjunction.standins import process
-from notchjunction.standins.caller import Callers
-from notchjunction.standins.clock import LoopClock
-from notchjunction.standins.discovery import DiscoveryStandIn
-from notchjunction.standins.server import HOST, ServerStandIn
-from notchjunction.standins.stage import Stage, breaches
+from notchjunction.testbed import process
+from notchjunction.testbed.client import Callers
+from notchjunction.testbed.clock import LoopClock
+from notchjunction.testbed.discovery import DiscoveryStandIn
+from notchjunction.testbed.server import HOST, ServerStandIn
+from notchjunction.testbed.stage import Stage, breaches
 from tests.test_net import run
 
 SMALL = Scenario(
@@ -48,8 +49,8 @@
     standin.close()
 
 
-def job(work: float = 0.01, path: str = words.JOBS) -> Request:
-    headers = {"host": "a", words.JOB_ID: "j", words.PROFILE: "p0", words.TIME_LEFT: "2000"}
+def job(work: float = 0.01, path: str = protocol.JOBS) -> Request:
+    headers = {"host": "a", protocol.JOB_ID: "j", protocol.PROFILE: "p0", protocol.TIME_LEFT: "2000"}
     return Request("GET", f"{path}?work={work}", headers)
 
 
@@ -201,8 +202,8 @@
 
 
 DEAF = """
-from notchjunction.interface import News
-from notchjunction.net.node import Node
+from notchjunction.balancing.interface import News
+from notchjunction.node.node import Node
 hears = Node._hear
 Node._hear = lambda self, news, kind: hears(self, news, kind) if kind is News.REMEMBERED else None
 from notchjunction.__main__ import main
@@ -225,7 +226,7 @@
 
 
 WAITING = """
-from notchjunction.following import Following
+from notchjunction.discovery.watch_state import Following
 Following.begins = lambda self, now, wait: 1000.0
 from notchjunction.__main__ import main
 main()
@@ -253,7 +254,7 @@
 
 
 LOYAL = """
-from notchjunction.net.jobs import Job
+from notchjunction.net.request_handler import Job
 Job.withdraw = lambda self: None
 Job._caller_there = lambda self: True
 from notchjunction.__main__ import main
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -18,10 +18,10 @@
 
 import pytest
 
-from notchjunction.net import ending, handover
-from notchjunction.net.connections import Address
+from notchjunction.addresses import Address
 from notchjunction.net.descriptors import OWN, SHORT_PAUSE
-from notchjunction.net.node import Node
+from notchjunction.node.node import Node
+from notchjunction.upgrade import handover, shutdown
 from tests.helpers import (
     OK,
     SILENT,
@@ -351,8 +351,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It has stopped letting callers in, and still holds a job; nobody else is left at the address."""
-    monkeypatch.setattr(ending, "KILL_AFTER", 8.0)
-    monkeypatch.setattr(ending, "ANSWER_SHARE", 0.1)
+    monkeypatch.setattr(shutdown, "KILL_AFTER", 8.0)
+    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 0.1)
 
     async def story() -> None:
         mgmt2, mgmt3 = free_address(), free_address()
--- a/tests/test_following.py
+++ b/tests/test_watch_state.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from notchjunction.following import (
+from notchjunction.discovery.watch_state import (
     AGENT_PAUSE,
     CROWD_DOUBTED,
     CROWD_MOST,
@@ -93,7 +93,7 @@
     told_by: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr("notchjunction.following.WAIT_SPREAD", 0.0)
+    monkeypatch.setattr("notchjunction.discovery.watch_state.WAIT_SPREAD", 0.0)
     assert follow(ask_within, events, pushed).told_by() == pytest.approx(told_by)
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -14,6 +14,8 @@
 
 import pytest
 
+from notchjunction.balancing.interface import Effect, Group, Profile, Result
+from notchjunction.discovery.endpoints import Presence
 from notchjunction.emulator.checkers import breaches
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.node import NO_TRY, Link, Links
@@ -21,9 +23,8 @@
 from notchjunction.emulator.servers import Call, Numbers, Server
 from notchjunction.emulator.trace import Answered, Final, Published, Reached, Row, Sent, Taken, Told
 from notchjunction.emulator.world import World
-from notchjunction.interface import Effect, Group, Presence, Profile, Result
-from notchjunction.lab.baselines import VARIANTS
-from notchjunction.lab.runs import figures
+from notchjunction.experiments.baselines import VARIANTS
+from notchjunction.experiments.runs import figures
 
 CALM = Scenario("calm", length=12.0)
 TIERS = (Tier(4, 0.3), Tier(5, 0.3), Tier(6, 0.4, calls=1.3))
