--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -14,7 +14,7 @@
 import time
 from random import Random
 
-from notchjunction.fleet.agent import Datagram, FleetInput, Member, Scope
+from notchjunction.fleet.agent import Datagram, FleetAgent, FleetConfig, Scope
 from notchjunction.fleet.envelope import Key
 from notchjunction.fleet.quotas import Permit, Plan, Split
 
@@ -40,8 +40,8 @@
         key = (Key(1, b"k" * 32),)
         self.members = {}
         for number, name in enumerate(names):
-            told = FleetInput(name, name, ("n0", "n1", "n2"), key, 0.01, 1.0, plans, scopes)
-            self.members[name] = Member(name, 1000 + number, told, 1.0, number, 0.0)
+            told = FleetConfig(name, name, ("n0", "n1", "n2"), key, 0.01, 1.0, plans, scopes)
+            self.members[name] = FleetAgent(name, 1000 + number, told, 1.0, number, 0.0)
         self.order = itertools.count()
         self.due: list[tuple[float, int, str, str, bytes]] = []
 
--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -17,10 +17,10 @@
 from pathlib import Path
 from statistics import median
 
-from notchjunction.balancing.interface import Effect, Profile
+from notchjunction.balancing.interface import Idempotency, RequestClass
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.fleet.envelope import Sender
-from notchjunction.fleet.quotas import Grant, Limits, Phase, Plan, Split, Standing
+from notchjunction.fleet.quotas import Grant, Phase, Plan, Quotas, Split, Standing
 from notchjunction.testbed.fleet_stage import FleetPart, FleetStage
 from notchjunction.testbed.links import Links
 from notchjunction.testbed.stage import Stage
@@ -61,7 +61,7 @@
 def rights(owned: int, lent: int) -> float:
     """A right that is spent, looked at again and given back: an own one, or a borrowed one."""
     plan = Plan("l", Split(1, {"a": owned, "b": 8 - owned}))
-    limits = Limits(Sender("a", 1), [plan], 0.01, 1.0, 1, 0.0)
+    limits = Quotas(Sender("a", 1), [plan], 0.01, 1.0, 1, 0.0)
     limits.hear(1.0, Sender("b", 1), Standing("l", 1, Phase.GROWN, False))
     limits.tick(100.0)
     if lent:
@@ -87,7 +87,7 @@
 
 async def node_cpu(fleet: bool) -> float:
     """Microseconds of a node's processor time for a job, beside two others that only own rights."""
-    profile = Profile(0.5, 1.0, 1.0, 0.0, Effect.REISSUABLE)
+    profile = RequestClass(0.5, 1.0, 1.0, 0.0, Idempotency.IDEMPOTENT)
     streams = (Stream(0, RATE, work=0.02),)
     scenario = Scenario("cost", nodes=1, servers=8, length=SECONDS, profiles=(profile,), streams=streams)
     used: list[float] = []
--- a/notchjunction/__main__.py
+++ b/notchjunction/__main__.py
@@ -34,7 +34,7 @@
 LATE = {signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT}
 
 
-async def serve(told: node_config.NodeInput) -> None:
+async def serve(told: node_config.NodeConfig) -> None:
     await Node(told).run()
     # Guards against another end than 0: the loop's close takes the node's handlers away.
     signal.pthread_sigmask(signal.SIG_BLOCK, LATE)
@@ -43,8 +43,8 @@
 def check(file: str) -> int:
     """Whether a node in service would take the file at SIGHUP, as far as the file alone tells."""
     try:
-        validation.check(validation.parse(Path(file).read_text(encoding="utf-8")))
-    except validation.Unfit as unfit:
+        validation.validate(validation.parse(Path(file).read_text(encoding="utf-8")))
+    except validation.InvalidConfiguration as unfit:
         for error in unfit.errors:
             print(f"{file}: {error}")
         return 1
@@ -65,13 +65,13 @@
     if asked.check is not None:
         return check(asked.check)
     try:
-        told = node_config.read(os.environ)
-    except validation.Unfit as unfit:
+        told = node_config.load_config(os.environ)
+    except validation.InvalidConfiguration as unfit:
         for each in unfit.errors:
-            log.error("unfit configuration", extra=logs.pairs(why=each))
+            log.error("invalid configuration", extra=logs.pairs(why=each))
         return 2
     except (OSError, KeyError, ValueError, TypeError, AttributeError) as error:
-        log.error("no usable input", extra=logs.pairs(why=repr(error)))
+        log.error("unusable input", extra=logs.pairs(why=repr(error)))
         return 2
     try:
         with asyncio.Runner(loop_factory=ObservedLoop) as runner:
--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -19,22 +19,32 @@
 from typing import Any, NamedTuple
 
 from notchjunction.balancing.interface import (
-    Effect,
-    Group,
-    Host,
-    Job,
-    Load,
-    News,
-    Outcome,
-    Profile,
-    Result,
-    ServerEntry,
-    Terms,
-    Told,
+    AttemptOutcome,
+    AttemptResult,
+    BalancerHost,
+    BalancerSettings,
+    DeduplicationScope,
+    EndpointEntry,
+    Idempotency,
+    ListUpdate,
+    LoadReport,
+    NewRequest,
+    PeerOutcome,
+    RequestClass,
 )
-from notchjunction.balancing.records import LAST_FEW, Dispatch, End, Held, Input, Server, State, Usual, middle
-from notchjunction.balancing.throughput import Clearing, Take
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.records import (
+    LAST_FEW,
+    Attempt,
+    Endpoint,
+    PendingRequest,
+    RecentOutcome,
+    RequestEvent,
+    RequestState,
+    TypicalLatencies,
+    median,
+)
+from notchjunction.balancing.throughput import ServedRate, ThroughputEstimate
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import renewal_pause
 
 # Constants: unit, and why this size.
@@ -83,216 +93,234 @@
 ADVICE_LEAST = 0.25  # s a turned back client is asked to wait at least
 
 
-class Row(NamedTuple):
-    state: State
-    input: Input
-    when: Callable[[Balancer, Held], bool]
-    then: State
-    effect: Callable[[Balancer, Held], None]
+class Transition(NamedTuple):
+    state: RequestState
+    event: RequestEvent
+    condition: Callable[[Balancer, PendingRequest], bool]
+    next_state: RequestState
+    action: Callable[[Balancer, PendingRequest], None]
 
 
 class Balancer:
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         self._host = host
         self._random = Random(terms.seed)
-        self._servers: dict[int, Server] = {}
+        self._servers: dict[int, Endpoint] = {}
         self._barred: dict[int, float] = {}
-        self._ready: list[Server] = []
+        self._ready: list[Endpoint] = []
         # Of the ready ones, those that a look at all of them would find: a large fleet has few such.
-        self._cold: list[Server] = []  # may still be cold
-        self._linked_lately: dict[Server, None] = {}  # may have an open connection of this node
-        self._resting: dict[Server, None] = {}  # may be set aside
-        self._waited: deque[tuple[float, Server]] = deque()  # probed within the span that such a wait counts
-        self._owed: list[Server] = []
-        self._pool: deque[Server] = deque(maxlen=POOL_MOST)
-        self._ends: deque[End] = deque(maxlen=LAST_ALL)
-        self._held: dict[int, Held] = {}
-        self._flying: dict[tuple[int, int], Dispatch] = {}
-        self._queue: list[Held] = []
+        self._cold: list[Endpoint] = []  # may still be cold
+        self._linked_lately: dict[Endpoint, None] = {}  # may have an open connection of this node
+        self._resting: dict[Endpoint, None] = {}  # may be set aside
+        self._waited: deque[tuple[float, Endpoint]] = (
+            deque()
+        )  # probed within the span that such a wait counts
+        self._owed: list[Endpoint] = []
+        self._pool: deque[Endpoint] = deque(maxlen=POOL_MOST)
+        self._ends: deque[RecentOutcome] = deque(maxlen=LAST_ALL)
+        self._held: dict[int, PendingRequest] = {}
+        self._flying: dict[tuple[int, int], Attempt] = {}
+        self._queue: list[PendingRequest] = []
         self._firsts: deque[tuple[float]] = deque()
         self._retries: deque[tuple[float]] = deque()
-        self._recent: deque[Dispatch] = deque()
-        self._own: deque[tuple[float, End]] = deque(maxlen=TOLD_MOST)
+        self._recent: deque[Attempt] = deque()
+        self._own: deque[tuple[float, RecentOutcome]] = deque(maxlen=TOLD_MOST)
         self._notes: deque[tuple[float]] = deque()
-        self._clearing, self._take = Clearing(host.now()), Take(host.now())
+        self._clearing, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
         self._links: deque[tuple[float, bool]] = deque(maxlen=LAST_FEW)
         self._spent: dict[int, deque[float]] = {}
         self._lefts: dict[int, deque[tuple[float, bool]]] = {}
-        self.retuned(terms, dict(enumerate(terms.profiles)))
+        self.settings_changed(terms, dict(enumerate(terms.request_classes)))
         self._unprobed = self._failures = self._owns = self._token = self._warm = self._able = 0
         self._odd_probe = self._turn_due = False
         self._timers: dict[int, Callable[[], None]] = {}
-        self._usual_until, self._usual_now = -math.inf, Usual(1.0, 1.0, 0.001)
-        self._passed_over: list[Server] = []
-        if terms.must_follow:
-            host.follow()
+        self._usual_until, self._usual_now = -math.inf, TypicalLatencies(1.0, 1.0, 0.001)
+        self._passed_over: list[Endpoint] = []
+        if terms.polls_list:
+            host.poll_list()
         self._after(self._random.uniform(0, PROBE_SPAN), self._probe_on)
 
     # What the host calls.
 
-    def heard(self, told: Sequence[Told]) -> None:
+    def gossip_received(self, told: Sequence[PeerOutcome]) -> None:
         """Outcomes that a peer tells of: they make this node careful, and open or prove nothing."""
         now = self._host.now()
         self._notes.append((now,))
         for word in told:
-            server, at = self._servers.get(word.server), now - word.ago
+            server, at = self._servers.get(word.endpoint), now - word.age
             # Guards against judging a server by what it was before its start, or by older than own news.
-            if server is None or word.ago > TOLD_SPAN or at <= max(server.entry.started_at, server.own_at):
+            if (
+                server is None
+                or word.age > TOLD_SPAN
+                or at <= max(server.entry.started_at, server.last_own_outcome_at)
+            ):
                 continue
-            if word.good:
-                server.heard_at = max(server.heard_at, at)
-                self._clearing.timed(word.seconds, now)
-            self._learned(server, word.good, word.seconds, now)
+            if word.success:
+                server.last_response_at = max(server.last_response_at, at)
+                self._clearing.record_latency(word.seconds, now)
+            self._learned(server, word.success, word.seconds, now)
 
-    def _tell_on(self, server: Server, good: bool, seconds: float, now: float) -> None:
-        self._own.appendleft((now, End(server, good, seconds)))
+    def _tell_on(self, server: Endpoint, good: bool, seconds: float, now: float) -> None:
+        self._own.appendleft((now, RecentOutcome(server, good, seconds)))
         self._owns += 1
-        if self._terms.may_tell and self._terms.nodes > 1:
-            peer = self._random.randrange(self._terms.nodes - 1)
-            told = [Told(end.server.entry.server, now - at, end.good, end.seconds) for at, end in self._own]
-            self._host.tell(peer + (peer >= self._terms.me), self._owns, told)
-
-    def retuned(self, terms: Terms, profiles: Mapping[int, Profile]) -> None:
+        if self._terms.gossips and self._terms.node_count > 1:
+            peer = self._random.randrange(self._terms.node_count - 1)
+            told = [
+                PeerOutcome(end.endpoint.entry.number, now - at, end.success, end.latency)
+                for at, end in self._own
+            ]
+            self._host.send_gossip(peer + (peer >= self._terms.node_index), self._owns, told)
+
+    def settings_changed(self, terms: BalancerSettings, profiles: Mapping[int, RequestClass]) -> None:
         """The terms for what comes from now on; what was learned of servers stays."""
         self._terms = terms
         self._profiles = dict(profiles)
-        self._deepest = terms.depth is not None and terms.depth == terms.depths - 1
-        tiers_left = terms.depths - terms.depth if terms.depth is not None else 1
-        self._hold_share = HOLD_SHARE * tiers_left / max(1, terms.depths)
+        self._deepest = terms.tier is not None and terms.tier == terms.tier_count - 1
+        tiers_left = terms.tier_count - terms.tier if terms.tier is not None else 1
+        self._hold_share = HOLD_SHARE * tiers_left / max(1, terms.tier_count)
         # The first tier alone: what a deeper one turns away has had work spent on it above.
-        self._calm_times = math.inf if terms.depth else CALM_TIMES
-        self._young_share = YOUNG_SHARE * tiers_left / max(1, terms.depths)
-        self._quotas = () if terms.depth else terms.operator_quotas  # the first tier's matter
+        self._calm_times = math.inf if terms.tier else CALM_TIMES
+        self._young_share = YOUNG_SHARE * tiers_left / max(1, terms.tier_count)
+        self._quotas = () if terms.tier else terms.tenant_quotas  # the first tier's matter
         self._asked: list[deque[tuple[float]]] = [deque() for _ in self._quotas]
-        self._revenue = sum(profile.revenue for profile in profiles.values()) / max(1, len(profiles)) or 1.0
-        self._contract = min((profile.contract_time for profile in profiles.values()), default=1.0)
+        self._revenue = (
+            sum(profile.priority_weight for profile in profiles.values()) / max(1, len(profiles)) or 1.0
+        )
+        self._contract = min((profile.latency_objective for profile in profiles.values()), default=1.0)
         # Guards against a contract time that ends before several usual ones.
-        self._patience_most = OVERDUE_SHARE * self._contract if terms.beside_clients else math.inf
+        self._patience_most = OVERDUE_SHARE * self._contract if terms.sidecar else math.inf
         self._find_cold()
-        self._near_slack = 1.0 + NEAR_WORTH * terms.crossing_price
+        self._near_slack = 1.0 + NEAR_WORTH * terms.cross_zone_cost
         self._guard = GUARD_TICKS * terms.tick
         # What was learned of a profile goes with it; a job that is held still knows its own.
         self._spent = {index: self._spent.get(index, deque(maxlen=16)) for index in profiles}
         self._lefts = {index: self._lefts.get(index, deque(maxlen=32)) for index in profiles}
 
-    def take(self, job: Job) -> None:
+    def request_arrived(self, job: NewRequest) -> None:
         now = self._host.now()
-        profile = self._profiles.get(job.profile, UNKNOWN_PROFILE)
+        profile = self._profiles.get(job.request_class, UNKNOWN_PROFILE)
         age = self._age(job, profile, now)
-        contract_end = now - age + min(profile.contract_time, profile.abandon_time)
-        past_share, key = self._past_share(job.operator, now), job.key if self._terms.warm_keys else ""
-        most, end = self._terms.max_dispatches, now + job.time_left
-        held = Held(job.id, job.profile, profile, most, now, contract_end, end, past_share, job.whole, key)
+        contract_end = now - age + min(profile.latency_objective, profile.deadline)
+        past_share, key = (
+            self._past_share(job.tenant, now),
+            job.affinity_key if self._terms.key_affinity else "",
+        )
+        most, end = self._terms.max_attempts, now + job.time_left
+        held = PendingRequest(
+            job.id, job.request_class, profile, most, now, contract_end, end, past_share, job.complete, key
+        )
         self._held[job.id] = held
-        if job.whole:
+        if job.complete:
             self._count_time(held, now)
-        self._step(held, Input.ARRIVED)
+        self._step(held, RequestEvent.ARRIVED)
 
-    def _count_time(self, held: Held, now: float) -> None:
+    def _count_time(self, held: PendingRequest, now: float) -> None:
         # Guards against a job left unanswered when nothing else happens before its abandon time.
-        left = held.abandon_end - now
-        self._after(max(left - self._guard, left / 2), lambda: self._tell(held.id, Input.LAST_CALL))
+        left = held.deadline_at - now
+        self._after(
+            max(left - self._guard, left / 2), lambda: self._tell(held.id, RequestEvent.DEADLINE_NEAR)
+        )
 
-    def whole(self, job: int, most: float = math.inf) -> None:
+    def body_completed(self, job: int, most: float = math.inf) -> None:
         """A large job's last byte has come: its time and load count from now, and it is not sent again."""
         held, now = self._held.get(job), self._host.now()
-        if held is not None and not held.whole:
-            held.contract_end += now - held.taken_at
-            held.abandon_end = min(held.abandon_end + now - held.taken_at, now + most)
-            held.whole, held.most = True, 0
-            for dispatch in held.sent:
-                if dispatch.out:
+        if held is not None and not held.complete:
+            held.objective_at += now - held.arrived_at
+            held.deadline_at = min(held.deadline_at + now - held.arrived_at, now + most)
+            held.complete, held.max_attempts = True, 0
+            for dispatch in held.attempts:
+                if dispatch.in_flight:
                     self._fly(dispatch, now)
             self._count_time(held, now)
 
-    def outcome(self, outcome: Outcome) -> None:
-        dispatch = self._flying.pop((outcome.job, outcome.dispatch), None)
+    def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        dispatch = self._flying.pop((outcome.request, outcome.attempt), None)
         if dispatch is None:
             return
         now = self._host.now()
-        dispatch.out = False
+        dispatch.in_flight = False
         dispatch.may_have_run = outcome.result not in NEVER_RAN
         self._landed(dispatch)
         if outcome.result not in UNHEARD:
-            dispatch.server.heard_at = now
+            dispatch.endpoint.last_response_at = now
         self._noted_link(dispatch, outcome.result, now)
         if outcome.load is not None:
-            self._answered(dispatch.server, outcome.load, now)
-        ours = dispatch.taken_back or now - dispatch.at >= dispatch.contract_time
-        if self._terms.beside_clients and outcome.result is Result.RECALLED and ours:
+            self._answered(dispatch.endpoint, outcome.load, now)
+        ours = dispatch.cancelled_for_retry or now - dispatch.sent_at >= dispatch.latency_objective
+        if self._terms.sidecar and outcome.result is AttemptResult.CANCELLED and ours:
             # Guards against judging by quick jobs alone: what the node recalls for its time has timed out.
-            outcome = replace(outcome, result=Result.TIMED_OUT, seconds=now - dispatch.at)
-        self._judge(dispatch.server, outcome, now)
-        held = self._held.get(outcome.job)
-        if outcome.result is Result.HONOURED and not dispatch.begun:
+            outcome = replace(outcome, result=AttemptResult.TIMED_OUT, seconds=now - dispatch.sent_at)
+        self._judge(dispatch.endpoint, outcome, now)
+        held = self._held.get(outcome.request)
+        if outcome.result is AttemptResult.SUCCEEDED and not dispatch.response_started:
             self._cleared(held, dispatch, outcome.seconds, now)
         if held is not None:
-            held.most = 0 if outcome.spent else held.most
-            if outcome.over:
-                self._step(held, Input.OVER)
+            held.max_attempts = 0 if outcome.unrepeatable else held.max_attempts
+            if outcome.final:
+                self._step(held, RequestEvent.COMPLETED)
             else:
                 owned = OWNED_DEEPEST if self._deepest else OWNED_ANYWHERE
-                fault = outcome.result in owned or dispatch.taken_back
-                self._step(held, Input.OWNED if fault else Input.PASSED_ALONG)
+                fault = outcome.result in owned or dispatch.cancelled_for_retry
+                self._step(held, RequestEvent.ENDPOINT_FAULT if fault else RequestEvent.OTHER_FAILURE)
         self._turn()
 
-    def _cleared(self, held: Held | None, dispatch: Dispatch, seconds: float, now: float) -> None:
+    def _cleared(self, held: PendingRequest | None, dispatch: Attempt, seconds: float, now: float) -> None:
         """A server has done a job: what the room and the usual times are worked out from."""
-        self._clearing.note(dispatch.contract_time, seconds, now)
+        self._clearing.record_success(dispatch.latency_objective, seconds, now)
         # Guards against budgets learned from what dead or overdriven servers refuse, as clients come again.
-        self._take.note(self._warm, max(1, len(self._ready)))
-        if held is not None and held.number in self._spent:
-            self._spent[held.number].append(seconds)
+        self._take.record_success(self._warm, max(1, len(self._ready)))
+        if held is not None and held.class_number in self._spent:
+            self._spent[held.class_number].append(seconds)
 
-    def streaming(self, job: int, dispatch: int) -> None:
+    def response_started(self, job: int, dispatch: int) -> None:
         held, flight, now = self._held.get(job), self._flying.get((job, dispatch)), self._host.now()
-        if flight is not None and not flight.begun:
+        if flight is not None and not flight.response_started:
             # Its server has done the job: what remains is the way, as slow as the caller reads.
-            flight.begun, flight.server.heard_at = True, now
+            flight.response_started, flight.endpoint.last_response_at = True, now
             self._landed(flight)
-            self._cleared(held, flight, now - flight.at, now)
+            self._cleared(held, flight, now - flight.sent_at, now)
         if held is not None:
             self._recall_all(held, dispatch)  # the answer that has begun is the final one
-        self._tell(job, Input.BEGUN)
+        self._tell(job, RequestEvent.RESPONSE_STARTED)
 
-    def withdrawn(self, job: int) -> None:
-        self._tell(job, Input.WITHDRAWN)
+    def request_cancelled(self, job: int) -> None:
+        self._tell(job, RequestEvent.CLIENT_CANCELLED)
 
-    def probed(self, server: int, result: Result, load: Load | None) -> None:
+    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None) -> None:
         now, known = self._host.now(), self._servers.get(server)
         if known is None:
             return
-        waited = now - known.asked_at if known.asked_at is not None else -math.inf
-        known.asked_at = None
+        waited = now - known.probe_sent_at if known.probe_sent_at is not None else -math.inf
+        known.probe_sent_at = None
         # Guards against taking a probe that failed at once for a quick one.
-        if waited > known.wait or (waited >= 0 and result is Result.HONOURED):
-            known.wait, known.waited_at = waited, now
+        if waited > known.probe_latency or (waited >= 0 and result is AttemptResult.SUCCEEDED):
+            known.probe_latency, known.probe_ended_at = waited, now
             self._waited.append((now, known))
-        if result is Result.HONOURED:
-            self._answered(known, load or Load(), now)
+        if result is AttemptResult.SUCCEEDED:
+            self._answered(known, load or LoadReport(), now)
         else:
-            known.answered_at = -math.inf
+            known.load_reported_at = -math.inf
 
-    def timer(self, token: int) -> None:
+    def timer_fired(self, token: int) -> None:
         self._timers.pop(token, lambda: None)()
 
-    def listed(self, news: News, entries: Sequence[ServerEntry]) -> None:
-        if news is News.FAILED:
+    def list_updated(self, news: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
+        if news is ListUpdate.FAILED:
             self._failures += 1
             # Guards against all nodes asking a troubled list service again at the same moment.
-            most = self._terms.ask_within / 4 or math.inf
-            self._after(renewal_pause(self._failures, self._random, most), self._host.follow)
+            most = self._terms.poll_interval / 4 or math.inf
+            self._after(renewal_pause(self._failures, self._random, most), self._host.poll_list)
             return
         self._failures = 0
-        if news is not News.CHANGES:
-            named = {entry.server for entry in entries}
+        if news is not ListUpdate.CHANGES:
+            named = {entry.number for entry in entries}
             self._servers = {index: known for index, known in self._servers.items() if index in named}
         for entry in entries:
             self._enter(entry)
         self._barred = {server: since for server, since in self._barred.items() if server in self._servers}
         self._count_ready()
 
-    def barred(self, server: int, out: bool) -> None:
+    def ban_changed(self, server: int, out: bool) -> None:
         """An operator takes a server out of use or gives it back; the list has no say in that."""
         now, known = self._host.now(), self._servers.get(server)
         if out:
@@ -301,23 +329,23 @@
             # Guards against judging it by what it was before: it was very likely restarted meanwhile.
             start = known.entry.started_at if known.entry.started_at > since else now
             known = self._fresh(replace(known.entry, started_at=start))
-            known.out_since, known.owed = since, True
+            known.banned_since, known.awaits_first_attempt = since, True
             if self._terms.probes:
                 self._ask(known)
         self._count_ready()
 
-    def lessons(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         """What was learned so far, for a process that follows this one; servers and profiles by number."""
         now = self._host.now()
-        servers = {index: server.lessons(now) for index, server in self._servers.items()}
+        servers = {index: server.export_state(now) for index, server in self._servers.items()}
         spent = {index: list(times) for index, times in self._spent.items()}
-        return {"clearing": self._clearing.lessons(now), "servers": servers, "spent": spent}
+        return {"clearing": self._clearing.export_state(now), "servers": servers, "spent": spent}
 
-    def learn(self, lessons: Mapping[str, Any]) -> None:
+    def restore_state(self, lessons: Mapping[str, Any]) -> None:
         now = self._host.now()
-        self._clearing.learn(lessons["clearing"], now)
+        self._clearing.restore_state(lessons["clearing"], now)
         for index, known in lessons["servers"].items():
-            self._servers[index].learn(known, now)
+            self._servers[index].restore_state(known, now)
             self._resting[self._servers[index]] = None
             self._waited.append((now, self._servers[index]))
         for index, times in lessons["spent"].items():
@@ -327,11 +355,11 @@
         self._usual_until = -math.inf  # its counts are of the servers before this news
         # Kept between news: going through a large fleet for each job costs more than all its decisions.
         self._ready = [server for server in self._servers.values() if self._is_open(server)]
-        self._owed = [server for server in self._ready if server.owed]
+        self._owed = [server for server in self._ready if server.awaits_first_attempt]
         self._find_cold()
         # Guards against growing with every server that ever was.
         self._linked_lately = {server: None for server in self._linked_lately if self._is_known(server)}
-        known = (server for server in self._pool if self._servers.get(server.entry.server) is server)
+        known = (server for server in self._pool if self._servers.get(server.entry.number) is server)
         self._pool = deque(known, maxlen=POOL_MOST)
         self._turn()
 
@@ -341,19 +369,19 @@
 
     # The loop and what it reads.
 
-    def _step(self, held: Held, event: Input) -> None:
+    def _step(self, held: PendingRequest, event: RequestEvent) -> None:
         for row in ROWS.get((held.state, event), ()):
-            if row.when(self, held):
-                held.state = row.then
-                row.effect(self, held)
+            if row.condition(self, held):
+                held.state = row.next_state
+                row.action(self, held)
                 return
 
     def _turn(self) -> None:
         """Gives waiting jobs their turn, the most pressing first, while room lasts."""
         while self._queue:
             head = self._queue[0]
-            self._step(head, Input.TURN)
-            if head.state is State.WAITING:
+            self._step(head, RequestEvent.CAPACITY_AVAILABLE)
+            if head.state is RequestState.QUEUED:
                 return
 
     def _turn_on(self) -> None:
@@ -367,52 +395,54 @@
             self._turn_due = True
             self._after(TURN_SPAN, self._turn_on)
 
-    def _tell(self, job: int, event: Input) -> None:
+    def _tell(self, job: int, event: RequestEvent) -> None:
         if (held := self._held.get(job)) is not None:
             self._step(held, event)
             self._turn()
 
     # Judgements: what the table asks.
 
-    def _always(self, held: Held) -> bool:
+    def _always(self, held: PendingRequest) -> bool:
         return True
 
-    def _hopeless(self, held: Held) -> bool:
+    def _hopeless(self, held: PendingRequest) -> bool:
         """No server could answer it in time for any revenue; late answers count only while none waits."""
-        now, quick = self._host.now(), self._quick(held.number)
-        late = held.contract_end - now < quick and (not held.profile.late_share or self._scarce(now))
-        return late or held.abandon_end - now - self._guard < quick
+        now, quick = self._host.now(), self._quick(held.class_number)
+        late = held.objective_at - now < quick and (not held.request_class.late_weight or self._scarce(now))
+        return late or held.deadline_at - now - self._guard < quick
 
-    def _crowded_out(self, held: Held) -> bool:
+    def _crowded_out(self, held: PendingRequest) -> bool:
         """By chance, as many as servers would do too late, those of little revenue first."""
         # Guards where nodes sit beside clients: what a thin one has out says nothing of what servers hold.
-        part = CROWD_SHARE * held.profile.contract_time / self._usual().middle
-        revenue = held.profile.revenue * (self._terms.overage if held.past_share else 1.0)
+        part = CROWD_SHARE * held.request_class.latency_objective / self._usual().median
+        revenue = held.request_class.priority_weight * (
+            self._terms.over_quota_weight if held.over_quota else 1.0
+        )
         chance = part * part * math.sqrt(revenue / self._revenue)
-        return self._terms.beside_clients and self._random.random() > chance
+        return self._terms.sidecar and self._random.random() > chance
 
     def _scarce(self, now: float) -> bool:
         return bool(self._queue) or self._pressing(now) >= self._room()
 
-    def _finds_place(self, held: Held) -> bool:
+    def _finds_place(self, held: PendingRequest) -> bool:
         overtakes = not self._queue or self._queue[0].rank() >= held.rank()
         room = self._room()  # finds anew who is passed over: what is out there does not press
         if self._pressing(self._host.now()) >= room or not overtakes:
             return False
-        held.choice = self._pick(held)
-        return held.choice is not None
+        held.chosen_endpoint = self._pick(held)
+        return held.chosen_endpoint is not None
 
-    def _may_wait(self, held: Held) -> bool:
+    def _may_wait(self, held: PendingRequest) -> bool:
         now = self._host.now()
         ahead = sum(1 for other in self._queue if other.rank() < held.rank())
         wait = (ahead + 1) / max(self._clearing.rate(now), 1.0)
-        if self._terms.beside_clients:
-            wait = min(wait, (ahead + 1) * self._usual().seconds / max(1, len(self._flying)))
-        slack = held.contract_end - now - self._quick(held.number)
-        return wait <= min(slack, WAIT_SHARE * held.profile.contract_time)
+        if self._terms.sidecar:
+            wait = min(wait, (ahead + 1) * self._usual().per_endpoint / max(1, len(self._flying)))
+        slack = held.objective_at - now - self._quick(held.class_number)
+        return wait <= min(slack, WAIT_SHARE * held.request_class.latency_objective)
 
-    def _others_out(self, held: Held) -> bool:
-        return any(dispatch.out for dispatch in held.sent)
+    def _others_out(self, held: PendingRequest) -> bool:
+        return any(dispatch.in_flight for dispatch in held.attempts)
 
     def _lately(self, kept: deque[tuple[float]]) -> int:
         """How many of these there were in the span of the retries' budget."""
@@ -422,38 +452,38 @@
     def _budget_left(self) -> bool:
         return self._lately(self._retries) + 1 <= RETRY_SHARE * self._lately(self._firsts)
 
-    def _may_retry(self, held: Held) -> bool:
-        most = min(held.most, self._terms.max_dispatches)  # the stricter, if the terms have changed
-        if not self._budget_left() or len(held.sent) >= most or self._hopeless(held):
+    def _may_retry(self, held: PendingRequest) -> bool:
+        most = min(held.max_attempts, self._terms.max_attempts)  # the stricter, if the terms have changed
+        if not self._budget_left() or len(held.attempts) >= most or self._hopeless(held):
             return False
-        held.choice = self._pick(held)
-        return held.choice is not None
+        held.chosen_endpoint = self._pick(held)
+        return held.chosen_endpoint is not None
 
-    def _swallowed(self, held: Held) -> bool:
+    def _swallowed(self, held: PendingRequest) -> bool:
         """Its server answers nothing while most others do: its own fault, seen before the time-out."""
         # Guards against jobs lost in servers that take work and answer none. Acts at any tier, in the budget.
-        last = held.sent[-1]
-        waits = held.whole and last.out and not last.taken_back
-        return waits and last.server in self._silent(self._host.now()) and self._may_retry(held)
+        last = held.attempts[-1]
+        waits = held.complete and last.in_flight and not last.cancelled_for_retry
+        return waits and last.endpoint in self._silent(self._host.now()) and self._may_retry(held)
 
-    def _copy_due(self, held: Held) -> bool:
-        return self._terms.second_copies and self._swallowed(held)
+    def _copy_due(self, held: PendingRequest) -> bool:
+        return self._terms.hedging and self._swallowed(held)
 
-    def _recall_due(self, held: Held) -> bool:
+    def _recall_due(self, held: PendingRequest) -> bool:
         # Guards against sound servers that were merely not heard of: the newest outcome there was a failure.
-        doubted = not all(list(held.sent[-1].server.last)[-1:])
-        return not self._terms.second_copies and doubted and self._swallowed(held)
+        doubted = not all(list(held.attempts[-1].endpoint.recent_successes)[-1:])
+        return not self._terms.hedging and doubted and self._swallowed(held)
 
     # Effects: what the table does.
 
-    def _nothing(self, held: Held) -> None:
+    def _nothing(self, held: PendingRequest) -> None:
         pass
 
-    def _wait(self, held: Held) -> None:
-        insort(self._queue, held, key=Held.rank)
+    def _wait(self, held: PendingRequest) -> None:
+        insort(self._queue, held, key=PendingRequest.rank)
         self._look_again()
 
-    def _send_first(self, held: Held) -> None:
+    def _send_first(self, held: PendingRequest) -> None:
         if held in self._queue:
             self._queue.remove(held)
         self._firsts.append((self._host.now(),))
@@ -462,96 +492,101 @@
         if self._terms.probes and self._unprobed >= PROBE_EVERY:
             self._probe()
 
-    def _send_again(self, held: Held) -> None:
+    def _send_again(self, held: PendingRequest) -> None:
         self._retries.append((self._host.now(),))
         self._send(held)
 
-    def _send(self, held: Held) -> None:
-        now, server, held.choice = self._host.now(), held.choice, None
+    def _send(self, held: PendingRequest) -> None:
+        now, server, held.chosen_endpoint = self._host.now(), held.chosen_endpoint, None
         assert server is not None
-        server.owed = False
+        server.awaits_first_attempt = False
         linked = self._linked(server, now)
-        if linked and self._terms.connection_jobs <= 1:
-            server.idle.pop()
-        dispatch = Dispatch(server, now, held.profile.contract_time, linked)
-        self._flying[held.id, len(held.sent)] = dispatch
-        held.sent.append(dispatch)
-        if held.whole:
+        if linked and self._terms.streams_per_connection <= 1:
+            server.idle_connections.pop()
+        dispatch = Attempt(server, now, held.request_class.latency_objective, linked)
+        self._flying[held.id, len(held.attempts)] = dispatch
+        held.attempts.append(dispatch)
+        if held.complete:
             self._fly(dispatch, now)
         if self._is_cold(server, now):
-            server.cold_from = now
-            server.cold_due = self._random.uniform(1 - COLD_SPREAD, 1 + COLD_SPREAD)
-        end = held.abandon_end if held.profile.late_share else min(held.abandon_end, held.contract_end)
-        self._host.dispatch(held.id, server.entry.server, max(end - now, 0.001))
-        if self._terms.second_copies or (self._terms.beside_clients and self._terms.recalls):
-            delay = min(OVERDUE_TIMES * self._usual().seconds, self._patience_most)
-            self._after(delay, lambda: self._step(held, Input.OVERDUE))
-
-    def _take_back(self, held: Held) -> None:
+            server.slow_start_credit_from = now
+            server.slow_start_credit_needed = self._random.uniform(1 - COLD_SPREAD, 1 + COLD_SPREAD)
+        end = held.deadline_at if held.request_class.late_weight else min(held.deadline_at, held.objective_at)
+        self._host.send_attempt(held.id, server.entry.number, max(end - now, 0.001))
+        if self._terms.hedging or (self._terms.sidecar and self._terms.cancellation):
+            delay = min(OVERDUE_TIMES * self._usual().per_endpoint, self._patience_most)
+            self._after(delay, lambda: self._step(held, RequestEvent.OVERDUE))
+
+    def _take_back(self, held: PendingRequest) -> None:
         """Recalls what its server has swallowed; it is sent elsewhere once that outcome is there."""
-        held.sent[-1].taken_back = True
-        self._host.recall(held.id, len(held.sent) - 1)
+        held.attempts[-1].cancelled_for_retry = True
+        self._host.cancel_attempt(held.id, len(held.attempts) - 1)
 
-    def _fly(self, dispatch: Dispatch, now: float) -> None:
-        dispatch.at = now
+    def _fly(self, dispatch: Attempt, now: float) -> None:
+        dispatch.sent_at = now
         self._recent.append(dispatch)
-        dispatch.server.flights.append(dispatch)
-        self._linked_lately[dispatch.server] = None
+        dispatch.endpoint.in_flight.append(dispatch)
+        self._linked_lately[dispatch.endpoint] = None
 
-    def _landed(self, dispatch: Dispatch) -> None:
-        if dispatch in dispatch.server.flights:
-            dispatch.server.flights.remove(dispatch)
+    def _landed(self, dispatch: Attempt) -> None:
+        if dispatch in dispatch.endpoint.in_flight:
+            dispatch.endpoint.in_flight.remove(dispatch)
 
-    def _give_up(self, held: Held) -> None:
+    def _give_up(self, held: PendingRequest) -> None:
         """The final answer: a turn-back where trying again is surely harmless, else a write-off."""
         self._leave(held)
         if self._turn_back_is_harmless(held):
-            self._host.turn_back(held.id, self._advice())
+            self._host.reject(held.id, self._advice())
         else:
-            self._host.write_off(held.id)
+            self._host.fail(held.id)
 
-    def _leave(self, held: Held) -> None:
+    def _leave(self, held: PendingRequest) -> None:
         del self._held[held.id]
         if held in self._queue:
             self._queue.remove(held)
         self._recall_all(held)
 
-    def _recall_all(self, held: Held, but: int = -1) -> None:
+    def _recall_all(self, held: PendingRequest, but: int = -1) -> None:
         # Guards against servers working on for nobody.
-        out = (number for number, dispatch in enumerate(held.sent) if dispatch.out and number != but)
-        for number in out if self._terms.recalls else ():
-            self._host.recall(held.id, number)
+        out = (
+            number for number, dispatch in enumerate(held.attempts) if dispatch.in_flight and number != but
+        )
+        for number in out if self._terms.cancellation else ():
+            self._host.cancel_attempt(held.id, number)
 
     # Which server.
 
-    def _pick(self, held: Held) -> Server | None:
+    def _pick(self, held: PendingRequest) -> Endpoint | None:
         now = self._host.now()
         most = max(2.0, SERVER_SPREAD * self._room() / max(1, len(self._ready)))
 
-        def fits(server: Server) -> bool:
+        def fits(server: Endpoint) -> bool:
             return (
                 self._takes_more(server, now)
-                and len(server.flights) < most
+                and len(server.in_flight) < most
                 and self._is_open(server)
-                and not (self._is_cold(server, now) and self._cold_left(server, now) < server.cold_due)
-                and not any(dispatch.server is server for dispatch in held.sent)
-                and (not held.sent or self._may_run_on(held, server, now))
+                and not (
+                    self._is_cold(server, now)
+                    and self._cold_left(server, now) < server.slow_start_credit_needed
+                )
+                and not any(dispatch.endpoint is server for dispatch in held.attempts)
+                and (not held.attempts or self._may_run_on(held, server, now))
             )
 
-        def is_near(server: Server) -> bool:
+        def is_near(server: Endpoint) -> bool:
             return server.entry.zone == self._terms.zone
 
         # Guards against a server given back that is never met: nothing is known of it.
-        owed = next((server for server in self._owed if server.owed and fits(server)), None)
+        owed = next((server for server in self._owed if server.awaits_first_attempt and fits(server)), None)
         if owed is not None:
             return owed
         known = [server for server in self._familiar(now) if fits(server)]
         pool = known or [server for server in self._pool if fits(server)]
         ready = known or self._ready
         choice = self._better(pool, ready, fits, now)
-        if choice is not None and held.key:
+        if choice is not None and held.affinity_key:
             most = KEY_SLACK * self._score(choice, now)
-            likely = (server for server in self._likely_met(held.key) if fits(server))
+            likely = (server for server in self._likely_met(held.affinity_key) if fits(server))
             met = min(likely, key=lambda server: self._score(server, now), default=choice)
             choice = met if self._score(met, now) <= most else choice
         elif choice is not None and self._near_slack > 1.0 and choice.entry.zone != self._terms.zone:
@@ -564,30 +599,30 @@
                 return near
         return choice
 
-    def _likely_met(self, key: str) -> list[Server]:
+    def _likely_met(self, key: str) -> list[Endpoint]:
         """The servers that all nodes send a key's jobs to first: a rank by hash, weighted by size."""
 
-        def rank(server: Server) -> float:
-            digest = blake2b(f"{server.entry.tag} {key}".encode(), digest_size=6).digest()
-            return -math.log((1 + int.from_bytes(digest)) / 2**48) / max(server.entry.power, 0.01)
+        def rank(server: Endpoint) -> float:
+            digest = blake2b(f"{server.entry.name_hash} {key}".encode(), digest_size=6).digest()
+            return -math.log((1 + int.from_bytes(digest)) / 2**48) / max(server.entry.size, 0.01)
 
         return sorted(self._ready, key=rank)[:KEY_SERVERS]
 
     def _better(
-        self, pool: list[Server], ready: Sequence[Server], fits: Callable[[Server], bool], now: float
-    ) -> Server | None:
+        self, pool: list[Endpoint], ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool], now: float
+    ) -> Endpoint | None:
         """The better of two random entries of the pool; under two fresh, of two ready ones by own jobs."""
-        fresh = [server for server in pool if now - server.answered_at <= FRESH_SPAN]
+        fresh = [server for server in pool if now - server.load_reported_at <= FRESH_SPAN]
         if len(fresh) >= 2:
             scored = sorted((self._score(server, now), self._random.random(), server) for server in fresh)
             best = scored[: max(2, math.ceil(len(scored) * POOL_SHARE))]
             return min(self._random.sample(best, 2))[2]
         two = self._two_of(ready, fits)
-        return min(two, key=lambda server: len(server.flights), default=None)
+        return min(two, key=lambda server: len(server.in_flight), default=None)
 
-    def _two_of(self, ready: Sequence[Server], fits: Callable[[Server], bool]) -> list[Server]:
+    def _two_of(self, ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool]) -> list[Endpoint]:
         """Two random servers that fit, or as many as there are."""
-        found: dict[Server, None] = {}
+        found: dict[Endpoint, None] = {}
         # Guards against going through a large fleet for each job: mostly the first few looks are enough.
         for _ in range(LOOKS_MOST if len(ready) > LOOKS_MOST else 0):
             server = self._random.choice(ready)
@@ -598,100 +633,112 @@
         fitting = [server for server in ready if fits(server)]
         return self._random.sample(fitting, min(2, len(fitting)))
 
-    def _familiar(self, now: float) -> list[Server]:
+    def _familiar(self, now: float) -> list[Endpoint]:
         """Servers with an open connection, where connections are priced or new ones fail; none elsewhere."""
         # Guards against more connections than servers accept, and new ones failing while open ones serve on.
         self._prune(self._links, now - RETRY_SPAN)
         fail = sum(1 for _, made in self._links if not made) > LAST_FEW / 2
-        if not fail and self._terms.connection_price <= 0:
+        if not fail and self._terms.connection_cost <= 0:
             return []
         linked = [server for server in list(self._linked_lately) if self._has_link(server, now)]
         return linked if fail or len(linked) >= FAMILIAR else []
 
-    def _has_link(self, server: Server, now: float) -> bool:
+    def _has_link(self, server: Endpoint, now: float) -> bool:
         """Whether it is ready and linked; where it has no link at all, it is not looked at again."""
         linked = self._linked(server, now)
-        if not (linked or server.flights):
+        if not (linked or server.in_flight):
             del self._linked_lately[server]
         return linked and self._is_in_use(server)
 
-    def _is_known(self, server: Server) -> bool:
+    def _is_known(self, server: Endpoint) -> bool:
         """Whether it is in the list, and not the record of a server that left or restarted."""
-        return self._servers.get(server.entry.server) is server
+        return self._servers.get(server.entry.number) is server
 
-    def _is_in_use(self, server: Server) -> bool:
+    def _is_in_use(self, server: Endpoint) -> bool:
         """Whether it is one of the ready ones."""
         return self._is_known(server) and self._is_open(server)
 
-    def _linked(self, server: Server, now: float) -> bool:
-        shared = self._terms.connection_jobs > 1 and len(server.flights) > 0
-        return shared or (len(server.idle) > 0 and server.idle[-1] > now - self._terms.connection_idle)
-
-    def _noted_link(self, dispatch: Dispatch, result: Result, now: float) -> None:
-        if not dispatch.linked and result is not Result.NEVER_SENT:
-            self._links.append((now, result is not Result.NO_CONNECTION))
-        if result in (Result.NO_CONNECTION, Result.RESET):
-            dispatch.server.idle.clear()
-        elif result not in (Result.NEVER_SENT, Result.SPOILT):
-            dispatch.server.idle.append(now)
-            self._linked_lately[dispatch.server] = None
-
-    def _score(self, server: Server, now: float, spare: float = 0.0) -> float:
+    def _linked(self, server: Endpoint, now: float) -> bool:
+        shared = self._terms.streams_per_connection > 1 and len(server.in_flight) > 0
+        return shared or (
+            len(server.idle_connections) > 0
+            and server.idle_connections[-1] > now - self._terms.connection_idle_timeout
+        )
+
+    def _noted_link(self, dispatch: Attempt, result: AttemptResult, now: float) -> None:
+        if not dispatch.reused_connection and result is not AttemptResult.NOT_SENT:
+            self._links.append((now, result is not AttemptResult.NO_CONNECTION))
+        if result in (AttemptResult.NO_CONNECTION, AttemptResult.RESET):
+            dispatch.endpoint.idle_connections.clear()
+        elif result not in (AttemptResult.NOT_SENT, AttemptResult.MALFORMED):
+            dispatch.endpoint.idle_connections.append(now)
+            self._linked_lately[dispatch.endpoint] = None
+
+    def _score(self, server: Endpoint, now: float, spare: float = 0.0) -> float:
         """The answer's load, less as it ages, plus own sends still out, less those spared, by its pace."""
-        answer = server.answer or Load()
+        answer = server.load_report or LoadReport()
         usual = self._usual()
-        reported = answer.held if answer.held is not None else answer.waiting or 0.0
-        weight = usual.seconds / (usual.seconds + now - server.answered_at)
-        held = max(0.0, weight * reported + len(server.flights) - spare)
-        late = max(0.0, server.wait / usual.wait / WAIT_NOISE - 1.0)
-        late *= usual.seconds / (usual.seconds + now - server.waited_at)
+        reported = answer.in_flight if answer.in_flight is not None else answer.queued or 0.0
+        weight = usual.per_endpoint / (usual.per_endpoint + now - server.load_reported_at)
+        held = max(0.0, weight * reported + len(server.in_flight) - spare)
+        late = max(0.0, server.probe_latency / usual.probe / WAIT_NOISE - 1.0)
+        late *= usual.per_endpoint / (usual.per_endpoint + now - server.probe_ended_at)
         # Guards against herds: among idle servers a noisy pace would decide alone, so it counts half.
-        return (held + 1.0) * (1.0 + middle(server.seconds, usual.seconds) / usual.seconds) / 2 * (1.0 + late)
-
-    def _silent(self, now: float) -> list[Server]:
+        return (
+            (held + 1.0)
+            * (1.0 + median(server.recent_latencies, usual.per_endpoint) / usual.per_endpoint)
+            / 2
+            * (1.0 + late)
+        )
+
+    def _silent(self, now: float) -> list[Endpoint]:
         """Servers from which nothing was heard since an overdue dispatch; none if that is most of them."""
-        due = now - min(PATIENCE * self._usual().seconds, self._patience_most)
-        flying = dict.fromkeys(dispatch.server for dispatch in self._flying.values())
+        due = now - min(PATIENCE * self._usual().per_endpoint, self._patience_most)
+        flying = dict.fromkeys(dispatch.endpoint for dispatch in self._flying.values())
         holding = [
             server
             for server in flying
-            if server.flights and server.flights[0].at < due and self._is_in_use(server)
+            if server.in_flight and server.in_flight[0].sent_at < due and self._is_in_use(server)
         ]
-        silent = [server for server in holding if server.heard_at < server.flights[0].at]
+        silent = [server for server in holding if server.last_response_at < server.in_flight[0].sent_at]
         return silent if len(silent) <= SILENT_MOST * len(self._ready) else []
 
-    def _find_passed_over(self, now: float) -> list[Server]:
+    def _find_passed_over(self, now: float) -> list[Endpoint]:
         """Servers that are silent or slow; none if that is most of them."""
         # Guards against jobs at overdriven servers: a probe tells of those seconds before a job does.
         usual = self._usual_now
-        least, silent = max(WAIT_TIMES * usual.wait, WAIT_PART * usual.seconds), self._silent(now)
+        least, silent = max(WAIT_TIMES * usual.probe, WAIT_PART * usual.per_endpoint), self._silent(now)
         self._prune(self._waited, now - WAIT_SPAN)
         waited = dict.fromkeys(server for _, server in self._waited)
-        slow = [server for server in waited if server.wait > least and now - server.waited_at < WAIT_SPAN]
+        slow = [
+            server
+            for server in waited
+            if server.probe_latency > least and now - server.probe_ended_at < WAIT_SPAN
+        ]
         found = silent + [server for server in slow if server not in silent and self._is_in_use(server)]
         return found if len(found) <= SILENT_MOST * len(self._ready) else []
 
-    def _set_aside(self, now: float) -> list[Server]:
+    def _set_aside(self, now: float) -> list[Endpoint]:
         """The ready servers that are set aside."""
-        for server in [server for server in self._resting if server.back_at <= now]:
+        for server in [server for server in self._resting if server.ejected_until <= now]:
             del self._resting[server]
         return [server for server in self._resting if self._is_in_use(server)]
 
-    def _takes_more(self, server: Server, now: float) -> bool:
-        return server.back_at <= now and server not in self._passed_over
+    def _takes_more(self, server: Endpoint, now: float) -> bool:
+        return server.ejected_until <= now and server not in self._passed_over
 
-    def _usual(self) -> Usual:
+    def _usual(self) -> TypicalLatencies:
         now = self._host.now()
         if now >= self._usual_until:
             self._usual_until = now + USUAL_SPAN
-            self._take.pass_on(now, self._warm)
+            self._take.advance(now, self._warm)
             # One time a server: quick servers answer more jobs and would pass for the usual.
-            latest = {end.server.entry.server: end.seconds for end in self._ends if end.seconds}
-            waits = (server.wait for server in self._pool if server.wait)
-            seconds = (end.seconds for end in self._ends if end.seconds)
+            latest = {end.endpoint.entry.number: end.latency for end in self._ends if end.latency}
+            waits = (server.probe_latency for server in self._pool if server.probe_latency)
+            seconds = (end.latency for end in self._ends if end.latency)
             # Guards against a start that passes for crowded: without news of times, nothing is.
-            figures = (middle(latest.values(), 1.0), middle(waits, 1.0), middle(seconds, 0.0))
-            self._usual_now = Usual(*(max(figure, 0.001) for figure in figures))
+            figures = (median(latest.values(), 1.0), median(waits, 1.0), median(seconds, 0.0))
+            self._usual_now = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
             self._passed_over = self._find_passed_over(now)
             # Kept with them: going through a large fleet for each job costs more than all its decisions.
             self._cold = [server for server in self._cold if self._is_cold(server, now)]
@@ -702,125 +749,142 @@
 
     # The four rules.
 
-    def _may_run_on(self, held: Held, server: Server, now: float) -> bool:
+    def _may_run_on(self, held: PendingRequest, server: Endpoint, now: float) -> bool:
         """Whether a further dispatch there cannot make an effect happen twice."""
         # Guards against a repeat that is decided on in time, and comes up when its server has forgotten.
-        return now < self._repeat_until(held, held.sent, server) - self._terms.connect_within
+        return now < self._repeat_until(held, held.attempts, server) - self._terms.connect_timeout
 
-    def _repeat_until(self, held: Held, earlier: Sequence[Dispatch], server: Server) -> float:
+    def _repeat_until(self, held: PendingRequest, earlier: Sequence[Attempt], server: Endpoint) -> float:
         """Until when a dispatch there cannot make an effect happen twice; -inf where it may at once."""
-        profile = held.profile
+        profile = held.request_class
         ran = [dispatch for dispatch in earlier if dispatch.may_have_run]
-        if not ran or profile.effect is Effect.REISSUABLE:
+        if not ran or profile.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
-        if profile.effect is Effect.AT_MOST_ONCE:
+        if profile.idempotency is Idempotency.NON_IDEMPOTENT:
             return -math.inf
-        if not all(self._drops_repeats(profile, dispatch.server, server) for dispatch in ran):
+        if not all(self._drops_repeats(profile, dispatch.endpoint, server) for dispatch in ran):
             return -math.inf
-        return ran[0].at + profile.window - self._guard
+        return ran[0].sent_at + profile.deduplication_window - self._guard
 
-    def repeat_until(self, job: int, dispatch: int) -> float:
+    def repeatable_until(self, job: int, dispatch: int) -> float:
         """The same for a dispatch that was ordered, by what is known now of those before it."""
         held = self._held.get(job)
         if held is None:
             return -math.inf
-        return self._repeat_until(held, held.sent[:dispatch], held.sent[dispatch].server)
+        return self._repeat_until(held, held.attempts[:dispatch], held.attempts[dispatch].endpoint)
 
-    def _drops_repeats(self, profile: Profile, first: Server, second: Server) -> bool:
+    def _drops_repeats(self, profile: RequestClass, first: Endpoint, second: Endpoint) -> bool:
         near = first.entry.zone == second.entry.zone
-        same = near and (profile.group is Group.ZONE or first.entry.cell == second.entry.cell)
-        return same or profile.group is Group.ALL
-
-    def _turn_back_is_harmless(self, held: Held) -> bool:
-        effect, group = held.profile.effect, held.profile.group
-        may_repeat = effect is Effect.REISSUABLE or (effect is Effect.NUMBERED and group is Group.ALL)
-        return may_repeat or not any(dispatch.may_have_run for dispatch in held.sent)
-
-    def _is_cold(self, server: Server, now: float) -> bool:
-        return server.entry.started_at > 0 and now < server.entry.started_at + self._terms.cold_time
-
-    def _cold_left(self, server: Server, now: float) -> float:
+        same = near and (
+            profile.deduplication_scope is DeduplicationScope.ZONE
+            or first.entry.deduplication_group == second.entry.deduplication_group
+        )
+        return same or profile.deduplication_scope is DeduplicationScope.ALL
+
+    def _turn_back_is_harmless(self, held: PendingRequest) -> bool:
+        effect, group = held.request_class.idempotency, held.request_class.deduplication_scope
+        may_repeat = effect is Idempotency.IDEMPOTENT or (
+            effect is Idempotency.KEYED and group is DeduplicationScope.ALL
+        )
+        return may_repeat or not any(dispatch.may_have_run for dispatch in held.attempts)
+
+    def _is_cold(self, server: Endpoint, now: float) -> bool:
+        return server.entry.started_at > 0 and now < server.entry.started_at + self._terms.slow_start_time
+
+    def _cold_left(self, server: Endpoint, now: float) -> float:
         """Sends that this node's part of the cold budget has come to since the last one there."""
         self._usual()  # counts the warm ones anew
         # Guards against one warm server that passes for doing all that the fleet did; none gets so much.
         part = min(SERVER_SPREAD, len(self._ready) / self._warm) if self._warm else 1.0
-        least = 1.0 / (COLD_SPAN * self._terms.nodes * self._terms.processes)
+        least = 1.0 / (COLD_SPAN * self._terms.node_count * self._terms.process_count)
         each = max(part * self._take.rate(), least)
         # Added up as the server warms, and not foretold: many nodes' next sends lie seconds ahead.
-        between = (server.cold_from + now) / 2 - server.entry.started_at
-        warmed = min(max(0.0, between) / self._terms.cold_time, 1.0)
-        share = self._terms.cold_share + (1.0 - self._terms.cold_share) * warmed
-        return (now - server.cold_from) * each * share * self._terms.tip_multiple * COLD_CARE
+        between = (server.slow_start_credit_from + now) / 2 - server.entry.started_at
+        warmed = min(max(0.0, between) / self._terms.slow_start_time, 1.0)
+        share = self._terms.slow_start_share + (1.0 - self._terms.slow_start_share) * warmed
+        return (
+            (now - server.slow_start_credit_from) * each * share * self._terms.overload_multiple * COLD_CARE
+        )
 
     # Room, health and the rest.
 
     def _room(self) -> float:
         """Jobs out at most: what the last answers' rate clears within a part of the contract time."""
-        learned = self._clearing.clears(self._hold_share, self._calm_times, self._host.now())
+        learned = self._clearing.capacity(self._hold_share, self._calm_times, self._host.now())
         self._usual()  # counts the able servers anew
         # Guards small machines, which the higher floor overdrives: it holds while answers are calm.
-        floor = FLOOR_CALM if self._clearing.is_calm() else FLOOR_EACH
-        if self._terms.beside_clients:
-            floor *= min(1.0, CROWD_SHARE * self._contract / self._usual().middle)
+        floor = FLOOR_CALM if self._clearing.is_stable() else FLOOR_EACH
+        if self._terms.sidecar:
+            floor *= min(1.0, CROWD_SHARE * self._contract / self._usual().median)
         return max(2.0, floor * self._able / self._parts(), learned)
 
     def _parts(self) -> float:
         """How many times this node's traffic all nodes have; by their number where nobody tells of his."""
-        if not self._terms.may_tell:
-            return self._terms.nodes
+        if not self._terms.gossips:
+            return self._terms.node_count
         # Each outcome of a node is one note to one peer: so many come as a node has outcomes in the mean.
-        return self._terms.nodes * (self._lately(self._notes) + 1) / (self._lately(self._firsts) + 1)
+        return self._terms.node_count * (self._lately(self._notes) + 1) / (self._lately(self._firsts) + 1)
 
     def _pressing(self, now: float) -> int:
         """Jobs out, still young, and where more may go."""
         # Guards against jobs swallowed, or stuck in resting servers, using up the room of the others.
         while self._recent:
             first = self._recent[0]
-            if first.out and not first.begun and now - first.at <= self._young_share * first.contract_time:
+            if (
+                first.in_flight
+                and not first.response_started
+                and now - first.sent_at <= self._young_share * first.latency_objective
+            ):
                 break
             self._recent.popleft()
-        pressing = (dispatch.server for dispatch in self._recent if dispatch.out and not dispatch.begun)
+        pressing = (
+            dispatch.endpoint
+            for dispatch in self._recent
+            if dispatch.in_flight and not dispatch.response_started
+        )
         return sum(1 for server in pressing if self._takes_more(server, now))
 
-    def _judge(self, server: Server, outcome: Outcome, now: float) -> None:
+    def _judge(self, server: Endpoint, outcome: AttemptOutcome, now: float) -> None:
         """Sets a server aside when its last few outcomes trail the others'."""
-        good = outcome.result is Result.HONOURED
-        if outcome.result is Result.FULL:
+        good = outcome.result is AttemptResult.SUCCEEDED
+        if outcome.result is AttemptResult.REJECTED:
             # Guards against a second refusal there: a full server has room when a job of the usual time ends.
-            self._rest(server, max(server.back_at, now + self._usual().seconds))
+            self._rest(server, max(server.ejected_until, now + self._usual().per_endpoint))
         if not good and outcome.result not in FAULTS:
             return
-        seconds = outcome.seconds if good or outcome.result is Result.TIMED_OUT else 0.0
-        server.own_at = now
+        seconds = outcome.seconds if good or outcome.result is AttemptResult.TIMED_OUT else 0.0
+        server.last_own_outcome_at = now
         self._tell_on(server, good, seconds, now)
         self._learned(server, good, seconds, now)
 
-    def _learned(self, server: Server, good: bool, seconds: float, now: float) -> None:
-        server.last.append(good)
+    def _learned(self, server: Endpoint, good: bool, seconds: float, now: float) -> None:
+        server.recent_successes.append(good)
         if seconds:
-            server.seconds.append(seconds)
-        self._ends.append(End(server, good, seconds))
+            server.recent_latencies.append(seconds)
+        self._ends.append(RecentOutcome(server, good, seconds))
         # Guards against setting aside what has left the list, or was restarted: nobody knows it any more.
-        if good or self._servers.get(server.entry.server) is not server:
+        if good or self._servers.get(server.entry.number) is not server:
             return
-        others = [end.good for end in self._ends if end.server is not server]
+        others = [end.success for end in self._ends if end.endpoint is not server]
         usual = sum(others) / len(others) if others else 1.0
         aside = len(self._set_aside(now))
         # Guards against setting the fleet aside in a trouble common to all.
-        if sum(server.last) / len(server.last) < usual - HEALTH_GAP and aside < ASIDE_MOST * len(self._ready):
+        if sum(server.recent_successes) / len(
+            server.recent_successes
+        ) < usual - HEALTH_GAP and aside < ASIDE_MOST * len(self._ready):
             self._rest(server, now + ASIDE_SPAN + self._random.uniform(0, ASIDE_RANDOM))
-            self._host.set_aside(server.entry.server, server.back_at - now)
+            self._host.report_ejection(server.entry.number, server.ejected_until - now)
 
-    def _rest(self, server: Server, until: float) -> None:
-        server.back_at = until
+    def _rest(self, server: Endpoint, until: float) -> None:
+        server.ejected_until = until
         self._resting[server] = None
 
-    def _answered(self, server: Server, load: Load, now: float) -> None:
-        server.answer, server.answered_at = load, now
+    def _answered(self, server: Endpoint, load: LoadReport, now: float) -> None:
+        server.load_report, server.load_reported_at = load, now
         if server in self._pool:
             self._pool.remove(server)
         # Guards against sends to a server the list has dropped: a late outcome may still bring its report.
-        if self._servers.get(server.entry.server) is server:
+        if self._servers.get(server.entry.number) is server:
             self._pool.append(server)
 
     def _probe_on(self) -> None:
@@ -836,55 +900,55 @@
             asked = (self._familiar(self._host.now()) if self._odd_probe else []) or self._ready
             self._ask(self._random.choice(asked))
 
-    def _ask(self, server: Server) -> None:
-        server.asked_at = self._host.now()
-        self._host.probe(server.entry.server)
+    def _ask(self, server: Endpoint) -> None:
+        server.probe_sent_at = self._host.now()
+        self._host.send_probe(server.entry.number)
 
-    def _enter(self, entry: ServerEntry) -> None:
-        known = self._servers.get(entry.server)
-        if entry.presence is Presence.GONE:
+    def _enter(self, entry: EndpointEntry) -> None:
+        known = self._servers.get(entry.number)
+        if entry.state is EndpointState.REMOVED:
             # Guards against growing with each server that ever was; dispatches there still know its group.
-            self._servers.pop(entry.server, None)
+            self._servers.pop(entry.number, None)
         elif known is None or entry.started_at > known.entry.started_at:
             # Guards against judging a restarted server by what it was before.
             self._fresh(entry)
         else:
             # Guards against word from before it was given back: that it is warm.
-            start = entry.started_at if entry.started_at > known.out_since else known.entry.started_at
+            start = entry.started_at if entry.started_at > known.banned_since else known.entry.started_at
             known.entry = replace(entry, started_at=start)
 
-    def _fresh(self, entry: ServerEntry) -> Server:
+    def _fresh(self, entry: EndpointEntry) -> Endpoint:
         now = self._host.now()
-        known = self._servers[entry.server] = Server(entry)
+        known = self._servers[entry.number] = Endpoint(entry)
         if self._is_cold(known, now):
-            known.cold_from, known.cold_due = now, self._random.random()
+            known.slow_start_credit_from, known.slow_start_credit_needed = now, self._random.random()
         return known
 
-    def _is_open(self, server: Server) -> bool:
+    def _is_open(self, server: Endpoint) -> bool:
         """Whether anything new may go there: the list has it ready, and no operator has it out."""
-        return server.entry.presence is Presence.READY and server.entry.server not in self._barred
+        return server.entry.state is EndpointState.ACTIVE and server.entry.number not in self._barred
 
     def _past_share(self, operator: int, now: float) -> bool:
         if operator >= len(self._quotas) or self._quotas[operator] <= 0:
             return False
         asked, most = self._asked[operator], self._quotas[operator] * RETRY_SPAN / self._parts()
-        past = self._lately(asked) >= most / self._terms.processes
+        past = self._lately(asked) >= most / self._terms.process_count
         if not past:
             asked.append((now,))
         return past
 
-    def _age(self, job: Job, profile: Profile, now: float) -> float:
+    def _age(self, job: NewRequest, profile: RequestClass, now: float) -> float:
         """How long the client has waited, read off the time left against the longest seen lately."""
-        lefts = self._lefts.get(job.profile)
+        lefts = self._lefts.get(job.request_class)
         if lefts is None:
             return 0.0
-        lefts.append((job.time_left, job.repeat))
+        lefts.append((job.time_left, job.is_client_retry))
         # Guards against first tries passing for old beside a last retry; they yield while room is scarce.
         scarce = any(repeat for _, repeat in lefts) and self._scarce(now)
         usual = max((left for left, repeat in lefts if scarce or not repeat), default=job.time_left)
-        if job.repeat:
+        if job.is_client_retry:
             own = abs(job.time_left - usual) > 0.02 * usual
-            return max(0.0, profile.abandon_time - job.time_left) if own else 0.0
+            return max(0.0, profile.deadline - job.time_left) if own else 0.0
         return usual - job.time_left
 
     def _quick(self, profile: int) -> float:
@@ -893,7 +957,7 @@
 
     def _advice(self) -> float:
         wait = ADVICE_LEAST + len(self._queue) / max(self._clearing.rate(self._host.now()), 1.0)
-        return min(wait * self._random.uniform(1.0, 2.0), self._terms.advice_limit)
+        return min(wait * self._random.uniform(1.0, 2.0), self._terms.retry_after_max)
 
     def _after(self, delay: float, due: Callable[[], None]) -> None:
         self._token += 1
@@ -906,41 +970,52 @@
             kept.popleft()
 
 
-UNKNOWN_PROFILE = Profile(contract_time=1.0, abandon_time=math.inf)  # taken as at-most-once
-UNHEARD = (Result.RECALLED, Result.TIMED_OUT, Result.NEVER_SENT)
-NEVER_RAN = (Result.FULL, Result.NO_CONNECTION, Result.NEVER_SENT)
-OWNED_ANYWHERE = (Result.FULL, Result.NO_CONNECTION, Result.RESET, Result.SPOILT)
-OWNED_DEEPEST = (*OWNED_ANYWHERE, Result.ERROR, Result.TIMED_OUT)
-FAULTS = (Result.ERROR, Result.TIMED_OUT, Result.NO_CONNECTION, Result.RESET, Result.SPOILT)
+UNKNOWN_PROFILE = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
+UNHEARD = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
+NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
+OWNED_ANYWHERE = (
+    AttemptResult.REJECTED,
+    AttemptResult.NO_CONNECTION,
+    AttemptResult.RESET,
+    AttemptResult.MALFORMED,
+)
+OWNED_DEEPEST = (*OWNED_ANYWHERE, AttemptResult.ERROR, AttemptResult.TIMED_OUT)
+FAULTS = (
+    AttemptResult.ERROR,
+    AttemptResult.TIMED_OUT,
+    AttemptResult.NO_CONNECTION,
+    AttemptResult.RESET,
+    AttemptResult.MALFORMED,
+)
 
-B, S, E = Balancer, State, Input
+B, S, E = Balancer, RequestState, RequestEvent
 TABLE = (
     # state, input, judgement, next state, effect; the first row whose judgement holds is taken
-    Row(S.NEW, E.ARRIVED, B._hopeless, S.ENDED, B._give_up),
-    Row(S.NEW, E.ARRIVED, B._crowded_out, S.ENDED, B._give_up),
-    Row(S.NEW, E.ARRIVED, B._finds_place, S.OUT, B._send_first),
-    Row(S.NEW, E.ARRIVED, B._may_wait, S.WAITING, B._wait),
-    Row(S.NEW, E.ARRIVED, B._always, S.ENDED, B._give_up),
-    Row(S.WAITING, E.TURN, B._hopeless, S.ENDED, B._give_up),
-    Row(S.WAITING, E.TURN, B._finds_place, S.OUT, B._send_first),
-    Row(S.WAITING, E.LAST_CALL, B._always, S.ENDED, B._give_up),
-    Row(S.WAITING, E.WITHDRAWN, B._always, S.ENDED, B._leave),
-    Row(S.OUT, E.OWNED, B._others_out, S.OUT, B._nothing),
-    Row(S.OUT, E.OWNED, B._may_retry, S.OUT, B._send_again),
-    Row(S.OUT, E.OWNED, B._always, S.ENDED, B._give_up),
-    Row(S.OUT, E.PASSED_ALONG, B._others_out, S.OUT, B._nothing),
-    Row(S.OUT, E.PASSED_ALONG, B._always, S.ENDED, B._give_up),
-    Row(S.OUT, E.OVERDUE, B._copy_due, S.OUT, B._send_again),
-    Row(S.OUT, E.OVERDUE, B._recall_due, S.OUT, B._take_back),
-    Row(S.OUT, E.BEGUN, B._always, S.STREAMING, B._nothing),
-    Row(S.OUT, E.OVER, B._always, S.ENDED, B._leave),
-    Row(S.OUT, E.LAST_CALL, B._always, S.ENDED, B._give_up),
-    Row(S.OUT, E.WITHDRAWN, B._always, S.ENDED, B._leave),
-    Row(S.STREAMING, E.OWNED, B._others_out, S.STREAMING, B._nothing),
-    Row(S.STREAMING, E.OWNED, B._always, S.ENDED, B._give_up),
-    Row(S.STREAMING, E.PASSED_ALONG, B._others_out, S.STREAMING, B._nothing),
-    Row(S.STREAMING, E.PASSED_ALONG, B._always, S.ENDED, B._give_up),
-    Row(S.STREAMING, E.OVER, B._always, S.ENDED, B._leave),
-    Row(S.STREAMING, E.WITHDRAWN, B._always, S.ENDED, B._leave),
+    Transition(S.NEW, E.ARRIVED, B._hopeless, S.ENDED, B._give_up),
+    Transition(S.NEW, E.ARRIVED, B._crowded_out, S.ENDED, B._give_up),
+    Transition(S.NEW, E.ARRIVED, B._finds_place, S.IN_FLIGHT, B._send_first),
+    Transition(S.NEW, E.ARRIVED, B._may_wait, S.QUEUED, B._wait),
+    Transition(S.NEW, E.ARRIVED, B._always, S.ENDED, B._give_up),
+    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._hopeless, S.ENDED, B._give_up),
+    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._finds_place, S.IN_FLIGHT, B._send_first),
+    Transition(S.QUEUED, E.DEADLINE_NEAR, B._always, S.ENDED, B._give_up),
+    Transition(S.QUEUED, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
+    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._others_out, S.IN_FLIGHT, B._nothing),
+    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._may_retry, S.IN_FLIGHT, B._send_again),
+    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._always, S.ENDED, B._give_up),
+    Transition(S.IN_FLIGHT, E.OTHER_FAILURE, B._others_out, S.IN_FLIGHT, B._nothing),
+    Transition(S.IN_FLIGHT, E.OTHER_FAILURE, B._always, S.ENDED, B._give_up),
+    Transition(S.IN_FLIGHT, E.OVERDUE, B._copy_due, S.IN_FLIGHT, B._send_again),
+    Transition(S.IN_FLIGHT, E.OVERDUE, B._recall_due, S.IN_FLIGHT, B._take_back),
+    Transition(S.IN_FLIGHT, E.RESPONSE_STARTED, B._always, S.STREAMING, B._nothing),
+    Transition(S.IN_FLIGHT, E.COMPLETED, B._always, S.ENDED, B._leave),
+    Transition(S.IN_FLIGHT, E.DEADLINE_NEAR, B._always, S.ENDED, B._give_up),
+    Transition(S.IN_FLIGHT, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
+    Transition(S.STREAMING, E.ENDPOINT_FAULT, B._others_out, S.STREAMING, B._nothing),
+    Transition(S.STREAMING, E.ENDPOINT_FAULT, B._always, S.ENDED, B._give_up),
+    Transition(S.STREAMING, E.OTHER_FAILURE, B._others_out, S.STREAMING, B._nothing),
+    Transition(S.STREAMING, E.OTHER_FAILURE, B._always, S.ENDED, B._give_up),
+    Transition(S.STREAMING, E.COMPLETED, B._always, S.ENDED, B._leave),
+    Transition(S.STREAMING, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
 )
 ROWS = {key: [row for row in TABLE if row[:2] == key] for key in dict.fromkeys(row[:2] for row in TABLE)}
--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -19,21 +19,21 @@
 
 from notchjunction.balancing.balancer import Balancer
 from notchjunction.balancing.interface import (
-    Decisions,
-    Effect,
-    Job,
-    Load,
-    News,
-    Outcome,
-    Profile,
-    Result,
-    ServerEntry,
-    Terms,
-    Told,
+    AttemptOutcome,
+    AttemptResult,
+    BalancerSettings,
+    EndpointEntry,
+    Idempotency,
+    ListUpdate,
+    LoadReport,
+    NewRequest,
+    PeerOutcome,
+    RequestBalancer,
+    RequestClass,
 )
-from notchjunction.balancing.outcome_gossip import Notes, Word, tag_of
-from notchjunction.discovery.endpoints import Listed, Presence
-from notchjunction.discovery.start_times import Starts
+from notchjunction.balancing.outcome_gossip import OutcomeGossip, OutcomeReport, endpoint_hash
+from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
+from notchjunction.discovery.start_times import StartTimes
 
 GONE_KEPT = 1024  # names that left the list and that operators may still speak of; a release of a large fleet
 UNKNOWN = -1  # the number of no profile
@@ -41,87 +41,87 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Names:
+class SettingNames:
     """The words under which callers and the list name what the module numbers."""
 
-    profiles: Sequence[str] = ()
-    operators: Sequence[str] = ()
+    request_classes: Sequence[str] = ()
+    tenants: Sequence[str] = ()
     zones: Sequence[str] = ()
 
 
 @dataclass(frozen=True, slots=True)
-class Ask:
+class RequestSpec:
     """A job as its caller states it; `effect` is what method and key say."""
 
-    profile: str
+    request_class: str
     time_left: float
-    effect: Effect = Effect.AT_MOST_ONCE
-    operator: str = ""
-    repeat: bool = False
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    tenant: str = ""
+    is_client_retry: bool = False
     work_hint: float | None = None
-    whole: bool = True  # whether its last byte has come; else `whole` tells of it
-    key: str = ""
+    complete: bool = True  # whether its last byte has come; else `whole` tells of it
+    affinity_key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Ended:
+class ExchangeOutcome:
     """How a dispatch or a probe ended, and after how long."""
 
-    result: Result
+    result: AttemptResult
     seconds: float
-    load: Load | None = None
-    spent: bool = False  # more of the request was sent on than is kept: there is no other dispatch
+    load: LoadReport | None = None
+    unrepeatable: bool = False  # more of the request was sent on than is kept: there is no other dispatch
 
 
-class Kind(NamedTuple):
+class NumberedClass(NamedTuple):
     """A profile as it is in force, and its numbers."""
 
-    profile: Profile
+    request_class: RequestClass
     number: int
-    cautious: int
+    non_idempotent_number: int
 
 
 # Orders about a job.
 
 
 @dataclass(frozen=True, slots=True)
-class Send:
-    dispatch: int
-    server: str
-    until: float  # s on the decider's clock: the end of the time that it is given
+class SendAttempt:
+    attempt: int
+    endpoint: str
+    expires_at: float  # s on the decider's clock: the end of the time that it is given
 
 
 @dataclass(frozen=True, slots=True)
-class Stop:
-    dispatch: int
+class CancelAttempt:
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class Begin:
+class StartResponse:
     """That dispatch's answer has begun to come and is the final one, whatever becomes of it."""
 
-    dispatch: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class PassOn:
+class ForwardResponse:
     """That dispatch's answer is the final one."""
 
-    dispatch: int
+    attempt: int
 
 
 @dataclass(frozen=True, slots=True)
-class TurnBack:
-    come_back_in: float
+class RejectRequest:
+    retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
-class WriteOff:
+class FailRequest:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class Leave:
+class DropRequest:
     """The caller has gone; nothing is owed."""
 
 
@@ -129,49 +129,51 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Probe:
-    server: str
+class SendProbe:
+    endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
-class Follow:
+class PollList:
     pass
 
 
 @dataclass(frozen=True, slots=True)
-class SetAside:
+class ReportEjection:
     """To be told to whoever is on call; nothing is to be done."""
 
-    server: str
+    endpoint: str
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class Tell:
+class SendGossip:
     """A note for a peer; that it arrives is not counted on."""
 
     peer: int
-    note: bytes
+    datagram: bytes
 
 
-Order = Send | Stop | Begin | PassOn | TurnBack | WriteOff | Leave
-Errand = Probe | Follow | SetAside | Tell
+RequestCommand = (
+    SendAttempt | CancelAttempt | StartResponse | ForwardResponse | RejectRequest | FailRequest | DropRequest
+)
+NodeCommand = SendProbe | PollList | ReportEjection | SendGossip
 
 
 @dataclass(slots=True, eq=False)
-class Ticket:
+class RequestHandle:
     """A job that was taken, until its final answer is ordered and its last dispatch reported."""
 
     number: int
-    orders: asyncio.Queue[Order] = field(default_factory=asyncio.Queue)
-    servers: list[int] = field(default_factory=list)  # by dispatch
-    out: set[int] = field(default_factory=set)
-    stopped: set[int] = field(default_factory=set)  # dispatches, whether or not their Stop was picked
-    begun: bool = False  # a large answer is on its way
+    commands: asyncio.Queue[RequestCommand] = field(default_factory=asyncio.Queue)
+    endpoints: list[int] = field(default_factory=list)  # by dispatch
+    in_flight: set[int] = field(default_factory=set)
+    cancelled: set[int] = field(default_factory=set)  # dispatches, whether or not their Stop was picked
+    response_started: bool = False  # a large answer is on its way
     answered: bool = False
 
 
-class Decider:
+class BalancerEngine:
     """The facade. `clock` gives Unix time that never jumps, `wake` asks for a `tick` after a delay.
 
     `wall` gives Unix time as the machine has it now, by which the list tells when servers started.
@@ -179,346 +181,363 @@
 
     def __init__(
         self,
-        terms: Terms,
-        names: Names,
+        terms: BalancerSettings,
+        names: SettingNames,
         clock: Callable[[], float],
         wake: Callable[[float], None],
         wall: Callable[[], float] | None = None,
     ) -> None:
         self._clock = clock
         self._wall = wall or clock
-        self._starts = Starts(clock())
+        self._start_times = StartTimes(clock())
         self._wake = wake
-        self._kinds: dict[str, Kind] = {}
-        self._kinds_made = 0
-        self._operators = {name: index for index, name in enumerate(names.operators)}
+        self._request_classes: dict[str, NumberedClass] = {}
+        self._class_numbers_given = 0
+        self._tenants = {name: index for index, name in enumerate(names.tenants)}
         self._zones = {name: index for index, name in enumerate(names.zones)}
-        self._servers: dict[str, int] = {}
-        self._names: dict[int, str] = {}
-        self._tags: dict[int, int] = {}  # the numbers of servers by the tags of their names
-        self._notes = Notes(terms.seed)
-        self._listed = 0
-        self._gone: deque[str] = deque(maxlen=GONE_KEPT)
-        self.barred: set[str] = set()  # by operators; whatever the list says
-        self._tickets: dict[int, Ticket] = {}
-        self._taken = 0
-        self._errands: asyncio.Queue[Errand] = asyncio.Queue()
+        self._endpoint_numbers: dict[str, int] = {}
+        self._endpoint_names: dict[int, str] = {}
+        self._numbers_by_hash: dict[int, int] = {}  # the numbers of servers by the tags of their names
+        self._gossip = OutcomeGossip(terms.seed)
+        self._endpoint_numbers_given = 0
+        self._removed_names: deque[str] = deque(maxlen=GONE_KEPT)
+        self.banned: set[str] = set()  # by operators; whatever the list says
+        self._handles: dict[int, RequestHandle] = {}
+        self._submitted = 0
+        self._node_commands: asyncio.Queue[NodeCommand] = asyncio.Queue()
         self._timers: list[tuple[float, int]] = []
-        self._awake_at = math.inf
-        self.lags: deque[float] = deque(maxlen=LAGS_KEPT)
-        self._terms = terms
-        self._number_profiles(terms, names)
-        self._core: Decisions = Balancer(replace(terms, profiles=[]), _Desk(self))
-        self._core.retuned(terms, self._numbered())
+        self._wake_at = math.inf
+        self.timer_lags: deque[float] = deque(maxlen=LAGS_KEPT)
+        self._settings = terms
+        self._number_request_classes(terms, names)
+        self._balancer: RequestBalancer = Balancer(replace(terms, request_classes=[]), _EngineHost(self))
+        self._balancer.settings_changed(terms, self._numbered_classes())
 
     # What the node calls.
 
-    def take(self, ask: Ask) -> Ticket:
-        self._taken += 1
-        ticket = Ticket(self._taken)
-        self._tickets[ticket.number] = ticket
-        job = Job(
+    def submit(self, ask: RequestSpec) -> RequestHandle:
+        self._submitted += 1
+        ticket = RequestHandle(self._submitted)
+        self._handles[ticket.number] = ticket
+        job = NewRequest(
             id=ticket.number,
-            profile=self._profile(ask),
-            operator=self._operators.get(ask.operator, 0),
+            request_class=self._class_number(ask),
+            tenant=self._tenants.get(ask.tenant, 0),
             time_left=ask.time_left,
-            repeat=ask.repeat,
+            is_client_retry=ask.is_client_retry,
             work_hint=ask.work_hint,
-            whole=ask.whole,
-            key=ask.key,
+            complete=ask.complete,
+            affinity_key=ask.affinity_key,
         )
         try:
-            self._core.take(job)
+            self._balancer.request_arrived(job)
         except Exception:
-            self.withdraw(ticket)
+            self.cancel(ticket)
             raise
         return ticket
 
-    async def pick(self, ticket: Ticket) -> Order:
-        return await ticket.orders.get()
+    async def next_command(self, ticket: RequestHandle) -> RequestCommand:
+        return await ticket.commands.get()
 
-    def report(self, ticket: Ticket, dispatch: int, ended: Ended) -> None:
-        ticket.out.discard(dispatch)
-        first = ended.result is Result.HONOURED and not ticket.answered
+    def report_attempt(self, ticket: RequestHandle, dispatch: int, ended: ExchangeOutcome) -> None:
+        ticket.in_flight.discard(dispatch)
+        first = ended.result is AttemptResult.SUCCEEDED and not ticket.answered
         ticket.answered = ticket.answered or first
-        server = ticket.servers[dispatch]
+        server = ticket.endpoints[dispatch]
         over = ticket.answered
-        self._core.outcome(
-            Outcome(
-                ticket.number, dispatch, server, ended.result, ended.seconds, over, ended.load, ended.spent
+        self._balancer.attempt_ended(
+            AttemptOutcome(
+                ticket.number,
+                dispatch,
+                server,
+                ended.result,
+                ended.seconds,
+                over,
+                ended.load,
+                ended.unrepeatable,
             )
         )
         if first:
-            ticket.orders.put_nowait(PassOn(dispatch))
+            ticket.commands.put_nowait(ForwardResponse(dispatch))
         self._release(ticket)
 
-    def whole(self, ticket: Ticket, most: float = math.inf) -> None:
+    def report_body_complete(self, ticket: RequestHandle, most: float = math.inf) -> None:
         """The job's last byte has come: its time counts from now, and is so many seconds at most."""
         if not ticket.answered:
-            self._core.whole(ticket.number, most)
+            self._balancer.body_completed(ticket.number, most)
 
-    def stands(self, ticket: Ticket, dispatch: int) -> bool:
+    def is_wanted(self, ticket: RequestHandle, dispatch: int) -> bool:
         """Whether a dispatch that was ordered is still wanted; orders against it may wait to be picked."""
-        return not ticket.answered and dispatch not in ticket.stopped
+        return not ticket.answered and dispatch not in ticket.cancelled
 
-    def repeat_until(self, ticket: Ticket, dispatch: int) -> float:
+    def repeatable_until(self, ticket: RequestHandle, dispatch: int) -> float:
         """Until when (s) a dispatch can't make an effect happen twice; inf: always, -inf: it may already."""
-        return self._core.repeat_until(ticket.number, dispatch)
+        return self._balancer.repeatable_until(ticket.number, dispatch)
 
     def now(self) -> float:
         """Unix time (s) that never jumps."""
         return self._clock()
 
-    def begun(self, ticket: Ticket, dispatch: int) -> bool:
+    def report_response_started(self, ticket: RequestHandle, dispatch: int) -> bool:
         """A large answer has begun to come; false where the job has its answer, or recalled this one."""
-        if ticket.begun or not self.stands(ticket, dispatch):
+        if ticket.response_started or not self.is_wanted(ticket, dispatch):
             return False
-        ticket.begun = True
-        ticket.orders.put_nowait(Begin(dispatch))
-        self._core.streaming(ticket.number, dispatch)
+        ticket.response_started = True
+        ticket.commands.put_nowait(StartResponse(dispatch))
+        self._balancer.response_started(ticket.number, dispatch)
         return True
 
-    def withdraw(self, ticket: Ticket) -> None:
+    def cancel(self, ticket: RequestHandle) -> None:
         """The caller has gone, or the node itself failed the job."""
         if not ticket.answered:
             ticket.answered = True
             try:
-                self._core.withdrawn(ticket.number)
+                self._balancer.request_cancelled(ticket.number)
             finally:
-                ticket.orders.put_nowait(Leave())
+                ticket.commands.put_nowait(DropRequest())
                 self._release(ticket)
 
-    def retune(self, terms: Terms, names: Names) -> None:
+    def apply_settings(self, terms: BalancerSettings, names: SettingNames) -> None:
         """New terms for what comes from now on; jobs that are held keep the profile they were taken with."""
-        self._operators = {name: index for index, name in enumerate(names.operators)}
+        self._tenants = {name: index for index, name in enumerate(names.tenants)}
         if terms.zone < len(names.zones):
             # Guards against a list of zones in another order: servers keep the numbers that they have.
             name = names.zones[terms.zone]
             terms = replace(terms, zone=self._zones.setdefault(name, len(self._zones)))
-        self._terms = replace(terms, processes=self._terms.processes)
-        self._number_profiles(terms, names)
-        self._core.retuned(self._terms, self._numbered())
+        self._settings = replace(terms, process_count=self._settings.process_count)
+        self._number_request_classes(terms, names)
+        self._balancer.settings_changed(self._settings, self._numbered_classes())
 
-    async def errand(self) -> Errand:
-        return await self._errands.get()
+    async def next_node_command(self) -> NodeCommand:
+        return await self._node_commands.get()
 
-    def report_probe(self, server: str, ended: Ended) -> None:
-        if server in self._servers:  # it may have left the list meanwhile
-            self._core.probed(self._servers[server], ended.result, ended.load)
+    def report_probe(self, server: str, ended: ExchangeOutcome) -> None:
+        if server in self._endpoint_numbers:  # it may have left the list meanwhile
+            self._balancer.probe_ended(self._endpoint_numbers[server], ended.result, ended.load)
 
-    def report_list(self, news: News, listed: Sequence[Listed] = ()) -> None:
-        self._core.listed(news, [self._entry(server) for server in listed])
-        if news is News.FAILED:
+    def apply_list_update(self, news: ListUpdate, listed: Sequence[ListedEndpoint] = ()) -> None:
+        self._balancer.list_updated(news, [self._entry(server) for server in listed])
+        if news is ListUpdate.FAILED:
             return
-        if news is not News.REMEMBERED:
-            self._starts.heard(self._clock())
+        if news is not ListUpdate.CACHED:
+            self._start_times.list_received(self._clock())
         # Guards against growing with every server that ever was. Numbers are never given out again.
-        gone = {server.name for server in listed if server.presence is Presence.GONE}
-        if news is not News.CHANGES:
-            gone |= self._servers.keys() - {server.name for server in listed}
+        gone = {server.name for server in listed if server.state is EndpointState.REMOVED}
+        if news is not ListUpdate.CHANGES:
+            gone |= self._endpoint_numbers.keys() - {server.name for server in listed}
         for name in gone:
-            self._names.pop(self._servers.pop(name))
-            self._tags.pop(tag_of(name), None)
-            self._gone.append(name)
+            self._endpoint_names.pop(self._endpoint_numbers.pop(name))
+            self._numbers_by_hash.pop(endpoint_hash(name), None)
+            self._removed_names.append(name)
 
-    def hear(self, peer: int, note: bytes) -> None:
+    def receive_gossip(self, peer: int, note: bytes) -> None:
         """A peer's note; what is not in the own list is passed over, and what can't be read."""
-        if told := self._notes.told(peer, note, self._tags):
-            self._core.heard(told)
+        if told := self._gossip.peer_outcomes(peer, note, self._numbers_by_hash):
+            self._balancer.gossip_received(told)
 
     @property
-    def notes_passed_over(self) -> int:
-        return self._notes.passed_over
+    def ignored_reports(self) -> int:
+        return self._gossip.ignored
 
-    def bar(self, server: str, known: bool = False) -> bool:
+    def ban(self, server: str, known: bool = False) -> bool:
         """An operator takes a server out of use; false where nobody has heard of it."""
-        if not known and not self._heard_of(server):
+        if not known and not self._is_known(server):
             return False
-        self.barred.add(server)
-        if server in self._servers:
-            self._core.barred(self._servers[server], True)
+        self.banned.add(server)
+        if server in self._endpoint_numbers:
+            self._balancer.ban_changed(self._endpoint_numbers[server], True)
         return True
 
-    def unbar(self, server: str) -> bool:
+    def lift_ban(self, server: str) -> bool:
         """An operator gives a server back, however often it was taken out."""
-        if not self._heard_of(server):
+        if not self._is_known(server):
             return False
-        self.barred.discard(server)
-        if server in self._servers:
-            self._core.barred(self._servers[server], False)
+        self.banned.discard(server)
+        if server in self._endpoint_numbers:
+            self._balancer.ban_changed(self._endpoint_numbers[server], False)
         return True
 
-    def lessons(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         """What was learned so far, by names: for a process that follows this one."""
-        found = self._core.lessons()
+        found = self._balancer.export_state()
         return {
             "clearing": found["clearing"],
-            "servers": {self._names[index]: known for index, known in found["servers"].items()},
-            "spent": {name: found["spent"][kind.number] for name, kind in self._kinds.items()},
+            "servers": {self._endpoint_names[index]: known for index, known in found["servers"].items()},
+            "spent": {name: found["spent"][kind.number] for name, kind in self._request_classes.items()},
         }
 
     def start_ages(self) -> Mapping[str, Sequence[float]]:
         """What is known of when servers started, for a process that follows this one (`inherit_starts`)."""
-        return self._starts.ages(self._clock())
+        return self._start_times.ages(self._clock())
 
-    def inherit_starts(self, ages: Mapping[str, Sequence[float]]) -> None:
+    def restore_start_times(self, ages: Mapping[str, Sequence[float]]) -> None:
         """Takes that over, before any list is; TypeError, ValueError or AttributeError where it is none."""
-        self._starts.inherit(ages, self._clock())
+        self._start_times.restore(ages, self._clock())
 
-    def learn(self, lessons: Mapping[str, Any]) -> None:
+    def restore_state(self, lessons: Mapping[str, Any]) -> None:
         """Takes over what another process learned, of servers and profiles that are known here too."""
         servers, spent = lessons["servers"], lessons["spent"]
         known = {
             "clearing": lessons["clearing"],
-            "servers": {index: servers[name] for index, name in self._names.items() if name in servers},
-            "spent": {kind.number: spent[name] for name, kind in self._kinds.items() if name in spent},
+            "servers": {
+                index: servers[name] for index, name in self._endpoint_names.items() if name in servers
+            },
+            "spent": {
+                kind.number: spent[name] for name, kind in self._request_classes.items() if name in spent
+            },
         }
-        self._core.learn(known)
+        self._balancer.restore_state(known)
 
-    def share(self, processes: int) -> None:
+    def set_process_count(self, processes: int) -> None:
         """So many processes are this one node from now on: each keeps to its part."""
-        self._terms = replace(self._terms, processes=processes)
-        self._core.retuned(self._terms, self._numbered())
+        self._settings = replace(self._settings, process_count=processes)
+        self._balancer.settings_changed(self._settings, self._numbered_classes())
 
-    def _heard_of(self, server: str) -> bool:
-        return server in self._servers or server in self.barred or server in self._gone
+    def _is_known(self, server: str) -> bool:
+        return server in self._endpoint_numbers or server in self.banned or server in self._removed_names
 
-    def tick(self) -> None:
+    def run_due_timers(self) -> None:
         now = self._clock()
-        self._awake_at = math.inf
+        self._wake_at = math.inf
         try:
             while self._timers and self._timers[0][0] <= now:
                 due, token = heapq.heappop(self._timers)
-                self.lags.append(now - due)
-                self._core.timer(token)
+                self.timer_lags.append(now - due)
+                self._balancer.timer_fired(token)
         finally:
             # Guards against a node that never wakes again after one failure.
-            self._ask_wake()
+            self._request_wake()
 
     @property
-    def held(self) -> int:
-        return sum(1 for ticket in self._tickets.values() if not ticket.answered)
+    def in_flight(self) -> int:
+        return sum(1 for ticket in self._handles.values() if not ticket.answered)
 
     @property
-    def kept(self) -> int:
-        return len(self._tickets)
+    def tracked(self) -> int:
+        return len(self._handles)
 
     # What the module's actions become.
 
-    def _order(self, job: int, order: Order) -> None:
-        ticket = self._tickets[job]
-        ticket.orders.put_nowait(order)
-        if isinstance(order, Stop):
-            ticket.stopped.add(order.dispatch)
-        if isinstance(order, TurnBack | WriteOff):
+    def _command(self, job: int, order: RequestCommand) -> None:
+        ticket = self._handles[job]
+        ticket.commands.put_nowait(order)
+        if isinstance(order, CancelAttempt):
+            ticket.cancelled.add(order.attempt)
+        if isinstance(order, RejectRequest | FailRequest):
             ticket.answered = True
             self._release(ticket)
 
-    def _send(self, job: int, server: int, within: float) -> None:
-        ticket = self._tickets[job]
-        dispatch = len(ticket.servers)
-        ticket.servers.append(server)
-        ticket.out.add(dispatch)
-        self._order(job, Send(dispatch, self._names[server], self._clock() + within))
+    def _send_attempt(self, job: int, server: int, within: float) -> None:
+        ticket = self._handles[job]
+        dispatch = len(ticket.endpoints)
+        ticket.endpoints.append(server)
+        ticket.in_flight.add(dispatch)
+        self._command(job, SendAttempt(dispatch, self._endpoint_names[server], self._clock() + within))
 
-    def _tell(self, peer: int, newest: int, told: Sequence[Told]) -> None:
+    def _send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
         # Numbers are never given out again: a server that has left the list is told of without a tag.
-        tags = [tag_of(self._names.get(each.server, "")) for each in told]
-        words = [Word(tag, each.ago, each.good, each.seconds) for tag, each in zip(tags, told, strict=True)]
-        self._errands.put_nowait(Tell(peer, self._notes.write(newest, words)))
+        tags = [endpoint_hash(self._endpoint_names.get(each.endpoint, "")) for each in told]
+        words = [
+            OutcomeReport(tag, each.age, each.success, each.seconds)
+            for tag, each in zip(tags, told, strict=True)
+        ]
+        self._node_commands.put_nowait(SendGossip(peer, self._gossip.encode(newest, words)))
 
     def _set_timer(self, delay: float, token: int) -> None:
         heapq.heappush(self._timers, (self._clock() + delay, token))
-        self._ask_wake()
+        self._request_wake()
 
-    def _ask_wake(self) -> None:
-        if self._timers and self._timers[0][0] < self._awake_at:
-            self._awake_at = self._timers[0][0]
-            self._wake(max(0.0, self._awake_at - self._clock()))
+    def _request_wake(self) -> None:
+        if self._timers and self._timers[0][0] < self._wake_at:
+            self._wake_at = self._timers[0][0]
+            self._wake(max(0.0, self._wake_at - self._clock()))
 
     # Numbers for names.
 
-    def _release(self, ticket: Ticket) -> None:
-        if ticket.answered and not ticket.out:
-            self._tickets.pop(ticket.number, None)
+    def _release(self, ticket: RequestHandle) -> None:
+        if ticket.answered and not ticket.in_flight:
+            self._handles.pop(ticket.number, None)
 
-    def _number_profiles(self, terms: Terms, names: Names) -> None:
+    def _number_request_classes(self, terms: BalancerSettings, names: SettingNames) -> None:
         """A number for each profile, and one for its copy that a job gets whose method and key contradict it.
 
         A profile that has changed is another one: a number never changes its meaning.
         """
-        kinds: dict[str, Kind] = {}
-        for name, profile in zip(names.profiles, terms.profiles, strict=False):
-            kind = self._kinds.get(name)
-            if kind is None or kind.profile != profile:
-                kind = Kind(profile, self._kinds_made, self._kinds_made + 1)
-                self._kinds_made += 2
+        kinds: dict[str, NumberedClass] = {}
+        for name, profile in zip(names.request_classes, terms.request_classes, strict=False):
+            kind = self._request_classes.get(name)
+            if kind is None or kind.request_class != profile:
+                kind = NumberedClass(profile, self._class_numbers_given, self._class_numbers_given + 1)
+                self._class_numbers_given += 2
             kinds[name] = kind
-        self._kinds = kinds
+        self._request_classes = kinds
 
-    def _numbered(self) -> dict[int, Profile]:
-        kinds = self._kinds
-        numbered = {kind.number: kind.profile for kind in kinds.values()}
+    def _numbered_classes(self) -> dict[int, RequestClass]:
+        kinds = self._request_classes
+        numbered = {kind.number: kind.request_class for kind in kinds.values()}
         cautious = {
-            kind.cautious: replace(kind.profile, effect=Effect.AT_MOST_ONCE) for kind in kinds.values()
+            kind.non_idempotent_number: replace(kind.request_class, idempotency=Idempotency.NON_IDEMPOTENT)
+            for kind in kinds.values()
         }
         return numbered | cautious
 
-    def _profile(self, ask: Ask) -> int:
-        kind = self._kinds.get(ask.profile)
+    def _class_number(self, ask: RequestSpec) -> int:
+        kind = self._request_classes.get(ask.request_class)
         if kind is None:
             return UNKNOWN
-        return kind.number if kind.profile.effect is ask.effect else kind.cautious
-
-    def _entry(self, listed: Listed) -> ServerEntry:
-        if listed.name not in self._servers:
-            self._listed += 1
-            self._servers[listed.name] = self._listed
-            self._names[self._listed] = listed.name
-            self._tags[tag_of(listed.name)] = self._listed
-            if listed.name in self.barred:
-                self._core.barred(self._listed, True)
-        number = self._servers[listed.name]
+        return (
+            kind.number if kind.request_class.idempotency is ask.idempotency else kind.non_idempotent_number
+        )
+
+    def _entry(self, listed: ListedEndpoint) -> EndpointEntry:
+        if listed.name not in self._endpoint_numbers:
+            self._endpoint_numbers_given += 1
+            self._endpoint_numbers[listed.name] = self._endpoint_numbers_given
+            self._endpoint_names[self._endpoint_numbers_given] = listed.name
+            self._numbers_by_hash[endpoint_hash(listed.name)] = self._endpoint_numbers_given
+            if listed.name in self.banned:
+                self._balancer.ban_changed(self._endpoint_numbers_given, True)
+        number = self._endpoint_numbers[listed.name]
         # Guards against repeats outside the group: servers of an unknown cell or zone share it with nobody.
         zone = self._zones.setdefault(listed.zone, len(self._zones)) if listed.zone else -1 - number
-        cell = -1 - number if listed.cell is None else listed.cell
-        tag = tag_of(listed.name)
-        started_at = self._starts.at(listed.name, listed.started_at, self._clock(), self._wall())
-        return ServerEntry(number, listed.presence, started_at, zone, cell, tag=tag)
+        cell = -1 - number if listed.deduplication_group is None else listed.deduplication_group
+        tag = endpoint_hash(listed.name)
+        started_at = self._start_times.started_at(listed.name, listed.started_at, self._clock(), self._wall())
+        return EndpointEntry(number, listed.state, started_at, zone, cell, name_hash=tag)
 
 
-class _Desk:
+class _EngineHost:
     """The module's Host: its actions become orders."""
 
-    def __init__(self, decider: Decider) -> None:
-        self._decider = decider
+    def __init__(self, decider: BalancerEngine) -> None:
+        self._engine = decider
 
     def now(self) -> float:
-        return self._decider._clock()
+        return self._engine._clock()
 
-    def dispatch(self, job: int, server: int, within: float) -> None:
-        self._decider._send(job, server, within)
+    def send_attempt(self, job: int, server: int, within: float) -> None:
+        self._engine._send_attempt(job, server, within)
 
-    def recall(self, job: int, dispatch: int) -> None:
-        self._decider._order(job, Stop(dispatch))
+    def cancel_attempt(self, job: int, dispatch: int) -> None:
+        self._engine._command(job, CancelAttempt(dispatch))
 
-    def probe(self, server: int) -> None:
-        self._decider._errands.put_nowait(Probe(self._decider._names[server]))
+    def send_probe(self, server: int) -> None:
+        self._engine._node_commands.put_nowait(SendProbe(self._engine._endpoint_names[server]))
 
-    def turn_back(self, job: int, come_back_in: float) -> None:
-        self._decider._order(job, TurnBack(come_back_in))
+    def reject(self, job: int, come_back_in: float) -> None:
+        self._engine._command(job, RejectRequest(come_back_in))
 
-    def write_off(self, job: int) -> None:
-        self._decider._order(job, WriteOff())
+    def fail(self, job: int) -> None:
+        self._engine._command(job, FailRequest())
 
     def set_timer(self, delay: float, token: int) -> None:
-        self._decider._set_timer(delay, token)
+        self._engine._set_timer(delay, token)
 
-    def follow(self) -> None:
-        self._decider._errands.put_nowait(Follow())
+    def poll_list(self) -> None:
+        self._engine._node_commands.put_nowait(PollList())
 
-    def set_aside(self, server: int, seconds: float) -> None:
-        self._decider._errands.put_nowait(SetAside(self._decider._names[server], seconds))
+    def report_ejection(self, server: int, seconds: float) -> None:
+        self._engine._node_commands.put_nowait(ReportEjection(self._engine._endpoint_names[server], seconds))
 
-    def tell(self, peer: int, newest: int, told: Sequence[Told]) -> None:
-        self._decider._tell(peer, newest, told)
+    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
+        self._engine._send_gossip(peer, newest, told)
--- a/notchjunction/balancing/interface.py
+++ b/notchjunction/balancing/interface.py
@@ -10,202 +10,202 @@
 from enum import Enum
 from typing import Any, NamedTuple, Protocol
 
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.endpoints import EndpointState
 
 
-class Effect(Enum):
+class Idempotency(Enum):
     """What a second run of a job does."""
 
-    REISSUABLE = "reissuable"
-    NUMBERED = "numbered"
-    AT_MOST_ONCE = "at-most-once"
+    IDEMPOTENT = "reissuable"
+    KEYED = "numbered"
+    NON_IDEMPOTENT = "at-most-once"
 
 
-class Group(Enum):
+class DeduplicationScope(Enum):
     """Which servers drop a numbered job's repeats."""
 
     ALL = "all"
     ZONE = "zone"
-    CELL = "cell"
+    GROUP = "cell"
 
 
-class Result(Enum):
+class AttemptResult(Enum):
     """How a dispatch or a probe ended."""
 
-    HONOURED = "honoured"
+    SUCCEEDED = "succeeded"
     ERROR = "error"
-    FULL = "full"
+    REJECTED = "rejected"
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"
-    SPOILT = "spoilt"  # its answer could not be read: it may have run, and the connection is of no use
-    RECALLED = "recalled"
-    NEVER_SENT = "never sent"
+    MALFORMED = "malformed"  # its answer could not be read: it may have run, and the connection is of no use
+    CANCELLED = "cancelled"
+    NOT_SENT = "not sent"
     UNKNOWN = "unknown"
 
 
-class News(Enum):
+class ListUpdate(Enum):
     """What kind of list news came."""
 
     CHANGES = "changes"
-    WHOLE = "whole"
-    REMEMBERED = "remembered"
+    SNAPSHOT = "snapshot"
+    CACHED = "cached"
     FAILED = "failed"
 
 
 @dataclass(frozen=True, slots=True)
-class Profile:
-    contract_time: float
-    abandon_time: float
-    revenue: float = 1.0
-    late_share: float = 0.0
-    effect: Effect = Effect.AT_MOST_ONCE
-    group: Group = Group.CELL
-    window: float = 0.0
+class RequestClass:
+    latency_objective: float
+    deadline: float
+    priority_weight: float = 1.0
+    late_weight: float = 0.0
+    idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
+    deduplication_scope: DeduplicationScope = DeduplicationScope.GROUP
+    deduplication_window: float = 0.0
 
 
 @dataclass(frozen=True, slots=True)
-class Terms:
+class BalancerSettings:
     """What a node is told at start."""
 
     seed: int
-    profiles: Sequence[Profile]
-    operator_quotas: Sequence[float] = ()
-    overage: float = 1.0  # revenue of a job past its operator's share, as a part of its profile's
-    nodes: int = 1
-    processes: int = 1  # that are this one node together, as during an upgrade
-    depth: int | None = None
-    depths: int = 0
+    request_classes: Sequence[RequestClass]
+    tenant_quotas: Sequence[float] = ()
+    over_quota_weight: float = 1.0  # revenue of a job past its operator's share, as a part of its profile's
+    node_count: int = 1
+    process_count: int = 1  # that are this one node together, as during an upgrade
+    tier: int | None = None
+    tier_count: int = 0
     zone: int = 0
-    must_follow: bool = False
+    polls_list: bool = False
     probes: bool = True
-    recalls: bool = True
-    second_copies: bool = True
-    advice_limit: float = 0.0
-    max_dispatches: int = 1
-    ask_within: float = 0.0
+    cancellation: bool = True
+    hedging: bool = True
+    retry_after_max: float = 0.0
+    max_attempts: int = 1
+    poll_interval: float = 0.0
     tick: float = 0.005
-    crossing_price: float = 0.0
-    connection_price: float = 0.0
-    connection_idle: float = 0.0
-    connect_within: float = 0.0  # s that a connection may take to come up
-    connection_jobs: int = 1
-    cold_share: float = 1.0
-    cold_time: float = 0.0
-    tip_multiple: float = 3.0
-    beside_clients: bool = False  # each client process has a node of its own: many, each with little traffic
-    may_tell: bool = False
-    me: int = 0  # this node's number among those it may tell
-    warm_keys: bool = False  # a server that met a job's key lately does it for less work
+    cross_zone_cost: float = 0.0
+    connection_cost: float = 0.0
+    connection_idle_timeout: float = 0.0
+    connect_timeout: float = 0.0  # s that a connection may take to come up
+    streams_per_connection: int = 1
+    slow_start_share: float = 1.0
+    slow_start_time: float = 0.0
+    overload_multiple: float = 3.0
+    sidecar: bool = False  # each client process has a node of its own: many, each with little traffic
+    gossips: bool = False
+    node_index: int = 0  # this node's number among those it may tell
+    key_affinity: bool = False  # a server that met a job's key lately does it for less work
 
 
 @dataclass(slots=True)
-class Job:
+class NewRequest:
     id: int
-    profile: int
-    operator: int
+    request_class: int
+    tenant: int
     time_left: float
-    repeat: bool = False
+    is_client_retry: bool = False
     work_hint: float | None = None
-    whole: bool = True  # whether its last byte has come; its time counts from then
-    key: str = ""
+    complete: bool = True  # whether its last byte has come; its time counts from then
+    affinity_key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
-class Load:
+class LoadReport:
     """A server's own report; a figure it does not give is None."""
 
-    held: float | None = None
-    waiting: float | None = None
-    busy: float | None = None
-    pace: float | None = None
+    in_flight: float | None = None
+    queued: float | None = None
+    utilization: float | None = None
+    latency: float | None = None
     rate: float | None = None
-    errors: float | None = None
+    error_rate: float | None = None
 
 
 @dataclass(frozen=True, slots=True)
-class ServerEntry:
-    server: int
-    presence: Presence
+class EndpointEntry:
+    number: int
+    state: EndpointState
     started_at: float = 0.0
     zone: int = 0
-    cell: int = 0
-    power: float = 1.0  # rough size against other servers'
-    tag: int = 0  # the same at all nodes: a hash of its name
+    deduplication_group: int = 0
+    size: float = 1.0  # rough size against other servers'
+    name_hash: int = 0  # the same at all nodes: a hash of its name
 
 
-class Told(NamedTuple):
+class PeerOutcome(NamedTuple):
     """One outcome of a dispatch, as a peer tells of it; a hint, never a fact."""
 
-    server: int
-    ago: float
-    good: bool
+    endpoint: int
+    age: float
+    success: bool
     seconds: float
 
 
 @dataclass(frozen=True, slots=True)
-class Outcome:
-    job: int
-    dispatch: int
-    server: int
-    result: Result
+class AttemptOutcome:
+    request: int
+    attempt: int
+    endpoint: int
+    result: AttemptResult
     seconds: float
-    over: bool = False
-    load: Load | None = None
-    spent: bool = False  # the request can't be sent again: more of it was sent on than the host keeps
+    final: bool = False
+    load: LoadReport | None = None
+    unrepeatable: bool = False  # the request can't be sent again: more of it was sent on than the host keeps
 
 
-class Host(Protocol):
+class BalancerHost(Protocol):
     """What a node can do for the decisions."""
 
     def now(self) -> float: ...
 
-    def dispatch(self, job: int, server: int, within: float) -> None: ...
+    def send_attempt(self, job: int, server: int, within: float) -> None: ...
 
-    def recall(self, job: int, dispatch: int) -> None: ...
+    def cancel_attempt(self, job: int, dispatch: int) -> None: ...
 
-    def probe(self, server: int) -> None: ...
+    def send_probe(self, server: int) -> None: ...
 
-    def turn_back(self, job: int, come_back_in: float) -> None: ...
+    def reject(self, job: int, come_back_in: float) -> None: ...
 
-    def write_off(self, job: int) -> None: ...
+    def fail(self, job: int) -> None: ...
 
     def set_timer(self, delay: float, token: int) -> None: ...
 
-    def follow(self) -> None: ...
+    def poll_list(self) -> None: ...
 
-    def set_aside(self, server: int, seconds: float) -> None: ...
+    def report_ejection(self, server: int, seconds: float) -> None: ...
 
-    def tell(self, peer: int, newest: int, told: Sequence[Told]) -> None: ...
+    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None: ...
 
 
-class Decisions(Protocol):
+class RequestBalancer(Protocol):
     """What a host calls; `rules.Balancer` is one."""
 
-    def take(self, job: Job) -> None: ...
+    def request_arrived(self, job: NewRequest) -> None: ...
 
-    def outcome(self, outcome: Outcome) -> None: ...
+    def attempt_ended(self, outcome: AttemptOutcome) -> None: ...
 
-    def whole(self, job: int, most: float = ...) -> None: ...
+    def body_completed(self, job: int, most: float = ...) -> None: ...
 
-    def repeat_until(self, job: int, dispatch: int) -> float: ...
+    def repeatable_until(self, job: int, dispatch: int) -> float: ...
 
-    def streaming(self, job: int, dispatch: int) -> None: ...
+    def response_started(self, job: int, dispatch: int) -> None: ...
 
-    def withdrawn(self, job: int) -> None: ...
+    def request_cancelled(self, job: int) -> None: ...
 
-    def probed(self, server: int, result: Result, load: Load | None) -> None: ...
+    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None) -> None: ...
 
-    def timer(self, token: int) -> None: ...
+    def timer_fired(self, token: int) -> None: ...
 
-    def listed(self, news: News, entries: Sequence[ServerEntry]) -> None: ...
+    def list_updated(self, news: ListUpdate, entries: Sequence[EndpointEntry]) -> None: ...
 
-    def barred(self, server: int, out: bool) -> None: ...
+    def ban_changed(self, server: int, out: bool) -> None: ...
 
-    def heard(self, told: Sequence[Told]) -> None: ...
+    def gossip_received(self, told: Sequence[PeerOutcome]) -> None: ...
 
-    def retuned(self, terms: Terms, profiles: Mapping[int, Profile]) -> None: ...
+    def settings_changed(self, terms: BalancerSettings, profiles: Mapping[int, RequestClass]) -> None: ...
 
-    def lessons(self) -> dict[str, Any]: ...
+    def export_state(self) -> dict[str, Any]: ...
 
-    def learn(self, lessons: Mapping[str, Any]) -> None: ...
+    def restore_state(self, lessons: Mapping[str, Any]) -> None: ...
--- a/notchjunction/balancing/outcome_gossip.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -12,7 +12,7 @@
 from collections.abc import Mapping, Sequence
 from typing import NamedTuple
 
-from notchjunction.balancing.interface import Told
+from notchjunction.balancing.interface import PeerOutcome
 
 VERSION = 1
 MOST = 256  # bytes of a note
@@ -22,62 +22,66 @@
 ITEMS_MOST = (MOST - HEAD.size) // ITEM.size
 
 
-class Word(NamedTuple):
+class OutcomeReport(NamedTuple):
     """One outcome, newest first in a note."""
 
-    tag: int
-    ago: float
-    good: bool
-    seconds: float
+    endpoint_hash: int
+    age: float
+    success: bool
+    latency: float
 
 
-def tag_of(name: str) -> int:
+def endpoint_hash(name: str) -> int:
     """The same at all nodes; not Python's own hash, which differs from process to process."""
     return zlib.crc32(name.encode())
 
 
-class Notes:
+class OutcomeGossip:
     """One node's side of the talk. `start` tells this start of the node from its earlier ones."""
 
     def __init__(self, start: int) -> None:
         self._start = start & 0xFFFFFFFF
-        self._had: OrderedDict[int, tuple[int, int]] = OrderedDict()
-        self.passed_over = 0
+        self._newest_by_peer: OrderedDict[int, tuple[int, int]] = OrderedDict()
+        self.ignored = 0
 
-    def write(self, newest: int, words: Sequence[Word]) -> bytes:
+    def encode(self, newest: int, words: Sequence[OutcomeReport]) -> bytes:
         words = words[:ITEMS_MOST]
         head = HEAD.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(words))
         return head + b"".join(
             ITEM.pack(
-                word.tag,
-                min(max(0, round(word.ago * 100)), 0xFFFF),
-                min(max(0, round(word.seconds * 1000)), 0xFFFF),
-                word.good,
+                word.endpoint_hash,
+                min(max(0, round(word.age * 100)), 0xFFFF),
+                min(max(0, round(word.latency * 1000)), 0xFFFF),
+                word.success,
             )
             for word in words
         )
 
-    def read(self, peer: int, note: bytes) -> list[Word]:
+    def decode(self, peer: int, note: bytes) -> list[OutcomeReport]:
         """What is new in a note, oldest first; nothing where it can't be read."""
         if len(note) < HEAD.size or len(note) > MOST or note[0] != VERSION:
-            self.passed_over += 1
+            self.ignored += 1
             return []
         _, start, newest, count = HEAD.unpack_from(note)
         if len(note) != HEAD.size + count * ITEM.size:
-            self.passed_over += 1
+            self.ignored += 1
             return []
-        known, had = self._had.pop(peer, (start, 0))
+        known, had = self._newest_by_peer.pop(peer, (start, 0))
         # Guards against an earlier start's numbers hiding what a peer tells after its restart.
         had = had if known == start else 0
-        self._had[peer] = (start, max(had, newest))
-        if len(self._had) > PEERS_KEPT:
-            self._had.popitem(last=False)
+        self._newest_by_peer[peer] = (start, max(had, newest))
+        if len(self._newest_by_peer) > PEERS_KEPT:
+            self._newest_by_peer.popitem(last=False)
         # Guards against counting an outcome twice: notes overlap, and may come doubled or out of order.
         new = min(count, max(0, newest - had))
         items = list(ITEM.iter_unpack(note[HEAD.size :]))[:new]
-        return [Word(tag, ago / 100, good == 1, ms / 1000) for tag, ago, ms, good in reversed(items)]
+        return [OutcomeReport(tag, ago / 100, good == 1, ms / 1000) for tag, ago, ms, good in reversed(items)]
 
-    def told(self, peer: int, note: bytes, numbers: Mapping[int, int]) -> list[Told]:
+    def peer_outcomes(self, peer: int, note: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
         """What is new in it of the host's own servers, whose numbers are given by their tags."""
-        words = self.read(peer, note)
-        return [Told(numbers[word.tag], *word[1:]) for word in words if word.tag in numbers]
+        words = self.decode(peer, note)
+        return [
+            PeerOutcome(numbers[word.endpoint_hash], *word[1:])
+            for word in words
+            if word.endpoint_hash in numbers
+        ]
--- a/notchjunction/balancing/throughput.py
+++ b/notchjunction/balancing/throughput.py
@@ -7,7 +7,7 @@
 from collections.abc import Mapping
 from typing import Any
 
-from notchjunction.balancing.records import middle
+from notchjunction.balancing.records import median
 
 RATE_SPAN = 2.0  # s of answers from which the clearing rate is worked out
 RATE_LEAST = 0.1  # s that count as passed at least; the first answers would make a rate without bound
@@ -18,23 +18,23 @@
 STRETCH_LEAST = 16  # answers in a stretch; fewer make a middle by chance
 
 
-class Clearing:
+class ThroughputEstimate:
     def __init__(self, now: float) -> None:
         self._began = self._stretch_ends = now
         self._answers: deque[tuple[float, float]] = deque()  # when, and the job's contract time
         self._stretch: list[float] = []
         self._calm: deque[float] = deque(maxlen=CALM_MOST)
 
-    def note(self, contract_time: float, seconds: float, now: float) -> None:
+    def record_success(self, contract_time: float, seconds: float, now: float) -> None:
         """A server has done a job in so many seconds."""
         self._answers.append((now, contract_time))
-        self.timed(seconds, now)
+        self.record_latency(seconds, now)
 
-    def timed(self, seconds: float, now: float) -> None:
+    def record_latency(self, seconds: float, now: float) -> None:
         """A server has done a job, of this node or of a peer, in so many seconds."""
         self._stretch.append(seconds)
         if len(self._stretch) >= STRETCH_LEAST and now >= self._stretch_ends:
-            self._calm.append(middle(self._stretch, 1.0))
+            self._calm.append(median(self._stretch, 1.0))
             self._stretch, self._stretch_ends = [], now + RATE_SPAN
 
     def rate(self, now: float) -> float:
@@ -42,7 +42,7 @@
         self._prune(now)
         return len(self._answers) / RATE_SPAN
 
-    def clears(self, hold_share: float, calm_times: float, now: float) -> float:
+    def capacity(self, hold_share: float, calm_times: float, now: float) -> float:
         """Jobs out that this rate clears within so much of their contract time, or so many calm times."""
         self._prune(now)
         span = min(RATE_SPAN, max(now - self._began, RATE_LEAST))
@@ -50,10 +50,10 @@
         most = calm_times * min(self._calm, default=math.inf)
         return sum(min(contract * hold_share, most) for _, contract in self._answers) / span
 
-    def is_calm(self) -> bool:
+    def is_stable(self) -> bool:
         return len(self._calm) > 1 and self._calm[-1] <= SLOWER_TIMES * min(self._calm)
 
-    def lessons(self, now: float) -> dict[str, Any]:
+    def export_state(self, now: float) -> dict[str, Any]:
         """What another process of the node may go on from; times are seconds ago."""
         self._prune(now)
         return {
@@ -62,7 +62,7 @@
             "calm": list(self._calm),
         }
 
-    def learn(self, lessons: Mapping[str, Any], now: float) -> None:
+    def restore_state(self, lessons: Mapping[str, Any], now: float) -> None:
         self._began = now - float(lessons["began"])
         self._answers.extend((now - float(ago), float(contract)) for ago, contract in lessons["answers"])
         self._calm.extend(float(seconds) for seconds in lessons["calm"])
@@ -72,7 +72,7 @@
             self._answers.popleft()
 
 
-class Take:
+class ServedRate:
     """Jobs that the servers did for this node, each an even part, in a second.
 
     Those of the last span, not the most seen: such counts of all nodes add up to that of the fleet, also
@@ -85,12 +85,12 @@
         self._rate: float | None = 0.0  # parts of jobs a second; None: not added up since time has passed
         self._done: deque[tuple[float, float]] = deque()  # after how much of that, and the part
 
-    def note(self, warm: int, ready: int) -> None:
+    def record_success(self, warm: int, ready: int) -> None:
         """One of so many servers has done a job."""
         if warm:
             self._done.append((self._passed, 1.0 / ready))
 
-    def pass_on(self, now: float, warm: int) -> None:
+    def advance(self, now: float, warm: int) -> None:
         """Time has passed, with so many servers warm; older jobs count no more."""
         # Guards against a fleet that sends ever less because it has sent little: no time without warm ones.
         self._passed += now - self._at if warm else 0.0
--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -12,10 +12,10 @@
 
 from notchjunction import protocol
 from notchjunction.addresses import Address, address_of
-from notchjunction.balancing.engine import Names
-from notchjunction.balancing.interface import Terms
+from notchjunction.balancing.engine import SettingNames
+from notchjunction.balancing.interface import BalancerSettings
 from notchjunction.config import settings, validation
-from notchjunction.discovery.endpoint_list import ServerList, Unusable, read_list
+from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailable, read_list
 
 LOOP_TICK = 0.01  # s by which timers of a loop on a shared core come late; 12 ms was the most seen
 SOCKETS = 1024  # descriptors where no limit is told
@@ -26,34 +26,36 @@
 
 
 @dataclass(frozen=True, slots=True)
-class NodeInput:
+class NodeConfig:
     name: str
     listen: Address
     discovery: Address
-    terms: Terms
-    names: Names
-    known: ServerList | None
-    sockets: int
-    connect_within: float
-    idle_most: float
+    balancer: BalancerSettings
+    setting_names: SettingNames
+    cached_list: EndpointList | None
+    max_descriptors: int
+    connect_timeout: float
+    connection_idle_timeout: float
     load_path: str
-    mgmt: Address | None = None  # where operators call; none: nowhere
-    shared: str | None = None  # the folder in which a later process of the node finds this one; none: nowhere
+    admin_address: Address | None = None  # where operators call; none: nowhere
+    shared_directory: str | None = (
+        None  # the folder in which a later process of the node finds this one; none: nowhere
+    )
     file: str | None = None
-    talk: tuple[Address, list[Address]] | None = None  # where notes are heard, and the peers by number
+    gossip: tuple[Address, list[Address]] | None = None  # where notes are heard, and the peers by number
     key_header: str = ""
-    pushed: bool = False  # an agent has the list, and what it has counts as told at once
+    list_is_pushed: bool = False  # an agent has the list, and what it has counts as told at once
     fleet: Mapping[str, Any] | None = None  # the section of that name, checked; none: nothing is shared
-    told: Mapping[str, Any] = field(default_factory=dict)
+    document: Mapping[str, Any] = field(default_factory=dict)
 
 
-def read(environment: Mapping[str, str]) -> NodeInput:
+def load_config(environment: Mapping[str, str]) -> NodeConfig:
     """What a node starts with. Read as safely as it can be: one that does not start serves nobody."""
     file = environment.get("GW_CONFIG") or None
     told = _object(file) if file else {}
-    if mixed := validation.mixes(told):
+    if mixed := validation.mixed_deployment_errors(told):
         # Guards against half of one shape and half of the other: it would serve, and lose jobs.
-        raise validation.Unfit(mixed)
+        raise validation.InvalidConfiguration(mixed)
     given = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
     try:
         return _started({**told, **given}, told, environment)
@@ -63,7 +65,7 @@
         raise ValueError("; ".join(wrong) or repr(error)) from error
 
 
-def _started(said: Mapping[str, Any], told: Mapping[str, Any], environment: Mapping[str, str]) -> NodeInput:
+def _started(said: Mapping[str, Any], told: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
     """By all that is said, of which `told` is the file."""
     talk, mgmt, file = said.get("talk"), said.get("mgmt"), environment.get("GW_CONFIG") or None
     return replace(
@@ -71,47 +73,47 @@
         name=said["name"],
         listen=address_of(said["listen"]),
         discovery=address_of(said["discovery"]),
-        known=_known(told.get("known")),
+        cached_list=_known(told.get("known")),
         # Guards against counting on descriptors that the operating system will not give.
-        sockets=min(int(told.get("limits", {}).get("sockets", SOCKETS)), _may_open()),
-        mgmt=address_of(mgmt) if mgmt else None,
+        max_descriptors=min(int(told.get("limits", {}).get("sockets", SOCKETS)), _may_open()),
+        admin_address=address_of(mgmt) if mgmt else None,
         # Upgrades are asked for by operators; without a folder of the node's own another's might be met.
-        shared=environment.get("TMPDIR") if mgmt else None,
+        shared_directory=environment.get("TMPDIR") if mgmt else None,
         file=file,
-        talk=(address_of(talk["listen"]), [address_of(peer) for peer in talk["peers"]]) if talk else None,
+        gossip=(address_of(talk["listen"]), [address_of(peer) for peer in talk["peers"]]) if talk else None,
     )
 
 
-def read_again(told: NodeInput) -> NodeInput:
+def reload_config(told: NodeConfig) -> NodeConfig:
     """The same node with the discovery and the settings of its file now; Unfit with all that is wrong."""
     if told.file is None:
-        raise validation.Unfit(["no file to read"])
+        raise validation.InvalidConfiguration(["no file to read"])
     found = validation.parse(Path(told.file).read_text(encoding="utf-8"))
-    validation.check(found, told.told)
+    validation.validate(found, told.document)
     settled = _settled(found)
-    shape = _shape_changed(told.terms, settled.terms) + _fleet_changed(told.fleet, settled.fleet)
+    shape = _shape_changed(told.balancer, settled.balancer) + _fleet_changed(told.fleet, settled.fleet)
     if shape:
-        raise validation.Unfit([f"{key}: changes with a start only" for key in shape])
+        raise validation.InvalidConfiguration([f"{key}: changes with a start only" for key in shape])
     return replace(
         settled,
         name=told.name,
         listen=told.listen,
         discovery=address_of(found["discovery"]),
-        known=told.known,
-        sockets=told.sockets,
-        mgmt=told.mgmt,
-        shared=told.shared,
+        cached_list=told.cached_list,
+        max_descriptors=told.max_descriptors,
+        admin_address=told.admin_address,
+        shared_directory=told.shared_directory,
         file=told.file,
-        talk=told.talk,
+        gossip=told.gossip,
     )
 
 
-def _shape_changed(before: Terms, after: Terms) -> list[str]:
+def _shape_changed(before: BalancerSettings, after: BalancerSettings) -> list[str]:
     """The settings that decide the shape and are not the same."""
     rows = [
-        ("settings.family", before.beside_clients, after.beside_clients),
-        ("settings.limits.may_tell", before.may_tell, after.may_tell),
-        ("settings.extra.warm_keys", before.warm_keys, after.warm_keys),
+        ("settings.family", before.sidecar, after.sidecar),
+        ("settings.limits.may_tell", before.gossips, after.gossips),
+        ("settings.extra.warm_keys", before.key_affinity, after.key_affinity),
     ]
     return [key for key, one, other in rows if one != other]
 
@@ -124,37 +126,37 @@
     return [f"fleet.{name}" for name in fixed if before.get(name) != after.get(name)]
 
 
-def _settled(told: Mapping[str, Any]) -> NodeInput:
+def _settled(told: Mapping[str, Any]) -> NodeConfig:
     """What follows from the settings; the rest is blank."""
     paths = settings.flatten(told.get("settings", {}))
-    found = settings.terms(int(str(told.get("seed", "0")), 16), paths)
-    return NodeInput(
+    found = settings.read_settings(int(str(told.get("seed", "0")), 16), paths)
+    return NodeConfig(
         name="",
         listen=NOWHERE,
         discovery=NOWHERE,
         # On sockets the list must always be asked for.
-        terms=replace(found, must_follow=True, tick=max(found.tick, LOOP_TICK)),
-        names=Names(
-            profiles=settings.named(paths, "profiles"),
-            operators=settings.named(paths, "tenants"),
-            zones=settings.words(paths, "localities"),
+        balancer=replace(found, polls_list=True, tick=max(found.tick, LOOP_TICK)),
+        setting_names=SettingNames(
+            request_classes=settings.names_of(paths, "profiles"),
+            tenants=settings.names_of(paths, "tenants"),
+            zones=settings.word_list(paths, "localities"),
         ),
-        known=None,
-        sockets=SOCKETS,
-        connect_within=settings.number(paths, "limits.connect_timeout", settings.CONNECT_WITHIN) / 1000,
-        idle_most=settings.number(paths, "limits.conn_idle", IDLE) / 1000,
+        cached_list=None,
+        max_descriptors=SOCKETS,
+        connect_timeout=settings.number(paths, "limits.connect_timeout", settings.CONNECT_WITHIN) / 1000,
+        connection_idle_timeout=settings.number(paths, "limits.conn_idle", IDLE) / 1000,
         key_header=str(told.get("key_header", "")).lower(),
         fleet=told.get("fleet"),
-        pushed=paths.get("registry_mode") == PUSHED,
-        load_path=protocol.LOAD if settings.words(paths, "report.fields") else protocol.HEALTH,
-        told=told,
+        list_is_pushed=paths.get("registry_mode") == PUSHED,
+        load_path=protocol.LOAD if settings.word_list(paths, "report.fields") else protocol.HEALTH,
+        document=told,
     )
 
 
-def changed(before: NodeInput, after: NodeInput) -> list[str]:
+def changed(before: NodeConfig, after: NodeConfig) -> list[str]:
     """What says something else in the file, but for what a node takes as it runs or only starts with."""
-    names = sorted({*before.told, *after.told} - {"discovery", "known", "seed", "settings"})
-    return [name for name in names if before.told.get(name) != after.told.get(name)]
+    names = sorted({*before.document, *after.document} - {"discovery", "known", "seed", "settings"})
+    return [name for name in names if before.document.get(name) != after.document.get(name)]
 
 
 def _object(file: str) -> dict[str, Any]:
@@ -170,7 +172,7 @@
     return sys.maxsize if most == resource.RLIM_INFINITY else most
 
 
-def _known(told: Any) -> ServerList | None:
+def _known(told: Any) -> EndpointList | None:
     """The remembered list; one that is empty or unreadable is none, and discovery is waited for.
 
     Guards against a node that serves nobody while discovery is down, for a row that was torn or is of a form
@@ -178,16 +180,16 @@
     """
     try:
         known = read_list(told)
-    except Unusable:
+    except ListUnavailable:
         rows = told.get("endpoints") if isinstance(told, Mapping) else None
         sound = [row for row in rows if _readable(row)] if isinstance(rows, list) else []
         known = read_list({"index": 0, "snapshot": False, "endpoints": sound})
-    return known if known.servers else None
+    return known if known.endpoints else None
 
 
 def _readable(row: Any) -> bool:
     try:
         read_list({"index": 0, "snapshot": False, "endpoints": [row]})
-    except Unusable:
+    except ListUnavailable:
         return False
     return True
--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -24,7 +24,13 @@
     Any as AnyOf,
 )
 
-from notchjunction.config.settings import BESIDE_CLIENTS, EFFECTS, GROUPS, Paths, flatten
+from notchjunction.config.settings import (
+    BESIDE_CLIENTS,
+    DEDUPLICATION_SCOPES,
+    IDEMPOTENCY,
+    FlatSettings,
+    flatten,
+)
 
 ERRORS_MOST = 20  # named at once; a file with more is another kind of file
 PORT_MOST = 65535
@@ -32,7 +38,7 @@
 NAME_MOST = 64  # bytes of a node's name that go into each message between nodes
 
 
-class Unfit(Exception):
+class InvalidConfiguration(Exception):
     """A configuration that is not taken; `errors` says why, each with its place."""
 
     def __init__(self, errors: list[str]) -> None:
@@ -89,10 +95,10 @@
 WORD = All(str, Length(min=1, msg="expected a name"))
 PROFILE = {
     Required("name"): WORD,
-    Required("effect"): In(sorted(EFFECTS)),
+    Required("effect"): In(sorted(IDEMPOTENCY)),
     Required("contract_time"): ABOVE_0,
     Required("abandon_time"): ABOVE_0,
-    Optional("dedup_scope"): In(sorted(GROUPS)),
+    Optional("dedup_scope"): In(sorted(DEDUPLICATION_SCOPES)),
     Optional("window"): FROM_0,
     Optional("revenue"): FROM_0,
     Optional("tardy_revenue"): FROM_0,
@@ -175,11 +181,13 @@
         found = json.loads(text)
     except json.JSONDecodeError as error:
         place = f"line {error.lineno}, column {error.colno}"
-        raise Unfit([f"{place}: {error.msg}" if text.strip() else "the file is empty"]) from error
+        raise InvalidConfiguration(
+            [f"{place}: {error.msg}" if text.strip() else "the file is empty"]
+        ) from error
     except RecursionError as error:
-        raise Unfit(["nested too deeply"]) from error
+        raise InvalidConfiguration(["nested too deeply"]) from error
     if not isinstance(found, dict):
-        raise Unfit(["no JSON object in the file"])
+        raise InvalidConfiguration(["no JSON object in the file"])
     return found
 
 
@@ -192,7 +200,7 @@
     return []
 
 
-def mixes(found: Mapping[str, Any]) -> list[str]:
+def mixed_deployment_errors(found: Mapping[str, Any]) -> list[str]:
     """What of the one shape of deployment stands in a configuration of the other; checked at a start too."""
     paths = flatten(found.get("settings", {}))
 
@@ -260,7 +268,7 @@
     return [line for wrong, line in rows if wrong]
 
 
-def _peers(talk: Any, paths: Paths) -> list[str]:
+def _peers(talk: Any, paths: FlatSettings) -> list[str]:
     """Peers are numbered by their place, and this node is one of them: `me` is its place."""
     peers = talk.get("peers") if isinstance(talk, Mapping) else None
     if not isinstance(peers, list):
@@ -274,16 +282,16 @@
     return [] if at_place else ["talk.listen: expected at its place in talk.peers"]
 
 
-def check(found: Mapping[str, Any], before: Mapping[str, Any] | None = None) -> None:
+def validate(found: Mapping[str, Any], before: Mapping[str, Any] | None = None) -> None:
     """Raises Unfit with all errors; `before` is the one in force, no key of which may be missing."""
-    errors = errors_of(SCHEMA, dict(found)) or mixes(found)
+    errors = errors_of(SCHEMA, dict(found)) or mixed_deployment_errors(found)
     for missing in _missing(_lasting(before or {}), _lasting(found), ()):
         # Guards against a file short of a key: what it said would silently fall back to a reading of our own.
         line = f"{place(missing)}: in force, and missing"
         if not any(error.startswith(place(missing) + ":") for error in errors):
             errors.append(line)
     if errors:
-        raise Unfit(errors[:ERRORS_MOST])
+        raise InvalidConfiguration(errors[:ERRORS_MOST])
 
 
 def _lasting(found: Mapping[str, Any]) -> dict[str, Any]:
--- a/notchjunction/discovery/endpoints.py
+++ b/notchjunction/discovery/endpoints.py
@@ -6,20 +6,20 @@
 from enum import Enum
 
 
-class Presence(Enum):
+class EndpointState(Enum):
     """What the list says of a server."""
 
-    READY = "ready"
+    ACTIVE = "active"
     DRAINING = "draining"
-    GONE = "gone"
+    REMOVED = "removed"
 
 
 @dataclass(frozen=True, slots=True)
-class Listed:
+class ListedEndpoint:
     """A server in the list; a cell that is not given is shared with no other server."""
 
     name: str
-    presence: Presence
+    state: EndpointState
     started_at: float = 0.0
     zone: str = ""
-    cell: int | None = None
+    deduplication_group: int | None = None
--- a/notchjunction/discovery/watch_state.py
+++ b/notchjunction/discovery/watch_state.py
@@ -47,72 +47,72 @@
 )
 
 
-class State(Enum):
+class WatchState(Enum):
     NEW = auto()  # nothing was answered yet
     WATCHING = auto()  # the last call was answered, and the next one is out
-    SILENT = auto()  # the last call ended without a word
-    REFUSED = auto()  # discovery has more callers than it answers
+    UNRESPONSIVE = auto()  # the last call ended without a word
+    REJECTED = auto()  # discovery has more callers than it answers
     DOWN = auto()  # its connection broke, or never came up
 
 
-class Input(Enum):
+class WatchEvent(Enum):
     ANSWERED = auto()
-    SILENCE = auto()
-    REFUSAL = auto()
-    CROWD = auto()  # refused because it has waited too long
-    BREAK = auto()
-    MOVED = auto()  # the configuration names another place
+    TIMED_OUT = auto()
+    REJECTED = auto()
+    RATE_LIMITED = auto()  # refused because it has waited too long
+    CONNECTION_LOST = auto()
+    ADDRESS_CHANGED = auto()  # the configuration names another place
 
 
-class Effect(Enum):
-    GO_ON = auto()  # the next call, at once
-    AGAIN = auto()  # the same, on a new connection, and it may not wait
-    PAUSE = auto()  # the same after a pause
-    BACK = auto()  # the next call, at once; there was trouble, and it is over
+class PollAction(Enum):
+    CONTINUE = auto()  # the next call, at once
+    RETRY_NOW = auto()  # the same, on a new connection, and it may not wait
+    BACK_OFF = auto()  # the same after a pause
+    RESUME = auto()  # the next call, at once; there was trouble, and it is over
 
 
-class Row(NamedTuple):
-    state: State
-    input: Input
-    then: State
-    effect: Effect
+class Transition(NamedTuple):
+    state: WatchState
+    event: WatchEvent
+    next_state: WatchState
+    action: PollAction
 
 
-S, E, Do = State, Input, Effect
+S, E, Do = WatchState, WatchEvent, PollAction
 TABLE = (
-    Row(S.NEW, E.ANSWERED, S.WATCHING, Do.GO_ON),
-    Row(S.NEW, E.SILENCE, S.SILENT, Do.AGAIN),
-    Row(S.NEW, E.REFUSAL, S.REFUSED, Do.PAUSE),
-    Row(S.NEW, E.CROWD, S.REFUSED, Do.PAUSE),
-    Row(S.NEW, E.BREAK, S.DOWN, Do.PAUSE),
-    Row(S.NEW, E.MOVED, S.NEW, Do.GO_ON),
-    Row(S.WATCHING, E.ANSWERED, S.WATCHING, Do.GO_ON),
+    Transition(S.NEW, E.ANSWERED, S.WATCHING, Do.CONTINUE),
+    Transition(S.NEW, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.NEW, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.NEW, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.NEW, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+    Transition(S.NEW, E.ADDRESS_CHANGED, S.NEW, Do.CONTINUE),
+    Transition(S.WATCHING, E.ANSWERED, S.WATCHING, Do.CONTINUE),
     # Guards against news that is missed while a silent call's successor waits its turn.
-    Row(S.WATCHING, E.SILENCE, S.SILENT, Do.AGAIN),
-    Row(S.WATCHING, E.REFUSAL, S.REFUSED, Do.PAUSE),
-    Row(S.WATCHING, E.CROWD, S.REFUSED, Do.PAUSE),
-    Row(S.WATCHING, E.BREAK, S.DOWN, Do.PAUSE),
-    Row(S.WATCHING, E.MOVED, S.WATCHING, Do.GO_ON),
-    Row(S.SILENT, E.ANSWERED, S.WATCHING, Do.BACK),
-    Row(S.SILENT, E.SILENCE, S.SILENT, Do.AGAIN),
-    Row(S.SILENT, E.REFUSAL, S.REFUSED, Do.PAUSE),
-    Row(S.SILENT, E.CROWD, S.REFUSED, Do.PAUSE),
-    Row(S.SILENT, E.BREAK, S.DOWN, Do.PAUSE),
-    Row(S.SILENT, E.MOVED, S.SILENT, Do.AGAIN),
-    Row(S.REFUSED, E.ANSWERED, S.WATCHING, Do.BACK),
-    Row(S.REFUSED, E.SILENCE, S.SILENT, Do.AGAIN),
-    Row(S.REFUSED, E.REFUSAL, S.REFUSED, Do.PAUSE),
-    Row(S.REFUSED, E.CROWD, S.REFUSED, Do.PAUSE),
-    Row(S.REFUSED, E.BREAK, S.DOWN, Do.PAUSE),
-    Row(S.REFUSED, E.MOVED, S.WATCHING, Do.GO_ON),
-    Row(S.DOWN, E.ANSWERED, S.WATCHING, Do.BACK),
-    Row(S.DOWN, E.SILENCE, S.SILENT, Do.AGAIN),
-    Row(S.DOWN, E.REFUSAL, S.REFUSED, Do.PAUSE),
-    Row(S.DOWN, E.CROWD, S.REFUSED, Do.PAUSE),
-    Row(S.DOWN, E.BREAK, S.DOWN, Do.PAUSE),
-    Row(S.DOWN, E.MOVED, S.WATCHING, Do.GO_ON),
+    Transition(S.WATCHING, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.WATCHING, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.WATCHING, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.WATCHING, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+    Transition(S.WATCHING, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+    Transition(S.UNRESPONSIVE, E.ANSWERED, S.WATCHING, Do.RESUME),
+    Transition(S.UNRESPONSIVE, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.UNRESPONSIVE, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.UNRESPONSIVE, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.UNRESPONSIVE, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+    Transition(S.UNRESPONSIVE, E.ADDRESS_CHANGED, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.REJECTED, E.ANSWERED, S.WATCHING, Do.RESUME),
+    Transition(S.REJECTED, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.REJECTED, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.REJECTED, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.REJECTED, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+    Transition(S.REJECTED, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+    Transition(S.DOWN, E.ANSWERED, S.WATCHING, Do.RESUME),
+    Transition(S.DOWN, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+    Transition(S.DOWN, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.DOWN, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+    Transition(S.DOWN, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+    Transition(S.DOWN, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
 )
-ROWS = {(row.state, row.input): row for row in TABLE}
+ROWS = {(row.state, row.event): row for row in TABLE}
 
 
 def renewal_pause(failures: int, random: Random, most: float = math.inf) -> float:
@@ -121,7 +121,7 @@
     return RENEW_LEAST + more * random.random()
 
 
-class Following:
+class ListWatch:
     """One node's calls for the list, of so many nodes of its tier.
 
     `ask_within` in s, 0: none stated; `pushed`: an agent has the list.
@@ -141,18 +141,18 @@
         self._may_be_crowd = nodes >= CROWD_NODES
         self._moved = False
         self._missed_since = math.inf
-        self.state = State.NEW
+        self.state = WatchState.NEW
 
     def next_wait(self, known: bool) -> float:
         """s that the next call may wait; `known`: there is a version to watch from.
 
         Never longer, also where calls are refused: a watch that goes on is no new call to discovery.
         """
-        if not known or self._moved or self.state is State.SILENT:
+        if not known or self._moved or self.state is WatchState.UNRESPONSIVE:
             return 0.0  # an answer at once tells what was missed; the watch goes on from it
         return self._wait_most * (1 - WAIT_SPREAD * self._random.random())
 
-    def begins(self, now: float, wait: float) -> float:
+    def poll_started(self, now: float, wait: float) -> float:
         """A call goes out; s from now at which it is silent, if no byte of its answer has come."""
         self._began = now
         if wait > 0:
@@ -161,45 +161,49 @@
         patience: float = BUSY_MOST * 2 ** max(0, self._silences - 1)
         return min(patience, SILENT_MOST) * (1 - BUSY_SPREAD * self._random.random())
 
-    def refusal(self, now: float) -> Input:
+    def classify_rejection(self, now: float) -> WatchEvent:
         """What a refusal of the call that is out means: a place that is down, or too many callers."""
         waited = now - self._began
         # A watch that goes on is in no queue: it ends as discovery goes down.
-        in_queue = self.state is not State.WATCHING and CROWDED_AFTER <= waited <= CROWDED_WITHIN
-        return Input.CROWD if in_queue else Input.REFUSAL
+        in_queue = self.state is not WatchState.WATCHING and CROWDED_AFTER <= waited <= CROWDED_WITHIN
+        return WatchEvent.RATE_LIMITED if in_queue else WatchEvent.REJECTED
 
-    def tell(self, event: Input, now: float) -> Effect:
+    def poll_ended(self, event: WatchEvent, now: float) -> PollAction:
         """How the last call ended."""
         # Guards against a new place that is silent: what it has counts soon after the move.
-        self._moved = event is Input.MOVED or (self._moved and event is not Input.ANSWERED)
+        self._moved = event is WatchEvent.ADDRESS_CHANGED or (
+            self._moved and event is not WatchEvent.ANSWERED
+        )
         self._count(event, now)
-        if event is Input.ANSWERED:
+        if event is WatchEvent.ANSWERED:
             self._missed_since = math.inf
-        elif event is not Input.MOVED:
+        elif event is not WatchEvent.ADDRESS_CHANGED:
             # A silent call may have missed what came right after it began; the first one's clock runs on,
             # whatever becomes of its successors.
-            self._missed_since = min(self._missed_since, self._began if event is Input.SILENCE else now)
+            self._missed_since = min(
+                self._missed_since, self._began if event is WatchEvent.TIMED_OUT else now
+            )
         row = ROWS[self.state, event]
-        self.state = row.then
-        return row.effect
+        self.state = row.next_state
+        return row.action
 
-    def _count(self, event: Input, now: float) -> None:
-        if event is Input.ANSWERED:
+    def _count(self, event: WatchEvent, now: float) -> None:
+        if event is WatchEvent.ANSWERED:
             self._failures = self._crowds = self._silences = 0
             self._failed_at_once = False
-        elif event is Input.SILENCE:
+        elif event is WatchEvent.TIMED_OUT:
             self._silences += 1
-        elif event is not Input.MOVED:
+        elif event is not WatchEvent.ADDRESS_CHANGED:
             self._failures += 1
             self._silences = 0
-            self._crowds = self._crowds + 1 if event is Input.CROWD else 0
+            self._crowds = self._crowds + 1 if event is WatchEvent.RATE_LIMITED else 0
             # A watch that goes on ends as discovery goes down; that says nothing of new calls.
-            is_new = self.state is not State.WATCHING
+            is_new = self.state is not WatchState.WATCHING
             self._waited = now - self._began if is_new else 0.0
             self._failed_at_once = self._failed_at_once or (is_new and self._waited < CROWDED_AFTER)
-            self._may_be_crowd = self._may_be_crowd or event is Input.CROWD
+            self._may_be_crowd = self._may_be_crowd or event is WatchEvent.RATE_LIMITED
 
-    def pause(self) -> float:
+    def backoff(self) -> float:
         """s before the list is asked for again after a call that was refused or broke."""
         chance = self._random.random()
         if self._pushed:
@@ -215,17 +219,17 @@
             return RENEW_LEAST + max(RENEW_MORE, RENEW_SPREAD - self._waited) * chance
         return renewal_pause(self._failures, self._random, self._ask_within / 4 or math.inf)
 
-    def move_pause(self) -> float:
+    def address_change_delay(self) -> float:
         """s for which a node that is told of a new place goes on at the old one."""
         # Guards against all nodes at the new place in one moment: most would be refused there.
         return MOVE_SPREAD * self._random.random() if self._may_be_crowd and not self._pushed else 0.0
 
-    def waits_first(self) -> float:
+    def initial_wait(self) -> float:
         """s that a new process waits for its first answer before it serves by the list that it remembers."""
         # Guards against sends by a remembered list, where what the agent has counts from the first moment.
         return FIRST_WITHIN if self._pushed else 0.0
 
-    def told_by(self) -> float:
+    def notified_by(self) -> float:
         """The moment from which what this node may have missed counts as told; inf while all is told.
 
         As if discovery could be reached all along: what a node can't tell from a silent call.
--- a/notchjunction/emulator/checkers.py
+++ b/notchjunction/emulator/checkers.py
@@ -7,8 +7,8 @@
 from math import inf, sqrt
 from typing import NamedTuple
 
-from notchjunction.balancing.interface import Effect, Group
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import DeduplicationScope, Idempotency
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.trace import (
     Answered,
     Final,
@@ -91,11 +91,12 @@
         profile = story.profiles[profile_of[key]]
         if isinstance(row, Ran):
             ran[key].add(row.dispatch)
-            if len(ran[key]) > 1 and profile.effect is not Effect.REISSUABLE:
+            if len(ran[key]) > 1 and profile.idempotency is not Idempotency.IDEMPOTENT:
                 yield f"{row.at:.3f} job {key} runs a second time"
         elif row.final is Final.TURNED_BACK and ran[key]:
-            harmless = profile.effect is Effect.REISSUABLE or (
-                profile.effect is Effect.NUMBERED and profile.group is Group.ALL
+            harmless = profile.idempotency is Idempotency.IDEMPOTENT or (
+                profile.idempotency is Idempotency.KEYED
+                and profile.deduplication_scope is DeduplicationScope.ALL
             )
             if not harmless:
                 yield f"{row.at:.3f} job {key} is turned back after it has run"
@@ -105,7 +106,7 @@
     """Rule 3: nothing new past the grace after word that a server drains or is gone."""
     told: dict[Key, float] = {}  # node and server
     for row in story.rows:
-        if isinstance(row, Told) and row.presence is Presence.READY:
+        if isinstance(row, Told) and row.presence is EndpointState.ACTIVE:
             told.pop((row.node, row.server), None)
         elif isinstance(row, Told):
             told.setdefault((row.node, row.server), row.at)
@@ -128,7 +129,7 @@
     for row in story.rows:
         if isinstance(row, Published):
             for node in (node for node, tier in tiers.items() if tier == row.tier):
-                if row.presence is Presence.READY:
+                if row.presence is EndpointState.ACTIVE:
                     counts[node].pop(row.server, None)
                 else:
                     counts[node].setdefault(row.server, inf if node in cut_off else row.at + TOLD_AFTER)
--- a/notchjunction/emulator/discovery.py
+++ b/notchjunction/emulator/discovery.py
@@ -7,13 +7,13 @@
 from functools import partial
 from math import inf
 
-from notchjunction.balancing.interface import ServerEntry
+from notchjunction.balancing.interface import EndpointEntry
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.servers import Server
 from notchjunction.emulator.trace import Published, Reached, Row
 
-Heard = Callable[[Sequence[ServerEntry] | None, int], None]  # None: the call failed; the version
+Heard = Callable[[Sequence[EndpointEntry] | None, int], None]  # None: the call failed; the version
 
 
 @dataclass(frozen=True, slots=True, eq=False)
@@ -40,12 +40,12 @@
         self._deaf: Callable[[int], bool] = lambda asker: False  # whose calls fail
         self._reached: dict[int, Reached] = {}  # by asker, the last row of it
         self._free_at = clock.now
-        self._changes: list[list[ServerEntry]] = [[] for _ in range(tiers)]
+        self._changes: list[list[EndpointEntry]] = [[] for _ in range(tiers)]
         self._watching: list[Watch] = []
 
     @staticmethod
-    def entry(server: Server) -> ServerEntry:
-        return ServerEntry(server.number, server.presence, server.started_at, server.zone, server.zone)
+    def entry(server: Server) -> EndpointEntry:
+        return EndpointEntry(server.number, server.presence, server.started_at, server.zone, server.zone)
 
     def version(self, tier: int) -> int:
         return len(self._changes[tier])
@@ -129,9 +129,9 @@
             if self._reachable(row.node) is not row.reachable:
                 self.join(row.tier, row.node)
 
-    def _publish(self, tier: int, entry: ServerEntry) -> None:
+    def _publish(self, tier: int, entry: EndpointEntry) -> None:
         self._changes[tier].append(entry)
-        self._note(Published(self._clock.now, tier, entry.server, entry.presence))
+        self._note(Published(self._clock.now, tier, entry.number, entry.state))
         told = [each for each in self._watching if each.tier == tier]
         self._watching = [each for each in self._watching if each.tier != tier]
         for each in told:
--- a/notchjunction/emulator/faults.py
+++ b/notchjunction/emulator/faults.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable
 from typing import NamedTuple, Protocol
 
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.scenario import Fault, Kind
 from notchjunction.emulator.servers import Server
@@ -68,13 +68,13 @@
 
 def _drain(place: Place, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        server.presence = Presence.DRAINING
+        server.presence = EndpointState.DRAINING
         place.discovery.changed(fault.tier, server)
 
 
 def _remove(place: Place, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        server.presence = Presence.GONE
+        server.presence = EndpointState.REMOVED
         place.stop(server)
         place.discovery.changed(fault.tier, server)
 
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -10,19 +10,19 @@
 from typing import Protocol
 
 from notchjunction.balancing.interface import (
-    Decisions,
-    Effect,
-    Host,
-    Job,
-    Load,
-    News,
-    Outcome,
-    Result,
-    ServerEntry,
-    Terms,
-    Told,
+    AttemptOutcome,
+    AttemptResult,
+    BalancerHost,
+    BalancerSettings,
+    EndpointEntry,
+    Idempotency,
+    ListUpdate,
+    LoadReport,
+    NewRequest,
+    PeerOutcome,
+    RequestBalancer,
 )
-from notchjunction.discovery.watch_state import Following, Input
+from notchjunction.discovery.watch_state import ListWatch, WatchEvent
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.discovery import Heard as Listener
@@ -38,7 +38,7 @@
 CONNECTION_PRICE = 0.01  # told where connections cost something; its size decides nothing
 CROSSING_PRICE = 0.05  # told where zones lie apart
 
-Make = Callable[[Terms, Host], Decisions]
+Make = Callable[[BalancerSettings, BalancerHost], RequestBalancer]
 NO_TRY = -1  # the first try of a call that a server makes
 
 
@@ -152,7 +152,7 @@
         world.discovery.join(tier, number)
         self._version = world.discovery.version(tier)
         # Calls wait for ever where none falls silent: to make them again would cost each run events.
-        self._following = Following(ASK_WITHIN, seed=number) if scenario.silences else None
+        self._following = ListWatch(ASK_WITHIN, seed=number) if scenario.silences else None
         self._call = 0  # the last call for the list; what comes of an earlier one is not heard
         self._jobs = 0
         self._asked: dict[int, Asked] = {}
@@ -161,27 +161,27 @@
         self._starts: dict[int, float] = {}  # of servers, as told
         self._links = Links(world)
         self._linked = scenario.connection_idle > 0
-        terms = Terms(
+        terms = BalancerSettings(
             seed=world.random.getrandbits(32),
-            profiles=scenario.profiles,
-            operator_quotas=() if tier else scenario.quotas,
-            nodes=group,
-            depth=tier,
-            depths=len(scenario.rows),
+            request_classes=scenario.profiles,
+            tenant_quotas=() if tier else scenario.quotas,
+            node_count=group,
+            tier=tier,
+            tier_count=len(scenario.rows),
             zone=zone,
-            must_follow=True,
-            max_dispatches=MAX_DISPATCHES,
-            ask_within=ASK_WITHIN,
+            polls_list=True,
+            max_attempts=MAX_DISPATCHES,
+            poll_interval=ASK_WITHIN,
             tick=TICK,
-            crossing_price=CROSSING_PRICE if scenario.zone_latency else 0.0,
-            connection_price=CONNECTION_PRICE if scenario.handshake_work else 0.0,
-            connection_idle=scenario.connection_idle,
-            cold_share=scenario.cold_share,
-            cold_time=scenario.cold_time,
-            tip_multiple=scenario.tip_multiple,
+            cross_zone_cost=CROSSING_PRICE if scenario.zone_latency else 0.0,
+            connection_cost=CONNECTION_PRICE if scenario.handshake_work else 0.0,
+            connection_idle_timeout=scenario.connection_idle,
+            slow_start_share=scenario.cold_share,
+            slow_start_time=scenario.cold_time,
+            overload_multiple=scenario.tip_multiple,
         )
         self._core = make(terms, self)
-        self._hear(News.REMEMBERED, [world.discovery.entry(server) for server in world.tiers[tier]])
+        self._hear(ListUpdate.CACHED, [world.discovery.entry(server) for server in world.tiers[tier]])
 
     # What the world calls.
 
@@ -191,13 +191,15 @@
         self._asked[job] = asked
         now = self.world.now
         self.world.rows.append(Taken(now, self.number, job, asked.profile, now + asked.left, asked.first_try))
-        self._core.take(Job(job, asked.profile, asked.operator, asked.left, repeat=asked.repeat))
+        self._core.request_arrived(
+            NewRequest(job, asked.profile, asked.operator, asked.left, is_client_retry=asked.repeat)
+        )
         return UnderWay(self, job)
 
     def withdraw(self, job: int) -> None:
         if self.alive and job in self._asked:
             self._answer(job, Final.WITHDRAWN)
-            self._core.withdrawn(job)
+            self._core.request_cancelled(job)
 
     def die(self) -> None:
         """Goes with the server that it serves; nothing more is heard of it."""
@@ -213,7 +215,7 @@
 
     # Dispatches.
 
-    def dispatch(self, job: int, server: int, within: float) -> None:
+    def send_attempt(self, job: int, server: int, within: float) -> None:
         number = self._count.get(job, 0)
         self._count[job] = number + 1
         world, now = self.world, self.world.now
@@ -228,10 +230,12 @@
             seconds=asked.work if asked else 0.0,
             until=now + within,
             answer=lambda result: world.carry(to.zone, self.zone, partial(self.ended, key, result)),
-            number=(self.number, job) if world.scenario.profiles[profile].effect is Effect.NUMBERED else None,
+            number=(self.number, job)
+            if world.scenario.profiles[profile].idempotency is Idempotency.KEYED
+            else None,
         )
         out = self._out[key] = Out(call, to, now)
-        world.after(within, partial(self.ended, key, Result.TIMED_OUT))
+        world.after(within, partial(self.ended, key, AttemptResult.TIMED_OUT))
         if self._linked:
             out.link = self._links.take(to)
             if out.link is None:
@@ -247,9 +251,9 @@
             if key not in self._out:
                 return
             if not to.up:
-                to_ended = Result.NO_CONNECTION
+                to_ended = AttemptResult.NO_CONNECTION
             elif not to.connect():
-                to_ended = Result.FULL
+                to_ended = AttemptResult.REJECTED
             else:
                 out.link = Link(to, to.life)
                 out.call.seconds += scenario.handshake_work
@@ -259,7 +263,7 @@
 
         def silent() -> None:
             if key in self._out and out.link is None:
-                self.ended(key, Result.NO_CONNECTION)
+                self.ended(key, AttemptResult.NO_CONNECTION)
 
         self.world.carry(self.zone, to.zone, lambda: self.world.after(scenario.handshake_time, answered))
         self.world.after(scenario.handshake_time + scenario.connect_within, silent)
@@ -268,25 +272,25 @@
         out.call.knowing = self._starts.get(out.server.number, 0.0) >= out.server.started_at
         out.server.reach(out.call)
 
-    def ended(self, key: tuple[int, int], result: Result) -> None:
+    def ended(self, key: tuple[int, int], result: AttemptResult) -> None:
         out = self._out.pop(key, None)
         if out is None or not self.alive:
             return
         self._has_landed(key, out)
         job, number = key
-        gave_up = result in (Result.TIMED_OUT, Result.RECALLED)
+        gave_up = result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED)
         if gave_up:
             self._let_go(out)
         if out.link is not None:
-            if gave_up or result is Result.RESET:
+            if gave_up or result is AttemptResult.RESET:
                 self._links.close(out.link)
             else:
                 self._links.give_back(out.link)
-        if result is Result.HONOURED and job in self._asked:
+        if result is AttemptResult.SUCCEEDED and job in self._asked:
             self._answer(job, Final.HONOURED)
         over = job not in self._asked
         seconds = self.world.now - out.at
-        self._core.outcome(Outcome(job, number, out.server.number, result, seconds, over))
+        self._core.attempt_ended(AttemptOutcome(job, number, out.server.number, result, seconds, over))
 
     def _has_landed(self, key: tuple[int, int], out: Out) -> None:
         self.world.rows.append(Landed(self.world.now, self.number, *key, out.server.number))
@@ -304,22 +308,22 @@
 
     # The list.
 
-    def heard(self, call: int, news: Sequence[ServerEntry] | None, version: int) -> None:
+    def heard(self, call: int, news: Sequence[EndpointEntry] | None, version: int) -> None:
         if not self.alive or call != self._call:
             return
         self._call += 1  # it has ended, and is not silent any more
         if self._following is not None:
-            event = Input.REFUSAL if news is None else Input.ANSWERED
-            self._following.tell(event, self.world.now)
+            event = WatchEvent.REJECTED if news is None else WatchEvent.ANSWERED
+            self._following.poll_ended(event, self.world.now)
         if news is None:
-            self._core.listed(News.FAILED, ())
+            self._core.list_updated(ListUpdate.FAILED, ())
             return
         self._version = version
-        self._hear(News.CHANGES, news)
+        self._hear(ListUpdate.CHANGES, news)
         # A kept watch costs discovery no work.
         self._ask_for_list(self.world.discovery.watch)
 
-    def _heard(self, call: int, news: Sequence[ServerEntry] | None, version: int) -> None:
+    def _heard(self, call: int, news: Sequence[EndpointEntry] | None, version: int) -> None:
         self.world.after(self.world.hop(), partial(self.heard, call, news, version))
 
     def _ask_for_list(self, ask: Callable[[int, int, int, Listener, float], None]) -> None:
@@ -327,68 +331,70 @@
         self._call += 1
         if self._following is not None:
             wait = self._following.next_wait(known=True)
-            world.after(self._following.begins(world.now, wait), partial(self._silent, self._call))
+            world.after(self._following.poll_started(world.now, wait), partial(self._silent, self._call))
         heard = partial(self._heard, self._call)
         world.after(world.hop(), partial(ask, self.tier, self.number, self._version, heard, wait))
 
     def _silent(self, call: int) -> None:
         if self.alive and call == self._call and self._following is not None:
-            self._following.tell(Input.SILENCE, self.world.now)
+            self._following.poll_ended(WatchEvent.TIMED_OUT, self.world.now)
             self._ask_for_list(self.world.discovery.call)
 
-    def _hear(self, kind: News, entries: Sequence[ServerEntry]) -> None:
+    def _hear(self, kind: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
         now = self.world.now
-        self._starts.update({entry.server: entry.started_at for entry in entries})
-        self.world.rows += [Heard(now, self.number, entry.server, entry.presence) for entry in entries]
-        self._core.listed(kind, entries)
+        self._starts.update({entry.number: entry.started_at for entry in entries})
+        self.world.rows += [Heard(now, self.number, entry.number, entry.state) for entry in entries]
+        self._core.list_updated(kind, entries)
 
     # The rest of the module's Host.
 
     def now(self) -> float:
         return self.world.now
 
-    def recall(self, job: int, dispatch: int) -> None:
+    def cancel_attempt(self, job: int, dispatch: int) -> None:
         if (job, dispatch) in self._out:
-            self.world.after(0.0, partial(self.ended, (job, dispatch), Result.RECALLED))
+            self.world.after(0.0, partial(self.ended, (job, dispatch), AttemptResult.CANCELLED))
 
-    def probe(self, server: int) -> None:
+    def send_probe(self, server: int) -> None:
         world, to = self.world, self.world.servers[server]
         world.rows.append(Probed(world.now, self.number, server))
         done = False
 
-        def answered(result: Result, load: Load | None) -> None:
+        def answered(result: AttemptResult, load: LoadReport | None) -> None:
             nonlocal done
             if not done and self.alive:
                 done = True
-                self._core.probed(server, result, load)
+                self._core.probe_ended(server, result, load)
 
         def reached() -> None:
             seconds = to.probe_seconds()
             if seconds is None and not to.up:
-                world.carry(to.zone, self.zone, partial(answered, Result.NO_CONNECTION, None))
+                world.carry(to.zone, self.zone, partial(answered, AttemptResult.NO_CONNECTION, None))
             elif seconds is not None:
                 world.after(
                     seconds,
-                    lambda: world.carry(to.zone, self.zone, partial(answered, Result.HONOURED, to.report())),
+                    lambda: world.carry(
+                        to.zone, self.zone, partial(answered, AttemptResult.SUCCEEDED, to.report())
+                    ),
                 )
 
         world.carry(self.zone, to.zone, reached)
-        world.after(PROBE_WITHIN, partial(answered, Result.TIMED_OUT, None))
+        world.after(PROBE_WITHIN, partial(answered, AttemptResult.TIMED_OUT, None))
 
-    def turn_back(self, job: int, come_back_in: float) -> None:
+    def reject(self, job: int, come_back_in: float) -> None:
         self._answer(job, Final.TURNED_BACK, come_back_in)
 
-    def write_off(self, job: int) -> None:
+    def fail(self, job: int) -> None:
         self._answer(job, Final.WRITTEN_OFF)
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.world.after(delay, lambda: self._core.timer(token) if self.alive else None)
+        self.world.after(delay, lambda: self._core.timer_fired(token) if self.alive else None)
 
-    def follow(self) -> None:
+    def poll_list(self) -> None:
         self._ask_for_list(self.world.discovery.call)
 
-    def set_aside(self, server: int, seconds: float) -> None:
+    def report_ejection(self, server: int, seconds: float) -> None:
         pass
 
-    def tell(self, peer: int, newest: int, told: Sequence[Told]) -> None:
+    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
         """Emulated nodes share nothing."""
--- a/notchjunction/emulator/scenario.py
+++ b/notchjunction/emulator/scenario.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass, field
 from enum import Enum
 
-from notchjunction.balancing.interface import Effect, Profile
+from notchjunction.balancing.interface import Idempotency, RequestClass
 
 
 class Kind(Enum):
@@ -64,10 +64,10 @@
     connections_most: int = 0  # that a server holds; 0: any number
 
 
-def _usual_profiles() -> tuple[Profile, ...]:
+def _usual_profiles() -> tuple[RequestClass, ...]:
     return (
-        Profile(1.0, 2.0, 1.0, 0.0, Effect.REISSUABLE),
-        Profile(1.5, 3.0, 5.0, 0.0, Effect.AT_MOST_ONCE),
+        RequestClass(1.0, 2.0, 1.0, 0.0, Idempotency.IDEMPOTENT),
+        RequestClass(1.5, 3.0, 5.0, 0.0, Idempotency.NON_IDEMPOTENT),
     )
 
 
@@ -80,7 +80,7 @@
     zones: int = 1
     length: float = 30.0
     seed: int = 1
-    profiles: tuple[Profile, ...] = field(default_factory=_usual_profiles)
+    profiles: tuple[RequestClass, ...] = field(default_factory=_usual_profiles)
     streams: tuple[Stream, ...] = (Stream(0, 40.0), Stream(1, 10.0))
     quotas: tuple[
         float, ...
--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -13,8 +13,14 @@
 from random import Random
 from typing import Protocol
 
-from notchjunction.balancing.interface import Effect, Group, Load, Profile, Result
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import (
+    AttemptResult,
+    DeduplicationScope,
+    Idempotency,
+    LoadReport,
+    RequestClass,
+)
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario, Tier
 
@@ -38,7 +44,7 @@
     profile: int
     seconds: float  # of work on a server of speed 1, in a tier of share 1
     until: float  # when its caller gives up
-    answer: Callable[[Result], None]
+    answer: Callable[[AttemptResult], None]
     number: Hashable = None  # by which repeats are known; None where they are not dropped
     knowing: bool = False  # whether its sender has been told of the server's last start
     over: bool = False  # its sender no longer waits
@@ -63,17 +69,17 @@
 class Memory:
     """What each group of a scenario's servers remembers; each zone is a cell."""
 
-    def __init__(self, profiles: Sequence[Profile]) -> None:
+    def __init__(self, profiles: Sequence[RequestClass]) -> None:
         self._profiles = profiles
         self._numbers: dict[Hashable, Numbers] = {}
 
     def of(self, depth: int, server: Server, call: Call) -> Numbers | None:
         """Of the group that drops the call's repeats; None where nobody does."""
         profile = self._profiles[call.profile]
-        if call.number is None or profile.effect is not Effect.NUMBERED:
+        if call.number is None or profile.idempotency is not Idempotency.KEYED:
             return None
-        where = 0 if profile.group is Group.ALL else server.zone
-        return self._numbers.setdefault((depth, call.profile, where), Numbers(profile.window))
+        where = 0 if profile.deduplication_scope is DeduplicationScope.ALL else server.zone
+        return self._numbers.setdefault((depth, call.profile, where), Numbers(profile.deduplication_window))
 
 
 class Server:
@@ -102,7 +108,7 @@
         self.life = 0  # its starts; a connection belongs to one
         self.links = 0  # connections that it holds
         self.up = True
-        self.presence = Presence.READY
+        self.presence = EndpointState.ACTIVE
         self.falls = True  # when it is sent too much while cold; not where a study asks by how much it was
         # What faults set.
         self.hung = False
@@ -117,7 +123,7 @@
         self.overdriven = False
         self._over_since: float | None = None
         self._rests_since: float | None = None
-        self._report: Load | None = None
+        self._report: LoadReport | None = None
         self._reported_at = 0.0
 
     # Life.
@@ -131,7 +137,7 @@
         self.life += 1
         for call in held:
             self._leave_below(call)
-            call.answer(Result.RESET)
+            call.answer(AttemptResult.RESET)
 
     def start(self) -> None:
         self.up, self.started_at = True, self._clock.now
@@ -177,15 +183,15 @@
         if self.up:
             self._push(call)
         if not self.up:
-            call.answer(Result.NO_CONNECTION)
+            call.answer(AttemptResult.NO_CONNECTION)
             return
         full = len(self.waiting) >= self.tier.queue_most
-        if full or self.presence is not Presence.READY or call.until <= self._clock.now:
-            call.answer(Result.FULL)
+        if full or self.presence is not EndpointState.ACTIVE or call.until <= self._clock.now:
+            call.answer(AttemptResult.REJECTED)
             return
         numbers = self._numbers(self, call)
         if numbers is not None and numbers.seen(call.number, self._clock.now):
-            call.answer(Result.HONOURED)  # the answer that was made before
+            call.answer(AttemptResult.SUCCEEDED)  # the answer that was made before
             return
         self.waiting.append(call)
         self._work_on()
@@ -230,7 +236,7 @@
             self.running.append(call)
             self._ran(self, call)
             if self.errors and self._random.random() < self.errors:
-                self._clock.after(ERROR_WORK * self.pace(), partial(self._end, call, Result.ERROR))
+                self._clock.after(ERROR_WORK * self.pace(), partial(self._end, call, AttemptResult.ERROR))
                 continue
             seconds = call.seconds * self.tier.share * self.pace()
             self._clock.after(seconds, partial(self._worked, call))
@@ -249,7 +255,7 @@
         whole, part = divmod(self._calls, 1.0)
         left = int(whole) + (self._random.random() < part)
         if not left or self._below is None:
-            self._end(call, Result.HONOURED)
+            self._end(call, AttemptResult.SUCCEEDED)
             return
         self.running.remove(call)
         self.calling.append(call)
@@ -258,7 +264,7 @@
 
     def _call_on(self, call: Call, left: int) -> None:
         if left <= 0 or self._below is None or call.over:
-            self._end(call, Result.HONOURED)
+            self._end(call, AttemptResult.SUCCEEDED)
             return
 
         def done(honoured: bool) -> None:
@@ -268,17 +274,17 @@
             if honoured:
                 self._call_on(call, left - 1)
             else:
-                self._end(call, Result.ERROR)
+                self._end(call, AttemptResult.ERROR)
 
         time_left = call.until - self._clock.now
         if time_left <= 0:
-            self._end(call, Result.ERROR)
+            self._end(call, AttemptResult.ERROR)
             return
         under_way = self._below(call, time_left, done)
         if call in self.calling:  # else it has its answer already
             call.below = under_way
 
-    def _end(self, call: Call, result: Result) -> None:
+    def _end(self, call: Call, result: AttemptResult) -> None:
         place = self.running if call in self.running else self.calling
         if call not in place:
             return
@@ -289,7 +295,7 @@
         if self.losses and self._random.random() < self.losses:
             pass
         elif self.resets and self._random.random() < self.resets:
-            call.answer(Result.RESET)
+            call.answer(AttemptResult.RESET)
         else:
             call.answer(result)
         self._work_on()
@@ -336,15 +342,15 @@
         driven = self._scenario.overdrive_times if self.overdriven else 1.0
         return PROBE_WORK * crowd * driven * self.slow / (self.speed * self.warmth())
 
-    def report(self) -> Load:
+    def report(self) -> LoadReport:
         """What it says of itself, as old as its reports are, and as true."""
         now = self._clock.now
         if self._report is None or now - self._reported_at >= self._scenario.report_every:
             running, waiting = len(self.running), len(self.waiting)
-            self._report = Load(
-                held=(running + len(self.calling) + waiting) * self.lies,
-                waiting=waiting * self.lies,
-                busy=min(1.0, running / self.tier.workers) * self.lies,
+            self._report = LoadReport(
+                in_flight=(running + len(self.calling) + waiting) * self.lies,
+                queued=waiting * self.lies,
+                utilization=min(1.0, running / self.tier.workers) * self.lies,
             )
             self._reported_at = now
         return self._report
--- a/notchjunction/emulator/trace.py
+++ b/notchjunction/emulator/trace.py
@@ -6,8 +6,8 @@
 from enum import Enum, auto
 from math import inf
 
-from notchjunction.balancing.interface import Profile
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import RequestClass
+from notchjunction.discovery.endpoints import EndpointState
 
 
 class Final(Enum):
@@ -81,7 +81,7 @@
     at: float
     node: int
     server: int
-    presence: Presence
+    presence: EndpointState
 
 
 @dataclass(frozen=True, slots=True)
@@ -118,7 +118,7 @@
     at: float
     tier: int
     server: int
-    presence: Presence
+    presence: EndpointState
 
 
 @dataclass(frozen=True, slots=True)
@@ -139,7 +139,7 @@
     """A run's rows in order, and what is needed to judge them."""
 
     rows: tuple[Row, ...]
-    profiles: tuple[Profile, ...]
+    profiles: tuple[RequestClass, ...]
     grace: float  # s after word of a drain within which a send is forgiven
     slack: float  # s past the abandon time within which a final answer is forgiven
     ended_at: float
--- a/notchjunction/emulator/world.py
+++ b/notchjunction/emulator/world.py
@@ -12,7 +12,7 @@
 import simpy
 
 from notchjunction.balancing.balancer import Balancer
-from notchjunction.balancing.interface import Effect
+from notchjunction.balancing.interface import Idempotency
 from notchjunction.emulator import faults
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.node import TICK, Asked, Make, Node
@@ -129,12 +129,12 @@
 
     def _ask(self, stream: Stream, first: int, began: float, tries: int) -> None:
         profile = self.scenario.profiles[stream.profile]
-        patience = self.scenario.client_patience * profile.abandon_time
-        left = min(began + profile.abandon_time - self.now, patience)
+        patience = self.scenario.client_patience * profile.deadline
+        left = min(began + profile.deadline - self.now, patience)
         if left <= 0:
             return
         node = self._deal()
-        again = AGAIN_HARMLESS if profile.effect is Effect.REISSUABLE else AGAIN
+        again = AGAIN_HARMLESS if profile.idempotency is Idempotency.IDEMPOTENT else AGAIN
 
         def done(final: Final, advice: float) -> None:
             if final in again and tries < self.scenario.client_tries:
--- a/notchjunction/experiments/baselines.py
+++ b/notchjunction/experiments/baselines.py
@@ -9,19 +9,19 @@
 
 from notchjunction.balancing.balancer import Balancer
 from notchjunction.balancing.interface import (
-    Decisions,
-    Host,
-    Job,
-    Load,
-    News,
-    Outcome,
-    Profile,
-    Result,
-    ServerEntry,
-    Terms,
-    Told,
+    AttemptOutcome,
+    AttemptResult,
+    BalancerHost,
+    BalancerSettings,
+    EndpointEntry,
+    ListUpdate,
+    LoadReport,
+    NewRequest,
+    PeerOutcome,
+    RequestBalancer,
+    RequestClass,
 )
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.node import Node
 from notchjunction.emulator.servers import Server
 
@@ -29,74 +29,74 @@
 GUARD = 0.02  # s before the abandon time at which a job without an answer is given up
 
 
-class OneDispatch:
+class SingleAttempt:
     """One dispatch a job, never sent again; the choice of server is what the policies differ in."""
 
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         self.terms = terms
         self.host = host
         self.random = Random(terms.seed)
         self.ready: list[int] = []
         self.flights: dict[int, int] = {}
-        self._known: dict[int, Presence] = {}
+        self._known: dict[int, EndpointState] = {}
         self._barred: set[int] = set()
         self._held: dict[int, int] = {}
         self._due: dict[int, Callable[[], None]] = {}
         self._token = 0
-        host.follow()
+        host.poll_list()
 
     def choose(self) -> int:
         return self.random.choice(self.ready)
 
-    def take(self, job: Job) -> None:
+    def request_arrived(self, job: NewRequest) -> None:
         if not self.ready:
-            self.host.turn_back(job.id, 0.25)
+            self.host.reject(job.id, 0.25)
             return
         server = self.choose()
         self._held[job.id] = server
         self.flights[server] = self.flights.get(server, 0) + 1
-        self.host.dispatch(job.id, server, max(job.time_left - GUARD, 0.001))
+        self.host.send_attempt(job.id, server, max(job.time_left - GUARD, 0.001))
         self._after(max(job.time_left - GUARD, 0.001), lambda: self._give_up(job.id))
 
-    def outcome(self, outcome: Outcome) -> None:
-        self.flights[outcome.server] -= 1
-        if self._held.pop(outcome.job, None) is None or outcome.over:
+    def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        self.flights[outcome.endpoint] -= 1
+        if self._held.pop(outcome.request, None) is None or outcome.final:
             return
-        if outcome.result in (Result.FULL, Result.NO_CONNECTION, Result.NEVER_SENT):
-            self.host.turn_back(outcome.job, 0.25)
+        if outcome.result in (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT):
+            self.host.reject(outcome.request, 0.25)
         else:
-            self.host.write_off(outcome.job)
+            self.host.fail(outcome.request)
 
     def _give_up(self, job: int) -> None:
         if self._held.pop(job, None) is not None:
-            self.host.write_off(job)
-            self.host.recall(job, 0)
+            self.host.fail(job)
+            self.host.cancel_attempt(job, 0)
 
-    def withdrawn(self, job: int) -> None:
+    def request_cancelled(self, job: int) -> None:
         if self._held.pop(job, None) is not None:
-            self.host.recall(job, 0)
+            self.host.cancel_attempt(job, 0)
 
-    def listed(self, news: News, entries: Sequence[ServerEntry]) -> None:
-        if news is News.FAILED:
-            self._after(0.25 + 0.25 * self.random.random(), self.host.follow)
+    def list_updated(self, news: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
+        if news is ListUpdate.FAILED:
+            self._after(0.25 + 0.25 * self.random.random(), self.host.poll_list)
             return
-        if news is not News.CHANGES:
+        if news is not ListUpdate.CHANGES:
             self._known = {}
-        self._known.update({entry.server: entry.presence for entry in entries})
+        self._known.update({entry.number: entry.state for entry in entries})
         self._open()
 
-    def barred(self, server: int, out: bool) -> None:
+    def ban_changed(self, server: int, out: bool) -> None:
         (self._barred.add if out else self._barred.discard)(server)
         self._open()
 
-    def heard(self, told: Sequence[Told]) -> None:
+    def gossip_received(self, told: Sequence[PeerOutcome]) -> None:
         """A baseline goes by its own traffic alone."""
 
     def _open(self) -> None:
-        ready = (server for server, presence in self._known.items() if presence is Presence.READY)
+        ready = (server for server, presence in self._known.items() if presence is EndpointState.ACTIVE)
         self.ready = [server for server in ready if server not in self._barred]
 
-    def timer(self, token: int) -> None:
+    def timer_fired(self, token: int) -> None:
         self._due.pop(token)()
 
     def _after(self, delay: float, due: Callable[[], None]) -> None:
@@ -106,32 +106,32 @@
 
     # What makes no difference to these.
 
-    def whole(self, job: int, most: float = 0.0) -> None:
+    def body_completed(self, job: int, most: float = 0.0) -> None:
         pass
 
-    def repeat_until(self, job: int, dispatch: int) -> float:
+    def repeatable_until(self, job: int, dispatch: int) -> float:
         return math.inf
 
-    def streaming(self, job: int, dispatch: int) -> None:
+    def response_started(self, job: int, dispatch: int) -> None:
         pass
 
-    def probed(self, server: int, result: Result, load: Load | None) -> None:
+    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None) -> None:
         pass
 
-    def retuned(self, terms: Terms, profiles: Mapping[int, Profile]) -> None:
+    def settings_changed(self, terms: BalancerSettings, profiles: Mapping[int, RequestClass]) -> None:
         self.terms = terms
 
-    def lessons(self) -> dict[str, Any]:
+    def export_state(self) -> dict[str, Any]:
         return {}
 
-    def learn(self, lessons: Mapping[str, Any]) -> None:
+    def restore_state(self, lessons: Mapping[str, Any]) -> None:
         pass
 
 
-class InTurn(OneDispatch):
+class InTurn(SingleAttempt):
     """Round robin, from a random start."""
 
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
         self._next = self.random.randrange(1_000_000)
 
@@ -140,14 +140,14 @@
         return self.ready[self._next % len(self.ready)]
 
 
-class LeastOut(OneDispatch):
+class LeastOut(SingleAttempt):
     """The server with the fewest of this node's own jobs, at random among equals."""
 
     def choose(self) -> int:
         return min(self.ready, key=lambda server: (self.flights.get(server, 0), self.random.random()))
 
 
-class TrueState(OneDispatch):
+class TrueState(SingleAttempt):
     """Sees each server as it is, at once: up, hung, slow, cold, and what it holds. No node can."""
 
     def choose(self) -> int:
@@ -168,13 +168,13 @@
 class Top(TrueState):
     """It knows rule 4's budget too, and what a server holds before it turns slow: the upper bound."""
 
-    def take(self, job: Job) -> None:
+    def request_arrived(self, job: NewRequest) -> None:
         able = [server for server in self.ready if self._bears(self.true(server))]
         if not able:
-            self.host.turn_back(job.id, 0.25)
+            self.host.reject(job.id, 0.25)
             return
         all_ready, self.ready = self.ready, able
-        super().take(job)
+        super().request_arrived(job)
         self.ready = all_ready
 
     def _bears(self, server: Server) -> bool:
@@ -184,9 +184,9 @@
         return server.up and not server.hung and not crowded and server.bears(0.0, BUDGET_USED)
 
 
-VARIANTS: dict[str, Callable[[Terms, Host], Decisions]] = {
+VARIANTS: dict[str, Callable[[BalancerSettings, BalancerHost], RequestBalancer]] = {
     "module": Balancer,
-    "random": OneDispatch,
+    "random": SingleAttempt,
     "in turn": InTurn,
     "least out": LeastOut,
     "true state": TrueState,
