--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -18,16 +18,16 @@
 from tornado.netutil import bind_sockets
 
 from notchjunction.addresses import Address, text_of
-from notchjunction.balancing.interface import News
+from notchjunction.balancing.interface import ListUpdate
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net import client_connection as caller_module
 from notchjunction.net import client_listener
 from notchjunction.net.body_streaming import Download
-from notchjunction.net.client_connection import Caller, CallerStream
-from notchjunction.net.client_listener import Callers
-from notchjunction.net.request_handler import Job
+from notchjunction.net.client_connection import ClientConnection, ClientStream
+from notchjunction.net.client_listener import ClientListener
+from notchjunction.net.request_handler import RequestHandler
 from notchjunction.node.node import Node
 from notchjunction.telemetry.flight_recorder import Occurrence
 from notchjunction.upgrade import handover, shutdown
@@ -76,7 +76,7 @@
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, do: Callable[[], None], after: bool = False) -> None:
         self.over = asyncio.Event()
-        shutdown, close = socket.socket.shutdown, CallerStream.close
+        shutdown, close = socket.socket.shutdown, ClientStream.close
 
         def once() -> None:
             if not self.over.is_set():
@@ -89,12 +89,12 @@
             shutdown(sock, how)
             once()
 
-        def crossed_close(stream: CallerStream, exc_info: Any = False) -> None:
+        def crossed_close(stream: ClientStream, exc_info: Any = False) -> None:
             once()
             close(stream, exc_info)
 
         monkeypatch.setattr(socket.socket, "shutdown", crossed_shutdown)
-        monkeypatch.setattr(CallerStream, "close", crossed_close)
+        monkeypatch.setattr(ClientStream, "close", crossed_close)
 
 
 async def drained(node: Node) -> None:
@@ -188,19 +188,19 @@
     last: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its last bytes and its end come together: the connection has ended before they are looked at."""
-    close = CallerStream.close
+    close = ClientStream.close
 
     async def story() -> None:
         async with running() as (node, address):
-            over: list[CallerStream] = []
+            over: list[ClientStream] = []
 
-            def ended(stream: CallerStream, exc_info: Any = False) -> None:
+            def ended(stream: ClientStream, exc_info: Any = False) -> None:
                 close(stream, exc_info)
                 if not last:
                     node._callers.turn_back_uploads()
                 over.append(stream)
 
-            monkeypatch.setattr(CallerStream, "close", ended)
+            monkeypatch.setattr(ClientStream, "close", ended)
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b\r\n" % (70_000, b"x" * 70_000))
@@ -211,7 +211,11 @@
             caller.close()
             while node._callers.connected:
                 await asyncio.sleep(0.001)
-            assert len(over) == 2 and not node.counters.read().get("failures") and not node._callers.lingering
+            assert (
+                len(over) == 2
+                and not node.counters.read().get("internal_errors")
+                and not node._callers.lingering
+            )
 
     run(story())
 
@@ -285,7 +289,7 @@
             for client in crowd:
                 client.ask()
                 assert (await client.answer()).status == 200
-            assert not node.counters.read().get("callers_refused")
+            assert not node.counters.read().get("client_connections_rejected")
             for client in open_still + crowd:
                 client.writer.close()
 
@@ -332,19 +336,19 @@
     """It waits for a process before it, and is told to end; the kill doesn't wait for the wait."""
     joined, waiting = asyncio.Event(), asyncio.Event()
     late: list[socket.socket] = []
-    opens = Callers.open
+    opens = ClientListener.open
 
     async def join(_: Node) -> None:
         waiting.set()
         await joined.wait()
 
-    def opened(callers: Callers, address: Address, shared: bool = False) -> None:
+    def opened(callers: ClientListener, address: Address, shared: bool = False) -> None:
         opens(callers, address, shared)
         late.append(connect(address))
         late[0].sendall(wire_of(1, left=60_000))
 
     monkeypatch.setattr(Node, "_join", join)
-    monkeypatch.setattr(Callers, "open", opened)
+    monkeypatch.setattr(ClientListener, "open", opened)
 
     async def story() -> None:
         async def told_to_end_meanwhile(starts: Node) -> None:
@@ -407,7 +411,9 @@
             stays.sendall(wire[1:])
             assert (await heard(stays)).startswith(b"HTTP/1.1 200")
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= left * 1000
-        assert not node.counters.read().get("failures") and not node.counters.read().get("reloads_failed")
+        assert not node.counters.read().get("internal_errors") and not node.counters.read().get(
+            "reloads_failed"
+        )
 
     run(story())
 
@@ -428,7 +434,7 @@
             while node._callers.listeners:
                 await asyncio.sleep(0.001)
             endpoints = {"index": 1, "snapshot": True, "endpoints": rows(peer)}
-            node._hear(read_list(endpoints), News.REMEMBERED)
+            node._hear(read_list(endpoints), ListUpdate.CACHED)
             assert (await heard(waits)).startswith(b"HTTP/1.1 200")
             assert not node._callers.listeners and queue.fileno() < 0
             stays.close()
@@ -469,7 +475,10 @@
                 assert (await heard(caller)).startswith(b"HTTP/1.1 503")
         if giver == "serves":
             waits, _ = queue.accept()
-            assert waits.recv(4096) == wire_of(1) and node.counters.read().get("callers_opened", 0) == 0
+            assert (
+                waits.recv(4096) == wire_of(1)
+                and node.counters.read().get("client_connections_opened", 0) == 0
+            )
             waits.close()
             caller.close()
             queue.close()
@@ -483,7 +492,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The listener closes right after: whoever was not let in meets a reset."""
-    stop, accept = Callers.stop, socket.socket.accept
+    stop, accept = ClientListener.stop, socket.socket.accept
     late: list[socket.socket] = []
     failures = [errno.ECONNABORTED]
 
@@ -492,12 +501,12 @@
             raise OSError(failures.pop(), "gone")
         return accept(listener)
 
-    def crossed(callers: Callers) -> None:
+    def crossed(callers: ClientListener) -> None:
         late.append(connect(callers.listeners[0].getsockname()))
         late[0].sendall(wire_of(1))
         stop(callers)
 
-    monkeypatch.setattr(Callers, "stop", crossed)
+    monkeypatch.setattr(ClientListener, "stop", crossed)
     monkeypatch.setattr(socket.socket, "accept", fails_once)
 
     async def story() -> None:
@@ -519,16 +528,16 @@
 
     Where descriptors are short in that moment, it is taken a little later.
     """
-    stop, take_last = Callers.stop, handover.Handover.take_last
+    stop, take_last = ClientListener.stop, handover.Handover.take_last
     rest = RequestReader()
     rest.feed(wire_of(1, extra="Content-Length: 100000\r\n").replace(b"GET", b"POST") + b"x" * 70_000)
     assert rest.next() is not None
     caller, given = socket.socketpair()
     gave: list[bool] = []
 
-    def crossed(callers: Callers) -> None:
+    def crossed(callers: ClientListener) -> None:
         stop(callers)
-        giver = handover.Giver(str(tmp_path))
+        giver = handover.StreamSender(str(tmp_path))
         gave.append(giver({"keep": True, "rest": rest.state()}, given))
         giver.close()
         given.close()
@@ -539,21 +548,23 @@
             take_last(self)
 
     monkeypatch.setattr(handover.Handover, "take_last", at_first_short)
-    monkeypatch.setattr(Callers, "stop", crossed)
+    monkeypatch.setattr(ClientListener, "stop", crossed)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while node._handover is None or node._handover._listener is None:
                 await asyncio.sleep(0.001)
             node.stop()
-            while not node.counters.read().get("bodies_adopted"):
+            while not node.counters.read().get("uploads_adopted"):
                 await asyncio.sleep(0.001)
             assert gave == [True] and node._ending is not None and not node._ending.over
             caller.sendall(b"x" * 30_000)
             assert await heard(caller) == b""
-        assert node.counters.read()["bodies_adopted"] == 1 and not node.counters.read().get("failures")
+        assert node.counters.read()["uploads_adopted"] == 1 and not node.counters.read().get(
+            "internal_errors"
+        )
         with pytest.raises(OSError):
-            handover.Giver(str(tmp_path))  # so that who would give more keeps it
+            handover.StreamSender(str(tmp_path))  # so that who would give more keeps it
 
     run(story())
 
@@ -579,11 +590,11 @@
             while await asyncio.get_running_loop().sock_recv(hangs, 4096):
                 pass
             node._callers.go_on()
-            while node.counters.read()["callers_opened"] < 2:
+            while node.counters.read()["client_connections_opened"] < 2:
                 await asyncio.sleep(0.001)
             late.sendall(wire_of(1, extra="Connection: close\r\n"))
             assert (await heard(late)).startswith(b"HTTP/1.1 200")
-            assert not node.counters.read().get("failures")
+            assert not node.counters.read().get("internal_errors")
             caller.close()
             hangs.close()
             for filler in fillers:
@@ -682,10 +693,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The node parts with its callers; the second request has been read, but not looked at."""
-    take = Caller._take
+    take = ClientConnection._take
     second: list[socket.socket] = []
 
-    async def crossed(caller: Caller, request: Request) -> tuple[Job | None, Answer | Download | None]:
+    async def crossed(
+        caller: ClientConnection, request: Request
+    ) -> tuple[RequestHandler | None, Answer | Download | None]:
         taken = await take(caller, request)
         if second:
             second.pop().sendall(wire_of(2))
@@ -693,7 +706,7 @@
                 await asyncio.sleep(0)
         return taken
 
-    monkeypatch.setattr(Caller, "_take", crossed)
+    monkeypatch.setattr(ClientConnection, "_take", crossed)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -718,16 +731,16 @@
     Where descriptors are short in that moment, it is let in a little later.
     """
     late: list[socket.socket] = []
-    stop = Callers.stop
+    stop = ClientListener.stop
 
-    def crossed(callers: Callers) -> None:
+    def crossed(callers: ClientListener) -> None:
         late.append(connect(callers.listeners[0].getsockname()))
         late[0].sendall(wire_of(1))
-        monkeypatch.setattr(Callers, "stop", stop)
+        monkeypatch.setattr(ClientListener, "stop", stop)
         with no_descriptor_left() if short else nullcontext():
             stop(callers)
 
-    monkeypatch.setattr(Callers, "stop", crossed)
+    monkeypatch.setattr(ClientListener, "stop", crossed)
 
     async def story() -> None:
         async with Peer() as peer:
@@ -736,7 +749,7 @@
                 while not late:
                     await asyncio.sleep(0)
                 assert (await heard(late[0])).startswith(b"HTTP/1.1 200")
-            assert node.counters.read()["answered_honoured"] == 1
+            assert node.counters.read()["responses_succeeded"] == 1
 
     run(story())
 
@@ -751,18 +764,18 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while node._handover is None or node._handover._listener is None:
                 await asyncio.sleep(0.001)
-            giver = handover.Giver(str(tmp_path))
+            giver = handover.StreamSender(str(tmp_path))
             while len(node._handover._taking) < 2:
                 await asyncio.sleep(0.001)
             with no_descriptor_left():
                 assert giver({"keep": False, "rest": rest.state()}, given)
                 for _ in range(200):
                     await asyncio.sleep(0)
-                assert "bodies_adopted" not in node.counters.read()
+                assert "uploads_adopted" not in node.counters.read()
             given.close()
             caller.sendall(b"x" * 30_000)
             assert await heard(caller) == b""
-            assert node.counters.read()["bodies_adopted"] == 1
+            assert node.counters.read()["uploads_adopted"] == 1
             giver.close()
 
     run(story())
@@ -772,18 +785,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """By the time the answer is seen the next piece of the body is overdue, too."""
-    answer = Job.answer
+    answer = RequestHandler.answer
 
     async def story() -> None:
         async with running() as (node, address):
             clock = node._callers.clock
 
-            async def late(job: Job, *there: Callable[[], bool]) -> Any:
+            async def late(job: RequestHandler, *there: Callable[[], bool]) -> Any:
                 found = await answer(job, *there)
                 node._callers.clock = lambda: clock() + 60.0
                 return found
 
-            monkeypatch.setattr(Job, "answer", late)
+            monkeypatch.setattr(RequestHandler, "answer", late)
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b" % (90_000, b"x" * 70_000))
@@ -798,7 +811,7 @@
 
 def test_a_node_that_finds_no_descriptor_as_it_ends_does_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """By when all has to be answered it waits for nobody who can't be let in."""
-    monkeypatch.setattr(Callers, "stop", lambda callers: setattr(callers, "_stops", True))
+    monkeypatch.setattr(ClientListener, "stop", lambda callers: setattr(callers, "_stops", True))
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, _):
@@ -813,15 +826,15 @@
     run(story())
 
 
-def as_an_answer_is_ready(act: Callable[[Caller], None], monkeypatch: pytest.MonkeyPatch) -> None:
+def as_an_answer_is_ready(act: Callable[[ClientConnection], None], monkeypatch: pytest.MonkeyPatch) -> None:
     """Does this ahead of each answer, with the caller that it is for."""
-    note = Caller._note_answer
+    note = ClientConnection._note_answer
 
-    def noted(self: Caller, *facts: Any) -> None:
+    def noted(self: ClientConnection, *facts: Any) -> None:
         act(self)
         note(self, *facts)
 
-    monkeypatch.setattr(Caller, "_note_answer", noted)
+    monkeypatch.setattr(ClientConnection, "_note_answer", noted)
 
 
 def test_a_request_that_waits_unread_as_an_answer_is_ready_is_answered_too(
@@ -833,7 +846,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             caller = RawClient(address)
 
-            def crossed(_: Caller) -> None:
+            def crossed(_: ClientConnection) -> None:
                 node._callers.part()
                 if len(peer.requests) == 1:
                     caller.ask()
@@ -860,15 +873,15 @@
     async def story() -> None:
         async with Peer() as peer, running(peer) as (_, address):
             caller = RawClient(address)
-            wait = Caller._wait
+            wait = ClientConnection._wait
 
-            async def crossed(self: Caller, *waiting: asyncio.Future[Any]) -> bool:
+            async def crossed(self: ClientConnection, *waiting: asyncio.Future[Any]) -> bool:
                 late = await wait(self, *waiting)
                 if late and len(peer.requests) == 1 and not self._has_read():
                     caller.ask()
                 return late
 
-            monkeypatch.setattr(Caller, "_wait", crossed)
+            monkeypatch.setattr(ClientConnection, "_wait", crossed)
             caller.ask()
             async with asyncio.timeout(5):
                 while len(peer.requests) < 2:
@@ -884,7 +897,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             caller = RawClient(address)
 
-            def gone(answered: Caller) -> None:
+            def gone(answered: ClientConnection) -> None:
                 node._callers.part()
                 answered._stream.close()
 
@@ -892,9 +905,9 @@
             # No read is under way beside an answer that takes no time.
             caller.more(b"GET /ready HTTP/1.1\r\nHost: n\r\n\r\n")
             async with asyncio.timeout(5):
-                while node.counters.read().get("callers_closed", 0) < 1:
+                while node.counters.read().get("client_connections_closed", 0) < 1:
                     await asyncio.sleep(0.01)
-            assert node.counters.read().get("failures", 0) == 0
+            assert node.counters.read().get("internal_errors", 0) == 0
 
     asyncio.run(story())
 
@@ -906,7 +919,7 @@
             bad.more(b"nonsense\r\n\r\n")
             gone.go("close")
             async with asyncio.timeout(5):
-                while node.counters.read().get("callers_closed", 0) < 2:
+                while node.counters.read().get("client_connections_closed", 0) < 2:
                     await asyncio.sleep(0.01)
             await node.out_of_service()
             await node.in_service()
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -11,14 +11,14 @@
 from tornado.iostream import IOStream
 
 from notchjunction.addresses import Address
-from notchjunction.balancing.engine import Ask, Stop, TurnBack, WriteOff
-from notchjunction.balancing.interface import Result
+from notchjunction.balancing.engine import CancelAttempt, FailRequest, RejectRequest, RequestSpec
+from notchjunction.balancing.interface import AttemptResult
 from notchjunction.http1.messages import BODY_MOST
 from notchjunction.net import client_connection as caller_module
-from notchjunction.net.client_connection import Caller
+from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.socket_stream import NodeStream
-from notchjunction.net.upstream import SETTLED, Attempt, Servers
-from notchjunction.net.upstream_connection import PIECE, Connection
+from notchjunction.net.upstream import SETTLED, AttemptSpec, UpstreamPool
+from notchjunction.net.upstream_connection import PIECE, UpstreamConnection
 from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
 from tests.test_large_bodies import Talk, served
@@ -34,9 +34,9 @@
 
     The loop does not run in between: what it would have told is in the operating system's hands only.
     """
-    found, calls = Servers._connected, 0
+    found, calls = UpstreamPool._connected, 0
 
-    async def hooked(self: Servers, *args: Any, **kept: Any) -> Connection:
+    async def hooked(self: UpstreamPool, *args: Any, **kept: Any) -> UpstreamConnection:
         nonlocal calls
         connection = await found(self, *args, **kept)
         calls += 1
@@ -44,16 +44,18 @@
             happens()
         return connection
 
-    monkeypatch.setattr(Servers, "_connected", hooked)
+    monkeypatch.setattr(UpstreamPool, "_connected", hooked)
 
 
 async def withdrawn(node: Node, count: int = 1) -> dict[str, float]:
     """The counters once so many jobs were withdrawn and nothing is left of any."""
     async with asyncio.timeout(5):
-        while (figures := node.counters.read()).get("withdrawn", 0) < count or figures["jobs_kept"]:
-            assert not figures.get("answered_turned_back") and not figures.get("answered_written_off")
+        while (figures := node.counters.read()).get("requests_cancelled", 0) < count or figures[
+            "requests_tracked"
+        ]:
+            assert not figures.get("responses_rejected") and not figures.get("responses_failed")
             await asyncio.sleep(0.001)
-    assert figures["held"] == 0 and not figures.get("failures")
+    assert figures["requests_in_flight"] == 0 and not figures.get("internal_errors")
     return figures
 
 
@@ -106,7 +108,7 @@
             at_the_writing(monkeypatch, 1, goes)
             client.ask()
             figures = await withdrawn(node)
-            assert len(peer.requests) == kept and figures["dispatches_first"] == 1 + kept
+            assert len(peer.requests) == kept and figures["attempts_first"] == 1 + kept
 
     run(story())
 
@@ -116,7 +118,7 @@
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with Peer() as first, Peer() as second, running(first, second, depths=2) as (node, address):
+        async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
             await warm(address, 10)  # for the budget of retries
             first.reply, first.requests = FULL, []
             second.reply, second.requests = FULL, []
@@ -125,7 +127,7 @@
             client.ask()
             figures = await withdrawn(node)
             assert len(first.requests) + len(second.requests) == 1
-            assert figures["dispatches_again"] == 1 and figures["dispatches_never_sent"] == 1
+            assert figures["attempts_retried"] == 1 and figures["attempts_not_sent"] == 1
 
     run(story())
 
@@ -148,20 +150,20 @@
     run(story())
 
 
-@pytest.mark.parametrize("order", [TurnBack(0.0), WriteOff(), Stop(0)])
+@pytest.mark.parametrize("order", [RejectRequest(0.0), FailRequest(), CancelAttempt(0)])
 def test_a_dispatch_that_is_no_longer_wanted_at_the_very_writing_is_not_written(
-    order: TurnBack | WriteOff | Stop, monkeypatch: pytest.MonkeyPatch
+    order: RejectRequest | FailRequest | CancelAttempt, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        async with Peer() as first, Peer() as second, running(first, second, depths=2) as (node, address):
+        async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
             await warm(address, 10)  # for the budget of retries
             client = await Client().open(address)
-            at_the_writing(monkeypatch, 1, lambda: node._decider._order(11, order))
+            at_the_writing(monkeypatch, 1, lambda: node._decider._command(11, order))
             client.ask()
             status = (await client.answer()).status
-            assert status == (502 if isinstance(order, WriteOff) else 503)
+            assert status == (502 if isinstance(order, FailRequest) else 503)
             figures = node.counters.read()
-            assert figures["dispatches_first"] == 11 and figures["dispatches_never_sent"] == 1
+            assert figures["attempts_first"] == 11 and figures["attempts_not_sent"] == 1
             assert len(first.requests) + len(second.requests) == 10
 
     run(story())
@@ -171,13 +173,13 @@
     async def story() -> None:
         async with Peer() as peer:
             dispatches = Dispatches(peer)
-            assert (await dispatches.send()).ended.result is Result.HONOURED
+            assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
             dispatches.rested()
             refused = await dispatches.servers.attempt(
-                Attempt("s0", dispatches.clock + 2.0, may_spend=lambda _: False), JOB
+                AttemptSpec("s0", dispatches.clock + 2.0, may_spend=lambda _: False), JOB
             )
-            assert refused.ended.result is Result.NEVER_SENT
-            assert (await dispatches.send()).ended.result is Result.HONOURED
+            assert refused.outcome.result is AttemptResult.NOT_SENT
+            assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
             assert len(peer.requests) == 2 and peer.connections == 1
 
     run(story())
@@ -233,7 +235,7 @@
     run(story())
 
 
-async def waiting(node: Node, address: Address, peer: Peer) -> tuple[Client, Caller]:
+async def waiting(node: Node, address: Address, peer: Peer) -> tuple[Client, ClientConnection]:
     """A caller whose one request is at its server."""
     client = await Client().open(address)
     client.ask()
@@ -262,7 +264,7 @@
                 await asyncio.sleep(0.001)
             client.writer.close() if how == "close" else client.writer.transport.abort()
             figures = await withdrawn(node)
-            assert figures["dispatches_first"] == 1 and len(peer.requests) == 1
+            assert figures["attempts_first"] == 1 and len(peer.requests) == 1
 
     run(story())
 
@@ -302,7 +304,7 @@
 def test_a_caller_that_goes_while_its_body_waits_for_room_is_seen_to_go(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(Connection, "open", hanging)  # so that nothing of the body is taken
+    monkeypatch.setattr(UpstreamConnection, "open", hanging)  # so that nothing of the body is taken
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -330,7 +332,7 @@
             await warm(address)
             asked, given = asyncio.Event(), asyncio.Event()
 
-            async def admit(ask: Ask) -> tuple[None, Ask]:
+            async def admit(ask: RequestSpec) -> tuple[None, RequestSpec]:
                 asked.set()
                 await given.wait()
                 return None, ask
@@ -350,18 +352,18 @@
 def test_a_caller_that_goes_while_its_answer_is_written_has_its_next_request_not_sent_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    write = Caller._write
+    write = ClientConnection._write
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
             await warm(address)
             client = RawClient(address)
 
-            async def goes(self: Caller, wire: bytes) -> None:
+            async def goes(self: ClientConnection, wire: bytes) -> None:
                 await write(self, wire)
                 client.go("close")
 
-            monkeypatch.setattr(Caller, "_write", goes)
+            monkeypatch.setattr(ClientConnection, "_write", goes)
             client.ask()
             client.ask()
             await withdrawn(node)
@@ -404,13 +406,13 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            monkeypatch.setattr(Caller, "_feed", broken)
+            monkeypatch.setattr(ClientConnection, "_feed", broken)
             client.ask()
             assert (await client.answer()).status == 500
-            while (figures := node.counters.read())["jobs_kept"]:
+            while (figures := node.counters.read())["requests_tracked"]:
                 await asyncio.sleep(0.001)
-            assert figures["dispatches_recalled"] == 1
-            assert not figures.get("answered_turned_back") and not figures.get("answered_written_off")
+            assert figures["attempts_cancelled"] == 1
+            assert not figures.get("responses_rejected") and not figures.get("responses_failed")
 
     run(story())
 
@@ -429,8 +431,8 @@
 
             async def send() -> None:
                 exchanged = await dispatches.send()
-                assert exchanged.ended.result is Result.HONOURED and exchanged.answer is not None
-                assert exchanged.answer.body == b"ok"
+                assert exchanged.outcome.result is AttemptResult.SUCCEEDED and exchanged.response is not None
+                assert exchanged.response.body == b"ok"
 
             # The very first spare bytes come in the moment in which the next request is written.
             await send()
@@ -439,7 +441,7 @@
             assert peer.connections == 2 and figures()["connections_unsettled"] == 1
             # They are seen while it rests; it is not used again, and the other one is, once it has rested.
             async with asyncio.timeout(5):
-                while not figures().get("answers_strayed"):
+                while not figures().get("responses_unsolicited"):
                     await asyncio.sleep(0)
             dispatches.clock += SETTLED - 0.001
             await send()
@@ -454,7 +456,7 @@
                 await send()
                 assert peer.connections == 3 + 2 * times
                 assert figures()["connections_unsettled"] == 2 + times
-            assert figures()["answers_strayed"] == 1
+            assert figures()["responses_unsolicited"] == 1
 
     run(story())
 
@@ -480,7 +482,7 @@
         async def reads(talk: Talk) -> None:
             whole.append((await talk.request())[1])
 
-        async with served(reads, recalls=recalls) as (node, address, (peer,)):
+        async with served(reads, cancellation=recalls) as (node, address, (peer,)):
             monkeypatch.setattr(IOStream, "write_to_fd", without_room)
             client = RawClient(address)
             client.ask(body, "POST")
@@ -491,7 +493,7 @@
             room = True
             async with asyncio.timeout(5):
                 await peer.gone.wait()
-            broken_off = "dispatches_never_sent", "dispatches_recalled"
+            broken_off = "attempts_not_sent", "attempts_cancelled"
             assert not whole and sum(figures.get(name, 0) for name in broken_off) == 1
 
     run(story())
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -8,9 +8,15 @@
 import pytest
 
 from notchjunction.balancing.balancer import Balancer
-from notchjunction.balancing.interface import Host, News, Outcome, Result, Terms
-from notchjunction.discovery.endpoints import Presence
-from notchjunction.discovery.watch_state import Following
+from notchjunction.balancing.interface import (
+    AttemptOutcome,
+    AttemptResult,
+    BalancerHost,
+    BalancerSettings,
+    ListUpdate,
+)
+from notchjunction.discovery.endpoints import EndpointState
+from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.emulator import node
 from notchjunction.emulator.checkers import (
     GONE_AFTER,
@@ -75,20 +81,20 @@
 class Mute(Balancer):
     """Turns jobs back without a word."""
 
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
-        host.turn_back = lambda job, come_back_in: None  # type: ignore[method-assign]
+        host.reject = lambda job, come_back_in: None  # type: ignore[method-assign]
 
 
 class Twice(Balancer):
     """Sends again whatever was reset, and turns back what it gives up."""
 
-    def outcome(self, outcome: Outcome) -> None:
-        held = self._held.get(outcome.job)
-        if held is not None and outcome.result is Result.RESET:
-            other = next(server for server in self._ready if server.entry.server != outcome.server)
-            self._host.dispatch(outcome.job, other.entry.server, 1.0)
-        super().outcome(outcome)
+    def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        held = self._held.get(outcome.request)
+        if held is not None and outcome.result is AttemptResult.RESET:
+            other = next(server for server in self._ready if server.entry.number != outcome.endpoint)
+            self._host.send_attempt(outcome.request, other.entry.number, 1.0)
+        super().attempt_ended(outcome)
 
     def _turn_back_is_harmless(self, held: object) -> bool:
         return True
@@ -97,31 +103,31 @@
 class Deaf(Balancer):
     """Hears no news after the first list."""
 
-    def listed(self, news: News, entries: object) -> None:
-        if news is News.REMEMBERED:
-            super().listed(news, entries)  # type: ignore[arg-type]
+    def list_updated(self, news: ListUpdate, entries: object) -> None:
+        if news is ListUpdate.CACHED:
+            super().list_updated(news, entries)  # type: ignore[arg-type]
 
 
 class Resigned(Balancer):
     """Never asks for the list again once a call has failed."""
 
-    def listed(self, news: News, entries: object) -> None:
-        if news is not News.FAILED:
-            super().listed(news, entries)  # type: ignore[arg-type]
+    def list_updated(self, news: ListUpdate, entries: object) -> None:
+        if news is not ListUpdate.FAILED:
+            super().list_updated(news, entries)  # type: ignore[arg-type]
 
 
 class Loyal(Balancer):
     """Goes on with jobs whose callers have withdrawn."""
 
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
         self._gone: set[int] = set()
 
-    def withdrawn(self, job: int) -> None:
+    def request_cancelled(self, job: int) -> None:
         self._gone.add(job)
 
-    def outcome(self, outcome: Outcome) -> None:
-        super().outcome(replace(outcome, over=outcome.over and outcome.job not in self._gone))
+    def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        super().attempt_ended(replace(outcome, final=outcome.final and outcome.request not in self._gone))
 
 
 class Eager(Balancer):
@@ -148,15 +154,15 @@
 class Repeating(Balancer):
     """Answers twice what it writes off."""
 
-    def __init__(self, terms: Terms, host: Host) -> None:
+    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
-        once = host.turn_back
+        once = host.reject
 
         def turn_back(job: int, come_back_in: float) -> None:
             once(job, come_back_in)
-            host.write_off(job)
+            host.fail(job)
 
-        host.turn_back = turn_back  # type: ignore[method-assign]
+        host.reject = turn_back  # type: ignore[method-assign]
 
 
 STEADY = (Stream(0, 150.0), Stream(1, 40.0))
@@ -190,7 +196,7 @@
     ],
 )
 def test_each_checker_catches_a_module_that_breaks_its_rule(
-    broken: Callable[[Terms, Host], Balancer], checker: str, scenario: Scenario
+    broken: Callable[[BalancerSettings, BalancerHost], Balancer], checker: str, scenario: Scenario
 ) -> None:
     assert not [text for text in breaches(World(scenario).play()) if text.startswith(checker)]
     assert [text for text in breaches(World(scenario, broken).play()) if text.startswith(checker)]
@@ -199,14 +205,14 @@
 def test_word_of_changes_reaches_every_node_through_discovery() -> None:
     scenario = replace(CALM, nodes=40, faults=(Fault(Kind.DRAIN, 6.0, 11.9, (0,)),), length=30.0)
     rows = World(scenario).play().rows
-    heard = {row.node for row in rows if isinstance(row, Told) and row.presence is not Presence.READY}
+    heard = {row.node for row in rows if isinstance(row, Told) and row.presence is not EndpointState.ACTIVE}
     assert heard == set(range(40))
 
 
-class Waiting(Following):
+class Waiting(ListWatch):
     """Waits for a silent call's answer for as long as a run lasts."""
 
-    def begins(self, now: float, wait: float) -> float:
+    def poll_started(self, now: float, wait: float) -> float:
         return 1000.0
 
 
@@ -214,12 +220,12 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     def heard(story: Story) -> bool:
-        return any(isinstance(row, Told) and row.presence is Presence.DRAINING for row in story.rows)
+        return any(isinstance(row, Told) and row.presence is EndpointState.DRAINING for row in story.rows)
 
     for seed in (1, 2, 3):
         story = World(replace(SILENT, seed=seed)).play()
         assert heard(story) and breaches(story) == []
-    monkeypatch.setattr(node, "Following", Waiting)
+    monkeypatch.setattr(node, "ListWatch", Waiting)
     story = World(SILENT).play()
     assert not heard(story)
     assert {text.partition(":")[0] for text in breaches(story)} == {"told_in_time"}
@@ -228,7 +234,7 @@
 HAS = 10.0  # the moment at which discovery has the change
 COUNTS = HAS + TOLD_AFTER
 JOINED = Reached(0.0, 1, 0, True)
-DRAINING = Published(HAS, 0, 5, Presence.DRAINING)
+DRAINING = Published(HAS, 0, 5, EndpointState.DRAINING)
 BROKEN_OFF, BACK = Reached(HAS - 1, 1, 0, False), Reached(HAS + 20, 1, 0, True)
 
 
@@ -244,11 +250,19 @@
         ([JOINED, DRAINING, sent(COUNTS + GRACE + 0.01)], True),
         ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + GRACE)], False),
         ([JOINED, DRAINING, sent(COUNTS + 9.0, server=6)], False),
-        ([JOINED, Published(HAS, 0, 5, Presence.GONE), sent(COUNTS + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, Published(HAS + 5.0, 0, 5, Presence.GONE), sent(COUNTS + GRACE + 0.01)], True),
+        ([JOINED, Published(HAS, 0, 5, EndpointState.REMOVED), sent(COUNTS + GRACE + 0.01)], True),
+        (
+            [
+                JOINED,
+                DRAINING,
+                Published(HAS + 5.0, 0, 5, EndpointState.REMOVED),
+                sent(COUNTS + GRACE + 0.01),
+            ],
+            True,
+        ),
         # Word of it is another rule's.
-        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, Presence.DRAINING), sent(COUNTS)], False),
-        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, Presence.DRAINING), sent(COUNTS + 1.0)], True),
+        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS)], False),
+        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS + 1.0)], True),
         # Not to be reached: from the end of that.
         ([JOINED, BROKEN_OFF, DRAINING, sent(HAS + 30.0)], False),
         ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE)], False),
@@ -257,18 +271,18 @@
         ([JOINED, DRAINING, Reached(COUNTS + 0.1, 1, 0, False), sent(COUNTS + GRACE + 1.0)], True),
         ([JOINED, Reached(0.0, 2, 0, True), BROKEN_OFF, DRAINING, sent(COUNTS + 9.0, node=2)], True),
         # A later start of the server, and a change after that.
-        ([JOINED, DRAINING, Published(HAS + 1, 0, 5, Presence.READY), sent(COUNTS + 9.0)], False),
+        ([JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE), sent(COUNTS + 9.0)], False),
         (
             [
-                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, Presence.READY)),
-                *(Published(HAS + 9, 0, 5, Presence.GONE), sent(HAS + 9 + TOLD_AFTER + GRACE)),
+                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE)),
+                *(Published(HAS + 9, 0, 5, EndpointState.REMOVED), sent(HAS + 9 + TOLD_AFTER + GRACE)),
             ],
             False,
         ),
         (
             [
-                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, Presence.READY)),
-                *(Published(HAS + 9, 0, 5, Presence.GONE), sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01)),
+                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE)),
+                *(Published(HAS + 9, 0, 5, EndpointState.REMOVED), sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01)),
             ],
             True,
         ),
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -16,14 +16,14 @@
 import pytest
 
 from notchjunction.addresses import text_of
-from notchjunction.balancing.interface import Effect, Profile
+from notchjunction.balancing.interface import Idempotency, RequestClass
 from notchjunction.config import validation
 from notchjunction.emulator.checkers import limit_held
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.emulator.trace import Answered, Final
 from notchjunction.errors import FleetError
 from notchjunction.fleet import quotas
-from notchjunction.fleet.agent import Member, read_section
+from notchjunction.fleet.agent import FleetAgent, read_section
 from notchjunction.fleet.envelope import Forged, Malformed
 from notchjunction.net import fleet_transport
 from notchjunction.node.node import Node
@@ -67,8 +67,8 @@
     more: Mapping[str, Any], key: str, tmp_path: Path
 ) -> None:
     found = {**configuration(), "fleet": section(**more)}
-    with pytest.raises(validation.Unfit) as unfit:
-        validation.check(found)
+    with pytest.raises(validation.InvalidConfiguration) as unfit:
+        validation.validate(found)
     assert any(error.startswith(key) for error in unfit.value.errors), unfit.value.errors
     file = tmp_path / "told.json"
     file.write_text(json.dumps(found))
@@ -96,11 +96,11 @@
         self.spoil: Callable[[bytes], bytes] = lambda data: data
         self.refused: list[FleetError] = []
         self.now = 0.0
-        self.members: dict[str, Member] = {}
+        self.members: dict[str, FleetAgent] = {}
         for number, name in enumerate(names):
             limit = {**LIMIT, "owners": dict.fromkeys(names, 2)}
             told = read_section(section(listen=name, seeds=["n0"], limits=[limit]))
-            self.members[name] = Member(name, 5 + number, told, 1.0, number, 0.0)
+            self.members[name] = FleetAgent(name, 5 + number, told, 1.0, number, 0.0)
 
     def run(self, seconds: float) -> None:
         until = self.now + seconds
@@ -165,7 +165,7 @@
         fleet = section(listen=text_of(free_address()))
         slow = Peer((b"", "hold"))
         mgmt = free_address()
-        async with slow, running(slow, mgmt=mgmt, fleet=fleet, advice_limit=5.0) as (node, address):
+        async with slow, running(slow, mgmt=mgmt, fleet=fleet, retry_after_max=5.0) as (node, address):
             await settled(node)
             first, second = await Client().open(address), await Client().open(address)
             first.ask()
@@ -180,7 +180,7 @@
             slow.reply = OK
             second.ask()
             assert (await second.answer()).status == 200
-            assert node.counters.read()["fleet_refused_jobs"] == 1
+            assert node.counters.read()["fleet_requests_rejected"] == 1
             assert await call(mgmt, "GET", "/control/fleet") == 200
 
     run(story())
@@ -204,7 +204,9 @@
             gone.ask(left="400")
             await slow.asked.wait()
             gone.writer.close()
-            while not node.counters.read().get("withdrawn"):  # the node has let go; its server may work on
+            while not node.counters.read().get(
+                "requests_cancelled"
+            ):  # the node has let go; its server may work on
                 await asyncio.sleep(0.005)
             slow.reply = OK
             next_one.ask()
@@ -235,7 +237,7 @@
             await slow.asked.wait()
             slow.reply = OK
             second.ask()
-            while not node.counters.read()["fleet_waiting"]:
+            while not node.counters.read()["fleet_requests_waiting"]:
                 await asyncio.sleep(0.005)
             file.write_text(json.dumps({**told, "fleet": {**fleet, "limits": []}}))
             node.read_again()
@@ -336,7 +338,7 @@
 def test_processes_that_part_and_heal_never_have_more_out_than_the_limit(name: str, tmp_path: Path) -> None:
     part = PARTS[name]
     nodes = len(part.owners)
-    profile = Profile(0.5, 1.0, 1.0, 0.0, Effect.REISSUABLE)
+    profile = RequestClass(0.5, 1.0, 1.0, 0.0, Idempotency.IDEMPOTENT)
     scenario = Scenario(
         name,
         nodes=nodes,
@@ -352,4 +354,4 @@
     assert list(limit_held(story.rows, part.most, SEEN_LATE)) == []
     finals = [row.final for row in story.rows if isinstance(row, Answered)]
     assert finals.count(Final.HONOURED) > 10 and Final.TURNED_BACK in finals
-    assert not any(counters.get("fleet_refused_forged") for counters in stage.counters)
+    assert not any(counters.get("fleet_datagrams_rejected_forged") for counters in stage.counters)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -21,17 +21,17 @@
 from tornado.iostream import IOStream
 
 from notchjunction.addresses import Address
-from notchjunction.balancing.engine import Begin, Decider, Stop, Ticket
-from notchjunction.balancing.interface import Job, News, Outcome, Result
+from notchjunction.balancing.engine import BalancerEngine, CancelAttempt, RequestHandle, StartResponse
+from notchjunction.balancing.interface import AttemptOutcome, AttemptResult, ListUpdate, NewRequest
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader, Reader, RequestReader
 from notchjunction.net import body_streaming, upstream, upstream_connection
 from notchjunction.net import client_connection as caller_module
-from notchjunction.net.body_streaming import Download, Streams
+from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.socket_stream import NodeStream
-from notchjunction.net.upstream import Attempt
-from notchjunction.net.upstream_connection import Cut
+from notchjunction.net.upstream import AttemptSpec
+from notchjunction.net.upstream_connection import ConnectionLost
 from notchjunction.node.node import Node
 from notchjunction.upgrade import handover, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
@@ -240,15 +240,15 @@
     async with asyncio.timeout(5):
         while True:
             figures = node.counters.read()
-            answered = sum(figures.get(f"answered_{kind}", 0) for kind in (*KINDS, "cut"))
-            told = figures["taken"] == answered + figures.get("withdrawn", 0)
-            if told and not figures["jobs_kept"] and not figures["streams_open"]:
+            answered = sum(figures.get(f"responses_{kind}", 0) for kind in (*KINDS, "truncated"))
+            told = figures["requests_received"] == answered + figures.get("requests_cancelled", 0)
+            if told and not figures["requests_tracked"] and not figures["streams_open"]:
                 break
             await asyncio.sleep(0.002)
-    assert not figures.get("failures")
+    assert not figures.get("internal_errors")
 
 
-KINDS = ("honoured", "turned_back", "written_off", "own_failure")
+KINDS = ("succeeded", "rejected", "failed", "internal_error")
 
 
 async def echo(talk: Talk) -> None:
@@ -312,7 +312,7 @@
                 first = await caller._reader.readexactly(70_000)
             assert b"200" in head and first == BODY[:70_000]
             await asyncio.sleep(0.4)  # past the job's time: it is that of the first bytes
-            assert node.counters.read()["held"] == 1
+            assert node.counters.read()["requests_in_flight"] == 1
             go_on.set()
             async with asyncio.timeout(5):
                 assert await caller._reader.readexactly(len(BODY) - 70_000) == BODY[70_000:]
@@ -408,7 +408,7 @@
             status, body, whole = await caller.whole()
             assert status in (200, 0) and not whole and len(body) <= 200_000
             await nothing_left(node)
-            assert requests == 1 and node.counters.read()["answered_cut"] == 1
+            assert requests == 1 and node.counters.read()["responses_truncated"] == 1
 
     run(story())
 
@@ -510,7 +510,7 @@
             assert (await caller.answer()).status == 503
             caller.send(BODY[500_000:])
             await nothing_left(node)
-            assert node.counters.read()["dispatches_full"] == 1
+            assert node.counters.read()["attempts_rejected"] == 1
 
     run(story())
 
@@ -526,7 +526,7 @@
 
         async with Scripted(keeps) as gone:
             address_of_gone = gone.address
-        async with served(keeps, max_dispatches=4) as (node, address, (_,)):
+        async with served(keeps, max_attempts=4) as (node, address, (_,)):
             for _ in range(20):  # for the budget of retries
                 caller = await Caller().open(address)
                 caller.begin()
@@ -536,14 +536,14 @@
             dead.address = address_of_gone
             list_ = rows(dead)
             list_[0]["name"] = "dead"
-            node._hear(read_list({"index": 2, "snapshot": False, "endpoints": list_}), News.CHANGES)
+            node._hear(read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES)
             for _ in range(8):
                 caller = await Caller().open(address)
                 caller.begin(BODY)
                 caller.send(BODY)
                 assert (await caller.answer()).status == 200
             assert bodies == [BODY] * 8
-            assert node.counters.read().get("dispatches_no_connection", 0) >= 1
+            assert node.counters.read().get("attempts_no_connection", 0) >= 1
 
     run(story())
 
@@ -573,7 +573,7 @@
 
 
 def test_streams_hold_less_the_more_there_are() -> None:
-    streams = Streams()
+    streams = StreamBuffers()
     sizes = []
     for streams.open in (1, 32, 33, 128, 129, 1000):
         sizes.append(streams.piece())
@@ -634,7 +634,7 @@
 
 def large(host: FakeHost) -> int:
     host.jobs += 1
-    host.core.take(Job(host.jobs, 0, 0, 2.0, whole=False))
+    host.core.request_arrived(NewRequest(host.jobs, 0, 0, 2.0, complete=False))
     return host.jobs
 
 
@@ -642,11 +642,11 @@
     host = FakeHost(servers=1)
     host.serve(20)
     job = large(host)
-    assert len(host.sent(job)) == 1 and not host.core._servers[0].flights
+    assert len(host.sent(job)) == 1 and not host.core._servers[0].in_flight
     host.advance(30.0)
     assert not host.finals(job)
-    host.core.whole(job)
-    assert len(host.core._servers[0].flights) == 1
+    host.core.body_completed(job)
+    assert len(host.core._servers[0].in_flight) == 1
     host.advance(1.9)
     assert not host.finals(job)
     host.advance(0.2)
@@ -659,36 +659,38 @@
     host.serve(60)
     job = large(host)
     server = host.sent(job)[0]
-    host.core.outcome(Outcome(job, 0, server, Result.NO_CONNECTION, 0.01, spent=spent))
+    host.core.attempt_ended(
+        AttemptOutcome(job, 0, server, AttemptResult.NO_CONNECTION, 0.01, unrepeatable=spent)
+    )
     assert len(host.sent(job)) == (1 if spent else 2)
-    assert host.finals(job) == (["turn_back"] if spent else [])
+    assert host.finals(job) == (["reject"] if spent else [])
 
 
 def test_after_its_last_byte_a_large_job_gets_no_second_copy() -> None:
-    host = FakeHost(second_copies=True)
+    host = FakeHost(hedging=True)
     host.serve(60)
     job = large(host)
-    host.core.whole(job)
+    host.core.body_completed(job)
     for _ in range(10):
         host.serve(4, every=0.1)
     assert len(host.sent(job)) == 1
 
 
 def test_an_answer_that_has_begun_is_final_and_its_server_has_done_the_job() -> None:
-    host = FakeHost(servers=4, second_copies=True)
+    host = FakeHost(servers=4, hedging=True)
     host.serve(60)
     job = host.take(time_left=20.0)
     slow = host.sent(job)[0]
     while len(host.sent(job)) < 2:  # the server is silent: a second copy
         host.serve(2, every=0.1)
-    host.core.streaming(job, 1)
-    assert ("recall", job, 0) in host.did
+    host.core.response_started(job, 1)
+    assert ("cancel_attempt", job, 0) in host.did
     second = host.sent(job)[1]
-    assert not host.core._servers[second].flights and slow != second
-    host.core.outcome(Outcome(job, 0, slow, Result.RECALLED, 0.1))
+    assert not host.core._servers[second].in_flight and slow != second
+    host.core.attempt_ended(AttemptOutcome(job, 0, slow, AttemptResult.CANCELLED, 0.1))
     host.advance(30.0)
     assert not host.finals(job) and len(host.sent(job)) == 2
-    host.core.outcome(Outcome(job, 1, second, Result.HONOURED, 0.1, over=True))
+    host.core.attempt_ended(AttemptOutcome(job, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
     assert not host.finals(job) and job not in host.core._held
 
 
@@ -764,7 +766,7 @@
                     await asyncio.sleep(0.005)
                 while not new.counters.read().get("streams_adopted"):
                     await asyncio.sleep(0.005)
-                assert old.counters.read()["streams_moved"] == new.counters.read()["streams_adopted"] == 1
+                assert old.counters.read()["streams_migrated"] == new.counters.read()["streams_adopted"] == 1
                 go_on.set()
                 wanted, found = BODY * 8, bytearray()
                 if framing == "length" or version == "1.0":
@@ -784,7 +786,9 @@
                 caller.writer.close()
                 while new._descriptors.held:
                     await asyncio.sleep(0.002)
-                assert not new.counters.read().get("failures") and not old.counters.read().get("failures")
+                assert not new.counters.read().get("internal_errors") and not old.counters.read().get(
+                    "internal_errors"
+                )
 
     run(story())
 
@@ -813,7 +817,7 @@
                 assert status == 200 and not whole and len(body) <= MB
                 while new._descriptors.held or new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
-                assert new.counters.read()["streams_cut"] == 1
+                assert new.counters.read()["streams_truncated"] == 1
 
     run(story())
 
@@ -850,9 +854,9 @@
 ) -> None:
     """No descriptor is left in that moment, or too many knock at the process that follows."""
     failures = [errno.EMFILE if missing == "descriptor" else errno.EAGAIN] * 2
-    opens = handover.Giver.__init__
+    opens = handover.StreamSender.__init__
 
-    def fails_at_first(giver: handover.Giver, *told: Any) -> None:
+    def fails_at_first(giver: handover.StreamSender, *told: Any) -> None:
         if failures:
             raise OSError(failures.pop(), "for now")
         opens(giver, *told)
@@ -872,12 +876,12 @@
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.followed:
                     await asyncio.sleep(0.002)
-                monkeypatch.setattr(handover.Giver, "__init__", fails_at_first)
+                monkeypatch.setattr(handover.StreamSender, "__init__", fails_at_first)
                 old.stop()
                 async with asyncio.timeout(10):
                     while old._callers.connected:
                         await asyncio.sleep(0.005)
-                assert old.counters.read()["streams_moved"] == 1 and not failures
+                assert old.counters.read()["streams_migrated"] == 1 and not failures
                 go_on.set()
                 assert await caller.whole() == (200, BODY * 2, True)
                 assert new.counters.read()["streams_adopted"] == 1
@@ -965,7 +969,7 @@
             caller = await Caller().open(address)
             caller.begin(BODY)
             caller.send(BODY[:200_000])
-            while not node.counters.read().get("dispatches_first"):
+            while not node.counters.read().get("attempts_first"):
                 await asyncio.sleep(0.002)
             node.stop()
             answer = await caller.answer()
@@ -979,15 +983,15 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     tries: list[bool] = []
-    gives = handover.Giver.__call__
+    gives = handover.StreamSender.__call__
 
-    def full_at_first(giver: handover.Giver, *stream: Any) -> bool:
+    def full_at_first(giver: handover.StreamSender, *stream: Any) -> bool:
         tries.append(len(tries) % 3 == 2)
         if not tries[-1]:
             raise BlockingIOError
         return gives(giver, *stream)
 
-    monkeypatch.setattr(handover.Giver, "__call__", full_at_first)
+    monkeypatch.setattr(handover.StreamSender, "__call__", full_at_first)
 
     async def story() -> None:
         async def large(talk: Talk) -> None:
@@ -1000,7 +1004,7 @@
             for caller in opened:
                 caller.begin()
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old.counters.read().get("answers_streamed", 0) < 3:
+                while old.counters.read().get("responses_streamed", 0) < 3:
                     await asyncio.sleep(0.002)
                 while old._handover is None or not old._handover.followed:
                     await asyncio.sleep(0.002)
@@ -1010,7 +1014,7 @@
                     assert whole and (status, len(body)) in ((200, 4 * MB), (503, 0))
                 while old._callers.connected:
                     await asyncio.sleep(0.002)
-                moved = old.counters.read().get("streams_moved", 0)
+                moved = old.counters.read().get("streams_migrated", 0)
                 while new.counters.read().get("streams_adopted", 0) < moved:
                     await asyncio.sleep(0.005)
                 assert moved == sum(tries)
@@ -1054,12 +1058,12 @@
             sent = Dispatches(peer)
             begun: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
             work = asyncio.create_task(
-                sent.servers.attempt(Attempt("s0", sent.clock + 2.0, begun=begun.set_result), JOB)
+                sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, begun=begun.set_result), JOB)
             )
             download = await begun
             work.cancel()
             await asyncio.wait({work})
-            with pytest.raises(Cut):
+            with pytest.raises(ConnectionLost):
                 while not download.over:
                     await download.more()
                     download.ready_piece()
@@ -1069,14 +1073,14 @@
 
 
 def test_an_answer_that_begins_after_its_recall_is_not_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    begun = Decider.begun
+    begun = BalancerEngine.report_response_started
 
-    def recalled(self: Decider, ticket: Ticket, dispatch: int) -> bool:
-        self._order(ticket.number, Stop(dispatch))  # it waits to be picked
+    def recalled(self: BalancerEngine, ticket: RequestHandle, dispatch: int) -> bool:
+        self._command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
         return begun(self, ticket, dispatch)
 
     async def story() -> None:
-        monkeypatch.setattr(Decider, "begun", recalled)
+        monkeypatch.setattr(BalancerEngine, "report_response_started", recalled)
         async with served(never_ends) as (node, address, _):
             caller = await Caller().open(address)
             caller.begin()
@@ -1094,8 +1098,10 @@
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
         kept = ours.dup()
-        connection = upstream_connection.Connection(("", 0), ours)
-        download = body_streaming.Download(Streams(), connection, AnswerReader(), Answer(200, more=True))
+        connection = upstream_connection.UpstreamConnection(("", 0), ours)
+        download = body_streaming.Download(
+            StreamBuffers(), connection, AnswerReader(), Answer(200, more=True)
+        )
         assert download.take_held()
         theirs.send(b"more")
         download.move()
@@ -1135,14 +1141,14 @@
             caller = await Caller().open(address)
             caller.ask("POST", extra="Transfer-Encoding: chunked\r\n")
             caller.send(b"%x\r\n%b" % (MB, BODY[:200_000]))
-            what = "answered_written_off" if early else "dispatches_first"
+            what = "responses_failed" if early else "attempts_first"
             while not old.counters.read().get(what):
                 await asyncio.sleep(0.002)
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.followed:
                     await asyncio.sleep(0.002)
                 old.stop()
-                while not new.counters.read().get("bodies_adopted"):
+                while not new.counters.read().get("uploads_adopted"):
                     await asyncio.sleep(0.002)
                 while old._callers.connected:
                     await asyncio.sleep(0.002)
@@ -1153,7 +1159,7 @@
                     assert await ask_ready_on(caller) == 200
                 else:
                     assert await caller.closed()
-                assert not ran and old.counters.read()["bodies_moved"] == 1
+                assert not ran and old.counters.read()["uploads_migrated"] == 1
 
     run(story())
 
@@ -1161,7 +1167,7 @@
 @pytest.mark.parametrize("recalls", [True, False])
 def test_a_body_whose_caller_goes_is_broken_off_whether_or_not_jobs_are_recalled(recalls: bool) -> None:
     async def story() -> None:
-        async with served(never_ends, recalls=recalls) as (node, address, (peer,)):
+        async with served(never_ends, cancellation=recalls) as (node, address, (peer,)):
             caller = await Caller().open(address)
             caller.begin(BODY)
             caller.send(BODY[:200_000])
@@ -1185,7 +1191,7 @@
         async def takes_nothing(talk: Talk) -> None:
             await over.wait()
 
-        async with served(takes_nothing, recalls=False) as (node, address, (peer,)):
+        async with served(takes_nothing, cancellation=False) as (node, address, (peer,)):
             caller = await Caller().open(address)
             caller.begin(BODY * 16)
             caller.send(BODY * 16)
@@ -1220,7 +1226,7 @@
             # What is still to come of the first answer reads like one to the request after it.
             await talk.send(answered % (6, b"forged"))
 
-        async with served(pauses, recalls=recalls) as (node, address, (peer,)):
+        async with served(pauses, cancellation=recalls) as (node, address, (peer,)):
             caller = await Caller().open(address)
             caller.begin(b"body")
             caller.send(b"body")
@@ -1243,13 +1249,13 @@
 def test_a_body_does_not_become_whole_at_a_server_that_was_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.2)
     given_up, last = False, b"the last of it"
-    taken, write = upstream_connection.Connection._taken, IOStream.write_to_fd
+    taken, write = upstream_connection.UpstreamConnection._taken, IOStream.write_to_fd
 
-    async def notes_the_end(self: upstream_connection.Connection, *args: Any) -> None:
+    async def notes_the_end(self: upstream_connection.UpstreamConnection, *args: Any) -> None:
         nonlocal given_up
         try:
             await taken(self, *args)
-        except upstream_connection.NotSent:
+        except upstream_connection.RequestNotSent:
             given_up = True
             raise
 
@@ -1266,7 +1272,7 @@
             await talk.request()
 
         async with served(takes_all) as (node, address, (peer,)):
-            monkeypatch.setattr(upstream_connection.Connection, "_taken", notes_the_end)
+            monkeypatch.setattr(upstream_connection.UpstreamConnection, "_taken", notes_the_end)
             monkeypatch.setattr(IOStream, "write_to_fd", takes_the_last_once_it_is_late)
             caller = await Caller().open(address)
             caller.begin(BODY + last)
@@ -1283,16 +1289,16 @@
 def test_a_large_answer_that_the_node_fails_to_pass_on_leaves_no_stream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    pick = Decider.pick
+    pick = BalancerEngine.next_command
 
-    async def misses_the_beginning(self: Decider, ticket: Ticket) -> Any:
+    async def misses_the_beginning(self: BalancerEngine, ticket: RequestHandle) -> Any:
         order = await pick(self, ticket)
-        if isinstance(order, Begin):
+        if isinstance(order, StartResponse):
             raise RuntimeError("own")
         return order
 
     async def story() -> None:
-        monkeypatch.setattr(Decider, "pick", misses_the_beginning)
+        monkeypatch.setattr(BalancerEngine, "next_command", misses_the_beginning)
         async with served(never_ends) as (node, address, (peer,)):
             caller = await Caller().open(address)
             caller.begin()
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -15,8 +15,8 @@
 
 import pytest
 
-from notchjunction.balancing.interface import Effect, Profile, ServerEntry
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import EndpointEntry, Idempotency, RequestClass
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
 from notchjunction.emulator.trace import Landed, Probed, Row, Sent
@@ -179,7 +179,7 @@
 @on_a_loop
 async def test_a_paused_process_says_nothing_goes_on_and_comes_back_with_its_file(tmp_path: Path) -> None:
     callers, node = Callers(), NodeProcess(0, free_address(), tmp_path)
-    known = json.loads(list_text([ServerEntry(0, Presence.READY)], 1, True, lambda _: (HOST, 9)))
+    known = json.loads(list_text([EndpointEntry(0, EndpointState.ACTIVE)], 1, True, lambda _: (HOST, 9)))
     node.start(Scenario("small"), 0, 0, 1, (HOST, 9), {}, {"known": known})
     await node.ready(callers)
     node.pause()
@@ -187,12 +187,12 @@
     node.go_on()
     await node.ready(callers)
     node.hang_up({**node.told, "discovery": f"{HOST}:10"})
-    await until(lambda: any('event="new configuration"' in line for line in node.lines()))
+    await until(lambda: any('event="configuration reloaded"' in line for line in node.lines()))
     await node.restart()
     await node.ready(callers)
     callers.close()
     node.pause()
-    assert "callers_closed" in await node.end()
+    assert "client_connections_closed" in await node.end()
 
 
 def rows_of(*dispatches: tuple[float, float, float], last: float = 0.0) -> list[Row]:
@@ -228,7 +228,7 @@
 @on_a_loop
 async def test_on_sockets_each_dispatch_lands_once_however_it_ends(tmp_path: Path) -> None:
     faults = (Fault(Kind.CRASH, 0.5, 1.0, (0,)), Fault(Kind.LOSE, 0.0, 2.0, (1,), 0.3))
-    short = (Profile(0.3, 0.5, effect=Effect.REISSUABLE),)
+    short = (RequestClass(0.3, 0.5, idempotency=Idempotency.IDEMPOTENT),)
     scenario = Scenario("short", 1, 3, length=2.0, profiles=short, streams=(Stream(0, 40.0),), faults=faults)
     found = await Stage(scenario, tmp_path).play()
     sent = [row for row in found.rows if isinstance(row, Sent) and row.until < found.ended_at - 0.3]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -16,7 +16,18 @@
 from notchjunction.fleet import envelope as env
 from notchjunction.fleet import membership as ros
 from notchjunction.fleet.envelope import Envelope, Key, Out, Sender
-from notchjunction.fleet.membership import Ack, Digest, Hello, Member, Ping, Roster, Rumour, State, Told, join
+from notchjunction.fleet.membership import (
+    Ack,
+    Digest,
+    Hello,
+    Member,
+    Membership,
+    Ping,
+    Rumour,
+    State,
+    Told,
+    join,
+)
 
 ALIVE, SUSPECT, DEAD, LEFT = State
 KEYS = [Key(1, b"k" * 16)]
@@ -26,7 +37,7 @@
 class Node:
     def __init__(self, net: Net, me: Sender, address: str) -> None:
         self.net, self.me, self.address, self.rate = net, me, address, net.random.uniform(0.95, 1.05)
-        self.roster = Roster(me, address, ["a0"], net.random.randrange(1 << 30))
+        self.roster = Membership(me, address, ["a0"], net.random.randrange(1 << 30))
         self.envelope = Envelope(me, KEYS)
         self.up, self.paused_until, self.sent = True, 0.0, 0
         self.refused: list[FleetError] = []
@@ -204,8 +215,8 @@
 
 
 @pytest.fixture
-def roster() -> Roster:
-    roster = Roster(Sender("me", 5), "m", [], 1)
+def roster() -> Membership:
+    roster = Membership(Sender("me", 5), "m", [], 1)
     told(roster, PEER)
     return roster
 
@@ -213,12 +224,12 @@
 PEER = Rumour("peer", "p", 1, 0, ALIVE, 0, ())
 
 
-def told(roster: Roster, rumour: Rumour) -> State | None:
+def told(roster: Membership, rumour: Rumour) -> State | None:
     roster.hear(0.0, Sender("peer", 1), Told((PEER, rumour)))
     return roster.members()[rumour.name].state if rumour.name in roster.members() else None
 
 
-def test_old_deaths_are_no_news_and_are_forgotten(roster: Roster) -> None:
+def test_old_deaths_are_no_news_and_are_forgotten(roster: Membership) -> None:
     for state, start, age, then in (
         (DEAD, 3, int(ros.TOMB_NEWS) + 1, None),
         (DEAD, 3, 10, DEAD),
@@ -235,7 +246,9 @@
     assert "y" not in roster.members()
 
 
-def test_who_slept_longer_than_the_dead_are_remembered_tells_of_itself_and_joins_anew(roster: Roster) -> None:
+def test_who_slept_longer_than_the_dead_are_remembered_tells_of_itself_and_joins_anew(
+    roster: Membership,
+) -> None:
     told(roster, Rumour("x", "ax", 3, 0, ALIVE, 0, ()))
     roster.tick(0.0)
     now, peer = ros.TOMB_SPAN + 10.0, Sender("peer", 1)
@@ -248,7 +261,7 @@
     assert not roster.away(now) and list(roster.members()) == ["me", "peer"]
 
 
-def test_time_in_which_a_node_did_not_look_is_nobodys_silence(roster: Roster) -> None:
+def test_time_in_which_a_node_did_not_look_is_nobodys_silence(roster: Membership) -> None:
     now, asked = 0.0, [0]
     while len(asked) == len(set(asked)):  # until it asks again what was not answered
         asked += [out.message.seq for out in roster.tick(now) if isinstance(out.message, Ping)]
@@ -260,14 +273,14 @@
     assert roster.members()["peer"].state is SUSPECT
 
 
-def test_a_suspected_node_is_asked_again_before_it_is_buried(roster: Roster) -> None:
+def test_a_suspected_node_is_asked_again_before_it_is_buried(roster: Membership) -> None:
     told(roster, Rumour("x", "ax", 3, 0, SUSPECT, 0, ("me", "peer")))
     outs = [out for tick in range(39) for out in roster.tick(tick / 10) if out.to == "x"]
     assert len({out.message.seq for out in outs if isinstance(out.message, Ping)}) > 4  # with two probes
     assert roster.members()["x"].state is SUSPECT
 
 
-def test_what_is_said_at_once_is_bounded_however_many_there_are_and_ask(roster: Roster) -> None:
+def test_what_is_said_at_once_is_bounded_however_many_there_are_and_ask(roster: Membership) -> None:
     for number in range(200):
         told(roster, Rumour(f"n{number}", "a", 3, 0, ALIVE, 0, ()))
     outs = [out for _ in range(20) for out in roster.hear(0.0, Sender("peer", 1), Digest(bytes(256), ()))]
@@ -275,7 +288,7 @@
     assert max(sizes) <= ros.GOSSIP_MOST + 300 and sum(sizes) <= ros.GOSSIP_RATE + 20 * 300
 
 
-def test_a_greeting_is_answered_so_often_and_never_believed(roster: Roster) -> None:
+def test_a_greeting_is_answered_so_often_and_never_believed(roster: Membership) -> None:
     before = roster.members()
     answers = [roster.hear_greeting(0.0, Sender(f"n{n}", 1), Hello(1)) for n in range(2 * ros.GREETED_MOST)]
     assert sum(map(len, answers)) == ros.GREETED_MOST
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -21,22 +21,22 @@
 
 from notchjunction.__main__ import main
 from notchjunction.addresses import Address
-from notchjunction.balancing.interface import Result
+from notchjunction.balancing.interface import AttemptResult
 from notchjunction.config import node_config
 from notchjunction.discovery import watch_state
-from notchjunction.discovery.endpoint_list import Unusable, read_list
-from notchjunction.discovery.endpoints import Presence
-from notchjunction.discovery.watch_state import RENEW_LEAST, Following
+from notchjunction.discovery.endpoint_list import ListUnavailable, read_list
+from notchjunction.discovery.endpoints import EndpointState
+from notchjunction.discovery.watch_state import RENEW_LEAST, ListWatch
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.http1.parser import AnswerReader
 from notchjunction.net import client_connection as caller_module
 from notchjunction.net import client_listener, discovery_client
-from notchjunction.net.body_streaming import Streams, Upload
+from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.descriptors import Descriptors
-from notchjunction.net.discovery_client import Discovery
-from notchjunction.net.request_handler import ask_of
-from notchjunction.net.upstream import SETTLED, Attempt, Exchanged, Servers
-from notchjunction.net.upstream_connection import Connection, NotSent
+from notchjunction.net.discovery_client import DiscoveryClient
+from notchjunction.net.request_handler import request_spec_of
+from notchjunction.net.upstream import SETTLED, AttemptSpec, ExchangeResult, UpstreamPool
+from notchjunction.net.upstream_connection import RequestNotSent, UpstreamConnection
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import KeyValueFormatter, pairs
 from notchjunction.upgrade import shutdown
@@ -67,7 +67,7 @@
         self.counters = Counters()
         self.descriptors = Descriptors(sockets)
         self.peer = peer
-        self.servers = Servers(
+        self.servers = UpstreamPool(
             lambda: self.clock, 0.5, 4.0, "/status/load", lambda: False, self.descriptors, self.counters
         )
         self.servers.point({"s0": peer.address})
@@ -76,8 +76,8 @@
         """Kept connections may be used again."""
         self.clock += 2 * SETTLED
 
-    async def send(self, within: float = 2.0, server: str = "s0", request: Request = JOB) -> Exchanged:
-        return await self.servers.attempt(Attempt(server, self.clock + within), request)
+    async def send(self, within: float = 2.0, server: str = "s0", request: Request = JOB) -> ExchangeResult:
+        return await self.servers.attempt(AttemptSpec(server, self.clock + within), request)
 
 
 def answer(head: bytes, body: bytes = b"") -> bytes:
@@ -87,29 +87,29 @@
 @pytest.mark.parametrize(
     ("reply", "result"),
     [
-        (OK, Result.HONOURED),
-        ((b"HTTP/1.1 200 OK\r\n\r\nok", "close"), Result.HONOURED),
-        ((OK[0], "close"), Result.HONOURED),
-        ((answer(b"500 E"), "keep"), Result.ERROR),
-        ((answer(b"503 E"), "keep"), Result.ERROR),
-        ((answer(b"504 E"), "keep"), Result.ERROR),
-        (FULL, Result.FULL),
-        ((answer(b"504 E\r\nSrv-Declined: 1"), "keep"), Result.FULL),
-        ((answer(b"404 E"), "keep"), Result.UNKNOWN),
-        ((b"no answer at all\r\n\r\n", "keep"), Result.SPOILT),
-        ((b"", "close"), Result.RESET),
-        ((b"", "reset"), Result.RESET),
-        ((b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", "close"), Result.RESET),
-        ((b"HTTP/1.1 200 OK\r\n\r\nok", "reset"), Result.RESET),
-        (SILENT, Result.TIMED_OUT),
+        (OK, AttemptResult.SUCCEEDED),
+        ((b"HTTP/1.1 200 OK\r\n\r\nok", "close"), AttemptResult.SUCCEEDED),
+        ((OK[0], "close"), AttemptResult.SUCCEEDED),
+        ((answer(b"500 E"), "keep"), AttemptResult.ERROR),
+        ((answer(b"503 E"), "keep"), AttemptResult.ERROR),
+        ((answer(b"504 E"), "keep"), AttemptResult.ERROR),
+        (FULL, AttemptResult.REJECTED),
+        ((answer(b"504 E\r\nSrv-Declined: 1"), "keep"), AttemptResult.REJECTED),
+        ((answer(b"404 E"), "keep"), AttemptResult.UNKNOWN),
+        ((b"no answer at all\r\n\r\n", "keep"), AttemptResult.MALFORMED),
+        ((b"", "close"), AttemptResult.RESET),
+        ((b"", "reset"), AttemptResult.RESET),
+        ((b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nok", "close"), AttemptResult.RESET),
+        ((b"HTTP/1.1 200 OK\r\n\r\nok", "reset"), AttemptResult.RESET),
+        (SILENT, AttemptResult.TIMED_OUT),
     ],
 )
-def test_each_end_of_a_dispatch_has_its_outcome(reply: Reply, result: Result) -> None:
+def test_each_end_of_a_dispatch_has_its_outcome(reply: Reply, result: AttemptResult) -> None:
     async def story() -> None:
         async with Peer(reply) as peer:
             sent = Dispatches(peer)
             exchanged = await sent.send(0.1 if reply is SILENT else 2.0)
-            assert exchanged.ended.result is result and len(peer.requests) == 1
+            assert exchanged.outcome.result is result and len(peer.requests) == 1
             sent.servers.close()
             assert sent.descriptors.held == 0
 
@@ -121,8 +121,8 @@
         async with Peer() as peer:
             pass
         sent = Dispatches(peer)
-        assert (await sent.send()).ended.result is Result.NO_CONNECTION
-        assert (await sent.send(1.0, "unheard of")).ended.result is Result.NO_CONNECTION
+        assert (await sent.send()).outcome.result is AttemptResult.NO_CONNECTION
+        assert (await sent.send(1.0, "unheard of")).outcome.result is AttemptResult.NO_CONNECTION
         assert sent.descriptors.held == 0
 
     run(story())
@@ -131,14 +131,14 @@
 def test_a_request_that_was_not_written_whole_never_ran(monkeypatch: pytest.MonkeyPatch) -> None:
     async def story() -> None:
         async with Peer() as peer:
-            connection = Connection(peer.address)
+            connection = UpstreamConnection(peer.address)
             await connection.open()
             connection.close()
-            with pytest.raises(NotSent):
+            with pytest.raises(RequestNotSent):
                 await connection.exchange(JOB, AnswerReader())
             sent = Dispatches(peer)
-            monkeypatch.setattr(Connection, "open", hanging)
-            assert (await sent.send(0.05)).ended.result is Result.NO_CONNECTION
+            monkeypatch.setattr(UpstreamConnection, "open", hanging)
+            assert (await sent.send(0.05)).outcome.result is AttemptResult.NO_CONNECTION
             # One that hangs may still come up for a later request; the end gives it back.
             assert peer.requests == [] and sent.descriptors.held == 1
             sent.servers.close()
@@ -155,7 +155,7 @@
             sent = Dispatches(peer, sockets=16)
             for _ in range(8):
                 sent.descriptors.take()
-            assert (await sent.send()).ended.result is Result.NEVER_SENT and peer.requests == []
+            assert (await sent.send()).outcome.result is AttemptResult.NOT_SENT and peer.requests == []
 
     run(story())
 
@@ -198,7 +198,7 @@
             sent = Dispatches(peer)
             for _ in range(3):
                 peer.left.clear()
-                assert (await sent.send()).ended.result is Result.HONOURED
+                assert (await sent.send()).outcome.result is AttemptResult.SUCCEEDED
                 await peer.left.wait()
                 sent.rested()
             assert len(peer.requests) == peer.connections == 3
@@ -214,7 +214,7 @@
             await sent.send()
             sent.rested()
             peer.reply = (b"", "reset")
-            assert (await sent.send()).ended.result is Result.RESET and peer.connections == 1
+            assert (await sent.send()).outcome.result is AttemptResult.RESET and peer.connections == 1
             peer.reply = OK
             for connections in (2, 3):
                 await sent.send()
@@ -264,7 +264,7 @@
             sent = Dispatches(peer)
             await sent.send(0.05)
             peer.reply = OK
-            assert (await sent.send()).ended.result is Result.HONOURED
+            assert (await sent.send()).outcome.result is AttemptResult.SUCCEEDED
             assert peer.connections == 2
 
     run(story())
@@ -290,7 +290,7 @@
         async with Peer(SILENT) as peer:
             sent = Dispatches(peer)
             monkeypatch.setattr(IOStream, "write_to_fd", late)
-            assert (await sent.send(within)).ended.result is Result.TIMED_OUT
+            assert (await sent.send(within)).outcome.result is AttemptResult.TIMED_OUT
             await peer.asked.wait()
             assert len(peer.requests) == 1 and sent.descriptors.held == 0
 
@@ -304,7 +304,7 @@
             task = asyncio.create_task(sent.send())
             await asyncio.sleep(0)
             sent.servers.point({})
-            assert (await task).ended.result is Result.NO_CONNECTION
+            assert (await task).outcome.result is AttemptResult.NO_CONNECTION
             assert peer.requests == [] and sent.descriptors.held == 0
 
     run(story())
@@ -318,7 +318,7 @@
             await peer.asked.wait()
             sent.servers.point({})
             peer.go_on.set()
-            assert (await task).ended.result is Result.HONOURED and sent.descriptors.held == 0
+            assert (await task).outcome.result is AttemptResult.SUCCEEDED and sent.descriptors.held == 0
 
     run(story())
 
@@ -371,8 +371,8 @@
             sent = Dispatches(peer)
             for _ in range(2):
                 exchanged = await sent.send()
-                assert exchanged.ended.result is Result.HONOURED
-                assert exchanged.answer is not None and exchanged.answer.body == b"ok"
+                assert exchanged.outcome.result is AttemptResult.SUCCEEDED
+                assert exchanged.response is not None and exchanged.response.body == b"ok"
                 sent.rested()
             assert peer.connections == 1
 
@@ -383,7 +383,7 @@
     async def story() -> None:
         async with Peer((answer(b"200 OK", b'{"q":3,"lat_ms":20,"new":{}}'), "keep")) as peer:
             ended = await Dispatches(peer).servers.probe("s0")
-            assert ended.load is not None and (ended.load.waiting, ended.load.pace) == (3.0, 0.02)
+            assert ended.load is not None and (ended.load.queued, ended.load.latency) == (3.0, 0.02)
             assert peer.requests[0].target == "/status/load"
 
     run(story())
@@ -403,7 +403,7 @@
                 await asyncio.sleep(2 * SETTLED)
             assert peer.connections == 1 and peer.requests[0].target == "/api?x=1"
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= 2000
-            assert node.counters.read()["answered_honoured"] == 2
+            assert node.counters.read()["responses_succeeded"] == 2
 
     run(story())
 
@@ -422,7 +422,7 @@
 
 def test_a_full_server_is_followed_by_another() -> None:
     async def story() -> None:
-        async with Peer() as first, Peer() as second, running(first, second, depths=2) as (_, address):
+        async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (_, address):
             client = await Client().open(address)
             for _ in range(10):
                 client.ask()
@@ -496,10 +496,12 @@
                 while caller and caller._requests.unread == seen:
                     await asyncio.sleep(0.001)
             client.writer.close()
-            while not (figures := node.counters.read()).get("withdrawn") or figures["jobs_kept"]:
+            while (
+                not (figures := node.counters.read()).get("requests_cancelled") or figures["requests_tracked"]
+            ):
                 await asyncio.sleep(0.001)
-            assert figures["taken"] == 1 and figures["held"] == 0
-            assert figures.get("dispatches_recalled", 0) == figures["dispatches_first"]
+            assert figures["requests_received"] == 1 and figures["requests_in_flight"] == 0
+            assert figures.get("attempts_cancelled", 0) == figures["attempts_first"]
 
     run(story())
 
@@ -513,7 +515,13 @@
 
 
 @pytest.mark.parametrize(
-    ("part", "failing"), [("pick", broken_later), ("pick", hanging), ("report", broken), ("take", broken)]
+    ("part", "failing"),
+    [
+        ("next_command", broken_later),
+        ("next_command", hanging),
+        ("report_attempt", broken),
+        ("submit", broken),
+    ],
 )
 def test_a_failure_of_the_node_itself_is_answered_and_counted(
     part: str, failing: object, monkeypatch: pytest.MonkeyPatch
@@ -528,13 +536,17 @@
             client.ask()
             assert (await client.answer()).status == 200
             figures = node.counters.read()
-            assert figures["failures"] >= 1 and figures["answered_own_failure"] == 1 and figures["held"] == 0
+            assert (
+                figures["internal_errors"] >= 1
+                and figures["responses_internal_error"] == 1
+                and figures["requests_in_flight"] == 0
+            )
 
     run(story())
 
 
 def test_a_caller_who_goes_while_the_module_fails_leaves_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("notchjunction.balancing.balancer.Balancer.withdrawn", broken)
+    monkeypatch.setattr("notchjunction.balancing.balancer.Balancer.request_cancelled", broken)
 
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
@@ -542,9 +554,11 @@
             client.ask(left="100")
             await peer.asked.wait()
             client.writer.close()
-            while not (figures := node.counters.read()).get("withdrawn") or figures["jobs_kept"]:
+            while (
+                not (figures := node.counters.read()).get("requests_cancelled") or figures["requests_tracked"]
+            ):
                 await asyncio.sleep(0.001)
-            assert figures["failures"] == 1 and figures["callers_connected"] == 0
+            assert figures["internal_errors"] == 1 and figures["client_connections_open"] == 0
 
     run(story())
 
@@ -556,7 +570,7 @@
             async with teller, running(peer, discovery=teller) as (node, _):
                 with monkeypatch.context() as patch:
                     patch.setattr(node._servers, "point", None)
-                    while not node.counters.read().get("list_calls_failed"):
+                    while not node.counters.read().get("list_polls_failed"):
                         await asyncio.sleep(0.001)
                 seen = len(teller.requests)
                 while len(teller.requests) == seen:
@@ -566,9 +580,9 @@
 
 
 def test_news_that_fails_in_the_node_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    point, calls = Servers.point, 0
+    point, calls = UpstreamPool.point, 0
 
-    def fails_at_the_news(self: Servers, ready: Mapping[str, Address]) -> None:
+    def fails_at_the_news(self: UpstreamPool, ready: Mapping[str, Address]) -> None:
         nonlocal calls
         calls += 1
         if calls == 2:  # the first is for the remembered list
@@ -579,12 +593,12 @@
         async with Peer() as first, Peer() as second:
             drained = news(2, rows(first, second, status="draining")[:1], whole=False)
             teller = Peer(lambda request: drained if "after=1&" in request.target else SILENT)
-            monkeypatch.setattr(Servers, "point", fails_at_the_news)
+            monkeypatch.setattr(UpstreamPool, "point", fails_at_the_news)
             async with teller, running(first, second, discovery=teller) as (node, _):
                 async with asyncio.timeout(5):
-                    while (figures := node.counters.read())["servers_known"] != 1:
+                    while (figures := node.counters.read())["endpoints_active"] != 1:
                         await asyncio.sleep(0.001)
-                assert figures["failures"] == 1 and figures["list_calls_failed"] == 1
+                assert figures["internal_errors"] == 1 and figures["list_polls_failed"] == 1
 
     run(story())
 
@@ -598,7 +612,7 @@
             client = await Client().open(address)
             client.writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 1024)
             client.writer.transport.pause_reading()  # type: ignore[attr-defined]
-            while not node.counters.read().get("callers_closed"):
+            while not node.counters.read().get("client_connections_closed"):
                 client.ask()
                 await asyncio.sleep(0.001)
 
@@ -643,19 +657,19 @@
 
 
 def test_a_bad_caller_that_is_gone_before_its_error_is_no_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def gone(caller: caller_module.Caller, _: Answer) -> None:
+    async def gone(caller: caller_module.ClientConnection, _: Answer) -> None:
         caller._stream.close()
 
-    monkeypatch.setattr(caller_module.Caller, "_write", gone)
+    monkeypatch.setattr(caller_module.ClientConnection, "_write", gone)
 
     async def story() -> None:
         async with running() as (node, address):
             client = await Client().open(address)
             client.send(b"nonsense\r\n\r\n")
             assert await client.closed()
-            while not (figures := node.counters.read()).get("callers_closed"):
+            while not (figures := node.counters.read()).get("client_connections_closed"):
                 await asyncio.sleep(0.001)
-            assert figures.get("failures", 0) == 0
+            assert figures.get("internal_errors", 0) == 0
 
     run(story())
 
@@ -830,7 +844,7 @@
                     client.ask()
                     assert (await client.answer()).status == 200
                 assert (len(first.requests), len(second.requests)) == (0, 6)
-                assert node.counters.read()["servers_known"] == 1
+                assert node.counters.read()["endpoints_active"] == 1
             versions = [request.target.split("after=")[1].split("&")[0] for request in teller.requests]
             assert versions[:2] == ["1", "7"] and teller.connections == 1
 
@@ -847,7 +861,7 @@
         client = await Client().open(address)
         client.ask()
         status = (await client.answer()).status
-        assert node.counters.read()["servers_known"] == (status == 200)
+        assert node.counters.read()["endpoints_active"] == (status == 200)
         return status, len(node._known)
 
 
@@ -897,17 +911,17 @@
     async def story() -> None:
         async with Peer(reply) as teller:
             asked = follower(teller)
-            with pytest.raises(Unusable):
-                await asked.news()
+            with pytest.raises(ListUnavailable):
+                await asked.next_update()
             teller.reply = news(3, [])
-            assert (await asked.news()).version == 3
+            assert (await asked.next_update()).version == 3
             asked.close()
 
     run(story())
 
 
-def follower(teller: Peer, ask_within: float = 0.0, pushed: bool = False) -> Discovery:
-    return Discovery(teller.address, Following(ask_within, pushed), time.monotonic)
+def follower(teller: Peer, ask_within: float = 0.0, pushed: bool = False) -> DiscoveryClient:
+    return DiscoveryClient(teller.address, ListWatch(ask_within, pushed), time.monotonic)
 
 
 def test_a_silent_watch_is_asked_again_at_once_on_a_new_connection_and_need_not_wait(
@@ -921,9 +935,9 @@
         async with Peer(reply) as teller:
             asked = follower(teller)
             asked.remember(3)
-            assert (await asked.news()).version == 4
+            assert (await asked.next_update()).version == 4
             assert (len(teller.requests), teller.connections, asked.silences) == (2, 2, 1)
-            assert asked.told_in() == math.inf  # all is told again
+            assert asked.notified_in() == math.inf  # all is told again
             asked.close()
 
     run(story())
@@ -950,8 +964,8 @@
 
     async def story() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
-        asked = Discovery(server.sockets[0].getsockname(), Following(0.0), time.monotonic)
-        assert ((await asked.news()).version, asked.silences) == (2, silences)
+        asked = DiscoveryClient(server.sockets[0].getsockname(), ListWatch(0.0), time.monotonic)
+        assert ((await asked.next_update()).version, asked.silences) == (2, silences)
         asked.close()
         server.close()
 
@@ -966,11 +980,11 @@
             asked = follower(teller, 10.0)
             asked.remember(1)
             for _ in range(8):
-                with pytest.raises(Unusable):
-                    await asked.news()
+                with pytest.raises(ListUnavailable):
+                    await asked.next_update()
             teller.reply = news(2, [])
             for _ in range(9):
-                await asked.news()
+                await asked.next_update()
             asked.close()
             waits = [int(request.target.split("wait_ms=")[1]) for request in teller.requests]
             assert waits == [4000] * 17
@@ -984,8 +998,8 @@
         async with Peer(reply) as teller:
             asked = follower(teller)
             asked.remember(41)
-            found = await asked.news()
-            assert (found.version, found.whole, len(teller.requests)) == (4, True, 2)
+            found = await asked.next_update()
+            assert (found.version, found.is_snapshot, len(teller.requests)) == (4, True, 2)
             asked.close()
 
     run(story())
@@ -1001,7 +1015,7 @@
             chunks = head + b"\r\n\r\n%x\r\n%s\r\n0\r\n\r\n" % (len(body), body)
             async with Peer((text if framed else chunks, then)) as teller:
                 asked = follower(teller)
-                assert len((await asked.news()).servers) == 1000
+                assert len((await asked.next_update()).endpoints) == 1000
                 asked.close()
 
     run(story())
@@ -1010,18 +1024,18 @@
 @pytest.mark.parametrize(
     ("status", "presence"),
     [
-        ("active", Presence.READY),
-        ("leaving", Presence.DRAINING),
-        ("left", Presence.GONE),
-        ("new", Presence.DRAINING),
+        ("active", EndpointState.ACTIVE),
+        ("leaving", EndpointState.DRAINING),
+        ("left", EndpointState.REMOVED),
+        ("new", EndpointState.DRAINING),
     ],
 )
-def test_an_unheard_of_state_gets_nothing_new(status: str, presence: Presence) -> None:
+def test_an_unheard_of_state_gets_nothing_new(status: str, presence: EndpointState) -> None:
     found = read_list(
         {"index": 2, "snapshot": False, "endpoints": [{"name": "s", "status": status, "since_ms": 1500}]}
     )
-    (server,) = found.servers
-    assert (server.presence, server.started_at, server.cell) == (presence, 1.5, None)
+    (server,) = found.endpoints
+    assert (server.state, server.started_at, server.deduplication_group) == (presence, 1.5, None)
 
 
 # Limits, start and end.
@@ -1049,7 +1063,7 @@
             found = await late.answer()
             assert (found.status, found.keep) == (503, False) and len(peer.requests) == 1
             figures = node.counters.read()
-            assert figures["dispatches_first"] == 1
+            assert figures["attempts_first"] == 1
             again = await Client().open(address)
             again.ask()
             assert (await again.answer()).status == 503
@@ -1061,8 +1075,8 @@
                 found = await last.answer()
                 assert (found.status, found.keep) == (503, False) and await last.closed()
             assert all([await last.closed() for last in silent]) and len(peer.requests) == 1
-            assert [record.getMessage() for record in caplog.records].count("limit reached") == 1
-            assert "callers_dropped" not in node.counters.read()
+            assert [record.getMessage() for record in caplog.records].count("descriptor limit reached") == 1
+            assert "client_connections_dropped" not in node.counters.read()
 
     run(story())
 
@@ -1084,8 +1098,8 @@
                 late.ask()
                 assert (await late.answer()).status == 200
                 late.writer.close()
-            assert node.counters.read().get("callers_refused", 0) == 0
-            assert node.counters.read()["callers_closed_for_room"] >= 1 and await kept[0].closed()
+            assert node.counters.read().get("client_connections_rejected", 0) == 0
+            assert node.counters.read()["client_connections_shed"] >= 1 and await kept[0].closed()
 
     run(story())
 
@@ -1098,7 +1112,9 @@
             assert (await first.answer()).status == 200
             peer.reply = SILENT
             crowd = [await Client().open(address) for _ in range(20)]
-            while node.counters.read()["callers_opened"] < 21:  # each of the crowd came in, the limit or not
+            while (
+                node.counters.read()["client_connections_opened"] < 21
+            ):  # each of the crowd came in, the limit or not
                 await asyncio.sleep(0.001)
             first.ask()
             await peer.asked.wait()
@@ -1142,7 +1158,7 @@
                 assert (await client.answer()).status == 200
                 figures = node.counters.read()
                 assert (len(first.requests), len(second.requests), len(old.requests)) == (1, 1, 1)
-                assert (figures["reloads_failed"], figures.get("list_calls_failed", 0)) == (6, 0)
+                assert (figures["reloads_failed"], figures.get("list_polls_failed", 0)) == (6, 0)
         said = [record.__dict__.get("pairs", {}).get("needs_restart") for record in caplog.records]
         assert "listen" in said and "none" in said
 
@@ -1158,7 +1174,7 @@
 
     async def moves(peer: Peer, old: Peer, new: Peer) -> None:
         async with running(peer, discovery=old, file=file) as (node, _):
-            while not node.counters.read().get("list_calls_failed"):
+            while not node.counters.read().get("list_polls_failed"):
                 await asyncio.sleep(0.001)
             file.write_text(json.dumps(configuration(new.at)))
             began = node.now()
@@ -1199,7 +1215,9 @@
     ("text", "hint"), [("187429", 0.187429), ("", None), ("nan", None), ("1e3", None), ("-5", None)]
 )
 def test_a_work_hint_is_whole_microseconds_or_none(text: str, hint: float | None) -> None:
-    ask = ask_of(Request("GET", "/api", {"req-deadline-ms": "500", "req-cost": text, "req-id": "1"}), 0.1, ())
+    ask = request_spec_of(
+        Request("GET", "/api", {"req-deadline-ms": "500", "req-cost": text, "req-id": "1"}), 0.1, ()
+    )
     assert ask is not None and ask.work_hint == hint and ask.time_left == pytest.approx(0.4)
 
 
@@ -1220,8 +1238,11 @@
             found = await busy.answer()
             assert (found.status, found.keep) == (200, False)
         figures = node.counters.read()
-        assert figures["taken"] == figures["answered_honoured"] == 2 and figures["callers_connected"] == 0
-        assert figures["descriptors_held"] == figures["connections_idle"] == 0
+        assert (
+            figures["requests_received"] == figures["responses_succeeded"] == 2
+            and figures["client_connections_open"] == 0
+        )
+        assert figures["descriptors_in_use"] == figures["connections_idle"] == 0
 
     run(story())
 
@@ -1256,10 +1277,14 @@
         '"limits":{"sockets":64},"known":{"index":4,"snapshot":true,"endpoints":[]},'
         '"settings":{"localities":["x","y"],"limits":{"connect_timeout":75.0},"report":{"fields":["q"]}}}'
     )
-    told = node_config.read({"GW_CONFIG": str(file), "GW_LISTEN": "127.0.0.2:81"})
+    told = node_config.load_config({"GW_CONFIG": str(file), "GW_LISTEN": "127.0.0.2:81"})
     assert (told.name, told.listen, told.discovery) == ("n3", ("127.0.0.2", 81), ("::1", 85))
-    assert (told.terms.seed, told.terms.must_follow, told.known) == (0x8C1F30D27A5BE964, True, None)
-    assert (told.sockets, told.connect_within, told.load_path) == (64, 0.075, "/status/load")
+    assert (told.balancer.seed, told.balancer.polls_list, told.cached_list) == (
+        0x8C1F30D27A5BE964,
+        True,
+        None,
+    )
+    assert (told.max_descriptors, told.connect_timeout, told.load_path) == (64, 0.075, "/status/load")
 
 
 @pytest.mark.parametrize(
@@ -1269,7 +1294,7 @@
     file = tmp_path / "told.json"
     told = {"name": "n", "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "known": known}
     file.write_text(json.dumps(told))
-    assert node_config.read({"GW_CONFIG": str(file)}).known is None
+    assert node_config.load_config({"GW_CONFIG": str(file)}).cached_list is None
 
 
 @pytest.mark.parametrize("text", ["", "[]", "{}", '{"name":"n","listen":"x","discovery":"y"}'])
@@ -1278,7 +1303,7 @@
     file.write_text(text)
     ended = subprocess.run(PROGRAM, env={"GW_CONFIG": str(file)}, capture_output=True, text=True, timeout=20)
     assert (
-        ended.returncode == 2 and ended.stderr.count("\n") == 1 and 'event="no usable input"' in ended.stderr
+        ended.returncode == 2 and ended.stderr.count("\n") == 1 and 'event="unusable input"' in ended.stderr
     )
 
 
@@ -1305,7 +1330,7 @@
     monkeypatch.setattr("sys.argv", ["notchjunction"])
     monkeypatch.setattr("os.environ", {})
     monkeypatch.setattr("notchjunction.telemetry.logs.start", lambda _: None)
-    monkeypatch.setattr(node_config, "read", early)
+    monkeypatch.setattr(node_config, "load_config", early)
     try:
         assert main() == 2
     finally:
@@ -1336,16 +1361,18 @@
                 program.send_signal(number)
             said = (await program.stderr.read()).decode()
             assert await program.wait() == 0 and await client.closed()
-            assert "answered_honoured=1" in said and said.splitlines()[-1].endswith("event=exit held=0")
+            assert "responses_succeeded=1" in said and said.splitlines()[-1].endswith(
+                "event=exit in_flight=0"
+            )
 
     run(story())
 
 
 def test_a_log_line_is_pairs_and_quotes_what_needs_it() -> None:
-    record = logging.LogRecord("n", logging.INFO, "", 0, "list fails", (), None)
+    record = logging.LogRecord("n", logging.INFO, "", 0, "list poll failed", (), None)
     record.__dict__.update(pairs(why='a "b"\nc', count=3, share=0.25))
     line = KeyValueFormatter().format(record)
-    assert line.split(" ", 2)[2] == 'event="list fails" why="a \\"b\\"\\nc" count=3 share=0.25'
+    assert line.split(" ", 2)[2] == 'event="list poll failed" why="a \\"b\\"\\nc" count=3 share=0.25'
     try:
         raise ValueError("x")
     except ValueError:
@@ -1357,9 +1384,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The end comes in before the writing of the last piece has been looked at."""
-    write_piece = Connection._write_piece
+    write_piece = UpstreamConnection._write_piece
 
-    async def crossed(connection: Connection, request: Request, rest: Any, *wanted: Any) -> bool:
+    async def crossed(connection: UpstreamConnection, request: Request, rest: Any, *wanted: Any) -> bool:
         more = await write_piece(connection, request, rest, *wanted)
         while rest.given and not connection.has_read():
             await asyncio.sleep(0.001)
@@ -1368,14 +1395,14 @@
     async def story() -> None:
         for length in (10, None):
             async with Peer((b"", "reset")) as peer:
-                sent, upload = Dispatches(peer), Upload(Streams())
-                monkeypatch.setattr(Connection, "_write_piece", crossed if length else write_piece)
+                sent, upload = Dispatches(peer), Upload(StreamBuffers())
+                monkeypatch.setattr(UpstreamConnection, "_write_piece", crossed if length else write_piece)
                 upload.put(b"12345", False)
                 upload.put(b"67890", True)
                 begun = replace(JOB, body=b"", more=True, length=length)
-                exchanged = await sent.servers.attempt(Attempt("s0", sent.clock + 2.0, upload), begun)
+                exchanged = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, upload), begun)
                 assert [request.body for request in peer.requests] == [b"1234567890"]
-                assert exchanged.ended.result is Result.RESET
+                assert exchanged.outcome.result is AttemptResult.RESET
                 sent.servers.close()
 
     run(story())
@@ -1393,15 +1420,17 @@
         async with Peer() as peer:
             sent = Dispatches(peer)
             begun = replace(JOB, body=b"", more=True, length=10)
-            whole, part = Upload(Streams()), Waits(Streams())
+            whole, part = Upload(StreamBuffers()), Waits(StreamBuffers())
             whole.put(b"1234567890", True)
-            first = await sent.servers.attempt(Attempt("s0", sent.clock + 2.0, whole), begun)
+            first = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, whole), begun)
             sent.clock += 2 * SETTLED
-            second = asyncio.create_task(sent.servers.attempt(Attempt("s0", sent.clock + 2.0, part), begun))
+            second = asyncio.create_task(
+                sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, part), begun)
+            )
             await asked.wait()  # its head is out, and none of its body has come yet
             peer.end_all()
-            results = first.ended.result, (await second).ended.result
-            assert results == (Result.HONOURED, Result.NO_CONNECTION) and peer.connections == 1
+            results = first.outcome.result, (await second).outcome.result
+            assert results == (AttemptResult.SUCCEEDED, AttemptResult.NO_CONNECTION) and peer.connections == 1
             sent.servers.close()
 
     run(story())
@@ -1419,7 +1448,7 @@
                 file = tmp_path / "told.json"
                 file.write_text(json.dumps(configuration(old.at)))
                 told = configuration(old.at)
-                async with running(peer, discovery=old, file=file, told=told, nodes=200) as (node, _):
+                async with running(peer, discovery=old, file=file, told=told, node_count=200) as (node, _):
                     for place in (between, last):
                         file.write_text(json.dumps(configuration(place.at)))
                         node.read_again()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -9,15 +9,15 @@
 
 import pytest
 
-from notchjunction.balancing.interface import News
+from notchjunction.balancing.interface import ListUpdate
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.net import admin
-from notchjunction.net.admin import Management
+from notchjunction.net.admin import AdminListener
 from notchjunction.net.descriptors import OWN
-from notchjunction.net.upstream import Servers
+from notchjunction.net.upstream import UpstreamPool
 from notchjunction.node import node as node_module
 from notchjunction.node.node import Node
-from notchjunction.upgrade.serving_state import TABLE, Effect, Input, ServiceState, State
+from notchjunction.upgrade.serving_state import TABLE, Effect, Input, ServingState, State
 from tests.helpers import OK, SILENT, Client, Peer, Reply, call, free_address, rows, running
 from tests.test_net import run
 
@@ -105,15 +105,15 @@
     monkeypatch.setattr(admin, "CALLS_MOST", 1)
     monkeypatch.setattr(admin, "LINGER_WITHIN", 60.0)
     monkeypatch.setattr(admin, "ANSWERED_WITHIN", 60.0)
-    accept = Management._accept
+    accept = AdminListener._accept
     crossing: list[socket.socket] = []
 
-    def crossed(self: Management, listener: socket.socket) -> Any:
+    def crossed(self: AdminListener, listener: socket.socket) -> Any:
         while crossing:
             crossing.pop().sendall(b"more")
         return accept(self, listener)
 
-    monkeypatch.setattr(Management, "_accept", crossed)
+    monkeypatch.setattr(AdminListener, "_accept", crossed)
 
     async def story() -> None:
         mgmt = free_address()
@@ -136,7 +136,7 @@
                 second.connect(mgmt)
                 given_up = second if call_is == "under way" else first
                 crossing.append(given_up)
-                while not node.counters.read().get("operator_calls_dropped") and call_is != "under way":
+                while not node.counters.read().get("admin_calls_dropped") and call_is != "under way":
                     await asyncio.sleep(0.001)
                 found = await heard(given_up)
                 assert found.startswith(b"HTTP/1.1 200") if call_is == "answered" else not found
@@ -151,13 +151,13 @@
 ) -> None:
     """The node goes on with its end in the moment after."""
     monkeypatch.setattr(node_module, "LINGER_LAST", 60.0)
-    close, crossing = Management.close, asyncio.Event()
+    close, crossing = AdminListener.close, asyncio.Event()
 
-    def crossed(self: Management, *told: Any) -> Any:
+    def crossed(self: AdminListener, *told: Any) -> Any:
         crossing.set()
         return close(self, *told)
 
-    monkeypatch.setattr(Management, "close", crossed)
+    monkeypatch.setattr(AdminListener, "close", crossed)
 
     async def story() -> None:
         mgmt = free_address()
@@ -246,9 +246,9 @@
 
             monkeypatch.setattr(node, "out_of_service", out_of_service)
             operator.sendall(OUT)
-            while not node.counters.read().get("operator_calls") or node._management._calls:
+            while not node.counters.read().get("admin_calls") or node._management._calls:
                 await asyncio.sleep(0.001)
-            assert not node.counters.read().get("failures")
+            assert not node.counters.read().get("internal_errors")
 
     run(story())
 
@@ -289,7 +289,7 @@
 
 def hear(node: Node, index: int, *servers: Peer, status: str = "active") -> None:
     endpoints = rows(*servers, status=status)
-    node._hear(read_list({"index": index, "snapshot": True, "endpoints": endpoints}), News.WHOLE)
+    node._hear(read_list({"index": index, "snapshot": True, "endpoints": endpoints}), ListUpdate.SNAPSHOT)
 
 
 def test_a_server_taken_out_gets_nothing_whatever_the_list_says_until_it_is_given_back() -> None:
@@ -323,17 +323,17 @@
         async with Peer() as peer, Peer() as other:
             mgmt = free_address()
             async with running(peer, other, mgmt=mgmt) as (node, listen):
-                opened = Servers._connected
+                opened = UpstreamPool._connected
 
-                async def slowly(servers: Servers, server: str, kept: bool) -> object:
+                async def slowly(servers: UpstreamPool, server: str, kept: bool) -> object:
                     found = opened(servers, server, kept)
                     if server == "s0":
                         assert await node.take_offline("s0")
                     return await found
 
-                monkeypatch.setattr(Servers, "_connected", slowly)
+                monkeypatch.setattr(UpstreamPool, "_connected", slowly)
                 statuses = []
-                while not other.requests or "s0" not in node._decider.barred:
+                while not other.requests or "s0" not in node._decider.banned:
                     client = await Client().open(listen)
                     client.ask()
                     statuses.append((await client.answer()).status)
@@ -347,7 +347,7 @@
     async def story() -> None:
         async with Peer() as first, Peer() as second, Peer() as third:
             peers = [first, second, third]
-            async with running(*peers, max_dispatches=3) as (node, listen):
+            async with running(*peers, max_attempts=3) as (node, listen):
                 client = await Client().open(listen)
                 for _ in range(20):  # first sends for the retry's budget
                     client.ask()
@@ -358,7 +358,7 @@
                     asked.append(name)
                     if len(asked) == 1:
                         left = [f"s{i}" for i in range(3) if f"s{i}" != name]
-                        node._decider.bar(left[0])
+                        node._decider.ban(left[0])
                         node._point()
                         return (b"", "reset")
                     return OK
@@ -367,7 +367,7 @@
                     peer.reply = lambda _, name=f"s{i}": reset(name)
                 client.ask()
                 assert (await client.answer()).status == 200
-                assert len(asked) == 2 and asked[1] not in node._decider.barred
+                assert len(asked) == 2 and asked[1] not in node._decider.banned
 
     run(story())
 
@@ -423,7 +423,7 @@
 @pytest.mark.parametrize("state", list(State))
 @pytest.mark.parametrize("event", list(Input))
 def test_every_state_and_input_has_one_row_or_none(state: State, event: Input) -> None:
-    service = ServiceState()
+    service = ServingState()
     service.state = state
     effect = service.tell(event)
     assert sum(1 for row in TABLE if (row.state, row.input) == (state, event)) == (effect is not None)
@@ -443,7 +443,7 @@
                 clients = [await Client().open(listen) for _ in range(60)]
                 for client in clients[:20]:
                     client.ask()
-                while "callers_refused" not in node.counters.read():
+                while "client_connections_rejected" not in node.counters.read():
                     await asyncio.sleep(0.005)
                 assert await call(mgmt, "GET", "/control/ready") == 200
                 assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
--- a/tests/test_preconditions.py
+++ b/tests/test_preconditions.py
@@ -11,7 +11,7 @@
 import pytest
 
 from notchjunction import protocol
-from notchjunction.balancing.interface import Effect, Result
+from notchjunction.balancing.interface import AttemptResult, Idempotency
 from notchjunction.net.event_loop import ObservedLoop
 from notchjunction.safety.invariants import LATE_ANSWER, TOLD_SLACK, RequestLedger, Violation
 from notchjunction.safety.preconditions import (
@@ -19,37 +19,37 @@
     TOLD_LEAST,
     WAY_MOST,
     WAY_SHARE,
+    AdmissionFacts,
     AttemptFacts,
     ConnectionFacts,
     Refusal,
-    StartFacts,
+    deadline_to_send,
     may_close,
     may_start,
     may_write,
-    time_to_tell,
 )
 from notchjunction.telemetry.flight_recorder import ENTRIES_MOST, REPORTS_MOST, FlightRecorder, Occurrence
 from tests.helpers import Peer, RawClient, running
 
-SOUND = AttemptFacts(now=10.0, expires_at=11.0, stands=True, caller_there=True, listed=True)
+SOUND = AttemptFacts(now=10.0, expires_at=11.0, is_wanted=True, client_connected=True, listed=True)
 
 
 def test_an_attempt_whose_facts_all_hold_may_be_written() -> None:
     assert may_write(SOUND) is None
-    assert may_write(replace(SOUND, repeat_until=10.0 + HELD_UP + 0.01)) is None
+    assert may_write(replace(SOUND, repeatable_until=10.0 + HELD_UP + 0.01)) is None
 
 
 @pytest.mark.parametrize(
     ("changed", "refusal"),
     [
-        ({"stands": False}, Refusal.JOB_ENDED),
-        ({"caller_there": False}, Refusal.CALLER_LEFT),
+        ({"is_wanted": False}, Refusal.REQUEST_ENDED),
+        ({"client_connected": False}, Refusal.CLIENT_GONE),
         ({"listed": False}, Refusal.NOT_LISTED),
-        ({"now": 11.0}, Refusal.NO_TIME_LEFT),
-        ({"repeat_until": -math.inf}, Refusal.MAY_HAVE_RUN),
-        ({"repeat_until": 10.0}, Refusal.MAY_HAVE_RUN),
+        ({"now": 11.0}, Refusal.DEADLINE_PASSED),
+        ({"repeatable_until": -math.inf}, Refusal.MAY_HAVE_RUN),
+        ({"repeatable_until": 10.0}, Refusal.MAY_HAVE_RUN),
         # It may be held up between its clock and the writing.
-        ({"repeat_until": 10.0 + HELD_UP}, Refusal.MAY_HAVE_RUN),
+        ({"repeatable_until": 10.0 + HELD_UP}, Refusal.MAY_HAVE_RUN),
     ],
 )
 def test_one_fact_that_does_not_hold_is_enough_to_withhold_it(
@@ -59,19 +59,19 @@
 
 
 def test_a_server_is_never_told_more_than_what_is_left() -> None:
-    assert time_to_tell(10.0, 11.5) == pytest.approx(1.5 - WAY_MOST)
-    assert time_to_tell(10.0, 10.1) == pytest.approx(0.1 * (1 - WAY_SHARE))
-    assert time_to_tell(10.0, 9.0) == TOLD_LEAST
+    assert deadline_to_send(10.0, 11.5) == pytest.approx(1.5 - WAY_MOST)
+    assert deadline_to_send(10.0, 10.1) == pytest.approx(0.1 * (1 - WAY_SHARE))
+    assert deadline_to_send(10.0, 9.0) == TOLD_LEAST
 
 
 @pytest.mark.parametrize(
     ("facts", "refusal"),
     [
         (ConnectionFacts(False, False, False), None),
-        (ConnectionFacts(True, False, False), Refusal.REQUEST_OPEN),
-        (ConnectionFacts(False, True, False), Refusal.REQUEST_OPEN),
+        (ConnectionFacts(True, False, False), Refusal.REQUEST_PENDING),
+        (ConnectionFacts(False, True, False), Refusal.REQUEST_PENDING),
         (ConnectionFacts(False, False, True), Refusal.BYTES_UNREAD),
-        (ConnectionFacts(False, False, False, ending=True), Refusal.CONNECTION_ENDING),
+        (ConnectionFacts(False, False, False, closing=True), Refusal.CONNECTION_CLOSING),
     ],
 )
 def test_a_connection_is_closed_only_where_nothing_is_owed_on_it(
@@ -81,32 +81,34 @@
 
 
 def test_a_request_starts_once_and_not_on_a_connection_that_ends() -> None:
-    assert may_start(StartFacts(ending=False, held=False)) is None
-    assert may_start(StartFacts(ending=True, held=False)) is Refusal.CONNECTION_ENDING
-    assert may_start(StartFacts(ending=False, held=True)) is Refusal.ALREADY_HELD
+    assert may_start(AdmissionFacts(closing=False, is_duplicate=False)) is None
+    assert may_start(AdmissionFacts(closing=True, is_duplicate=False)) is Refusal.CONNECTION_CLOSING
+    assert may_start(AdmissionFacts(closing=False, is_duplicate=True)) is Refusal.DUPLICATE_REQUEST
 
 
-def ledger(effect: Effect = Effect.AT_MOST_ONCE) -> RequestLedger:
+def ledger(effect: Idempotency = Idempotency.NON_IDEMPOTENT) -> RequestLedger:
     return RequestLedger(effect, deadline_at=10.0)
 
 
 def test_what_was_done_soundly_breaks_nothing() -> None:
     sound = ledger()
     assert sound.attempt_written(0, 8.0, 2.0, listed=True) == []
-    sound.attempt_ended(0, Result.FULL)
+    sound.attempt_ended(0, AttemptResult.REJECTED)
     assert sound.attempt_written(1, 9.0, 1.0, listed=True) == []
-    sound.attempt_ended(1, Result.HONOURED)
-    assert sound.final_answer(9.5, refused=False) == []
+    sound.attempt_ended(1, AttemptResult.SUCCEEDED)
+    assert sound.response_sent(9.5, refused=False) == []
     assert sound.connection_closed() == []
 
 
-@pytest.mark.parametrize("result", [Result.RESET, Result.TIMED_OUT, Result.ERROR, Result.UNKNOWN])
-def test_an_attempt_after_one_that_may_have_run_is_seen(result: Result) -> None:
+@pytest.mark.parametrize(
+    "result", [AttemptResult.RESET, AttemptResult.TIMED_OUT, AttemptResult.ERROR, AttemptResult.UNKNOWN]
+)
+def test_an_attempt_after_one_that_may_have_run_is_seen(result: AttemptResult) -> None:
     again = ledger()
     again.attempt_written(0, 8.0, 2.0, listed=True)
     again.attempt_ended(0, result)
     assert again.attempt_written(1, 8.5, 1.5, listed=True) == [Violation.MAY_RUN_TWICE]
-    harmless = ledger(Effect.REISSUABLE)
+    harmless = ledger(Idempotency.IDEMPOTENT)
     harmless.attempt_written(0, 8.0, 2.0, listed=True)
     harmless.attempt_ended(0, result)
     assert harmless.attempt_written(1, 8.5, 1.5, listed=True) == []
@@ -116,16 +118,16 @@
     assert ledger().attempt_written(0, 8.0, 2.0, listed=False) == [Violation.SENT_TO_UNLISTED]
     assert ledger().attempt_written(0, 8.0, 2.0 + 2 * TOLD_SLACK, listed=True) == [Violation.TOLD_TOO_LONG]
     ended = ledger()
-    assert ended.final_answer(9.0, refused=True) == []
+    assert ended.response_sent(9.0, refused=True) == []
     assert ended.attempt_written(0, 9.0, 0.5, listed=True) == [Violation.SENT_AFTER_END]
-    assert ended.final_answer(9.1, refused=True) == [Violation.ANSWERED_TWICE, Violation.REFUSED_AFTER_RUN]
-    assert ledger().final_answer(10.0 + 2 * LATE_ANSWER, refused=False) == [Violation.ANSWERED_LATE]
-    read_late = RequestLedger(Effect.AT_MOST_ONCE, deadline_at=10.0, taken_at=11.0)
-    assert read_late.final_answer(11.1, refused=True) == []
-    assert replace(read_late, answered=False).final_answer(11.6, refused=True) == [Violation.ANSWERED_LATE]
+    assert ended.response_sent(9.1, refused=True) == [Violation.ANSWERED_TWICE, Violation.REFUSED_AFTER_RUN]
+    assert ledger().response_sent(10.0 + 2 * LATE_ANSWER, refused=False) == [Violation.ANSWERED_LATE]
+    read_late = RequestLedger(Idempotency.NON_IDEMPOTENT, deadline_at=10.0, arrived_at=11.0)
+    assert read_late.response_sent(11.1, refused=True) == []
+    assert replace(read_late, answered=False).response_sent(11.6, refused=True) == [Violation.ANSWERED_LATE]
     assert ledger().connection_closed() == [Violation.CLOSED_UNANSWERED]
     left = ledger()
-    left.caller_left = True
+    left.client_gone = True
     assert left.connection_closed() == []
     assert left.attempt_written(0, 8.0, 1.0, listed=True) == [Violation.SENT_AFTER_END]
 
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -18,7 +18,7 @@
 from notchjunction.fleet import quotas as module
 from notchjunction.fleet.envelope import Out, Sender
 from notchjunction.fleet.exploration import Move, World, explore, walk
-from notchjunction.fleet.quotas import ASK_WITHIN, Limits, NotSettled, OtherSplit, Permit, Phase, Plan, Split
+from notchjunction.fleet.quotas import ASK_WITHIN, NotSettled, OtherSplit, Permit, Phase, Plan, Quotas, Split
 
 DRIFT = 0.05
 TWO = Plan("l", Split(1, {"a": 1, "b": 1}))
@@ -116,32 +116,32 @@
         assert not here.broken()
 
 
-def _free_at_term(self: Limits, now: float) -> float:
+def _free_at_term(self: Quotas, now: float) -> float:
     return now + self.term
 
 
-def _count_from_grant(self: Limits, side: Any, now: float, sender: Sender, grant: Any) -> list[Out]:
+def _count_from_grant(self: Quotas, side: Any, now: float, sender: Sender, grant: Any) -> list[Out]:
     lease = side.leases.get(grant.serial)
     if lease is not None:
         lease.held, lease.count, lease.end = True, grant.count, now + grant.term
     return []
 
 
-def _never_looked_at(self: Limits, now: float, permit: Permit, until: float) -> bool:
+def _never_looked_at(self: Quotas, now: float, permit: Permit, until: float) -> bool:
     return True
 
 
-def _grown_at_once(self: Limits, side: Any) -> bool:
+def _grown_at_once(self: Quotas, side: Any) -> bool:
     return True
 
 
-def _no_quarantine(self: Limits, now: float, plans: Sequence[Plan]) -> None:
+def _no_quarantine(self: Quotas, now: float, plans: Sequence[Plan]) -> None:
     Limits_replan(self, now, plans)
     for side in self._sides.values():
         side.quarantine_ends = now
 
 
-Limits_replan = Limits.replan
+Limits_replan = Quotas.replan
 GUARDS = [
     ("_loan_end", _free_at_term, "lent by a fast clock to a slow one"),
     ("_on_grant", _count_from_grant, "a grant that is late"),
@@ -155,7 +155,7 @@
 def test_each_guard_taken_out_is_found_by_the_search(
     name: str, broken: Callable[..., Any], situation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Limits, name, broken)
+    monkeypatch.setattr(Quotas, name, broken)
     found = explore(SITUATIONS[situation](), moves=8, worlds_most=8000)
     assert found.way is not None
 
@@ -184,9 +184,9 @@
     assert [limits.spend(100.0, "l", 101.0) is not None for _ in range(2)] == [True, False]
 
 
-def started(name: str, plan: Plan, longest: float = 1.0, now: float = 0.0) -> Limits:
+def started(name: str, plan: Plan, longest: float = 1.0, now: float = 0.0) -> Quotas:
     """A node whose quarantine is over, and for whose split the other owners have vouched."""
-    limits = Limits(Sender(name, 1), [plan], DRIFT, longest, 1, now - 10 * longest)
+    limits = Quotas(Sender(name, 1), [plan], DRIFT, longest, 1, now - 10 * longest)
     for other in plan.split.owners:
         limits.hear(now, Sender(other, 1), module.Standing("l", plan.split.revision, Phase.GROWN, False))
     limits.tick(now)
@@ -236,7 +236,7 @@
 def test_a_node_that_starts_with_an_old_file_spends_nothing_and_says_why(
     revision: int, phase: Phase, owned: int
 ) -> None:
-    limits = Limits(Sender("a", 2), [TWO], DRIFT, 1.0, 1, 0.0)
+    limits = Quotas(Sender("a", 2), [TWO], DRIFT, 1.0, 1, 0.0)
     limits.tick(100.0)
     assert limits.figures(100.0, "l").owned == 0  # nobody has vouched for its split yet
     limits.hear(100.0, Sender("b", 1), module.Standing("l", revision, phase, False))
@@ -261,7 +261,7 @@
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.cut: set[str] = set()
         self.nodes = {
-            name: Limits(Sender(name, 1), [Plan("l", split)], 0.01, 1.0, n, 0.0)
+            name: Quotas(Sender(name, 1), [Plan("l", split)], 0.01, 1.0, n, 0.0)
             for n, name in enumerate(names)
         }
         self.waiting: dict[str, list[float]] = {name: [] for name in names}
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -8,7 +8,7 @@
 import pytest
 
 from notchjunction.net import upstream
-from notchjunction.net.upstream_connection import Connection, NotSent
+from notchjunction.net.upstream_connection import RequestNotSent, UpstreamConnection
 from tests.helpers import SILENT, Client, Peer, running
 
 
@@ -16,12 +16,12 @@
     """Connections that come up as told, by their order: at once, when released, or are refused."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, how: Callable[[int], str]) -> None:
-        self.opened: list[Connection] = []
+        self.opened: list[UpstreamConnection] = []
         self.release = asyncio.Event()
         self.came_up = asyncio.Event()
-        plain = Connection.open
+        plain = UpstreamConnection.open
 
-        async def open_as_told(connection: Connection) -> None:
+        async def open_as_told(connection: UpstreamConnection) -> None:
             self.opened.append(connection)
             match how(len(self.opened)):
                 case "late":
@@ -29,11 +29,11 @@
                     await plain(connection)
                     self.came_up.set()
                 case "refused":
-                    raise NotSent("refused")
+                    raise RequestNotSent("refused")
                 case _:
                     await plain(connection)
 
-        monkeypatch.setattr(Connection, "open", open_as_told)
+        monkeypatch.setattr(UpstreamConnection, "open", open_as_told)
 
 
 async def settle(done: Callable[[], bool]) -> None:
@@ -64,7 +64,7 @@
             server.go_on.set()
             assert [(await each.answer()).status for each in (client, other)] == [200, 200]
             assert len(held.opened) == 2 and server.connections == 2
-            assert node.counters.read()["connections_redialled"] == 1
+            assert node.counters.read()["connections_raced"] == 1
 
     asyncio.run(story())
 
@@ -95,7 +95,7 @@
 ) -> None:
     async def story() -> None:
         held = Held(monkeypatch, lambda number: "late")
-        async with Peer() as server, running(server, max_dispatches=1) as (node, listen):
+        async with Peer() as server, running(server, max_attempts=1) as (node, listen):
             node._servers.retune(0.05, 5.0, "/health")
             clients = [await Client().open(listen) for _ in range(4)]
             for client in clients:
@@ -122,7 +122,7 @@
             client.ask()
             await settle(lambda: bool(held.opened))
             client.writer.close()
-            await settle(lambda: node.counters.read().get("withdrawn", 0) == 1)
+            await settle(lambda: node.counters.read().get("requests_cancelled", 0) == 1)
             held.release.set()
             await settle(lambda: not node._servers._late)
             assert server.requests == []
@@ -133,20 +133,20 @@
 def test_where_the_first_is_refused_as_the_second_comes_up_the_second_serves(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    plain, opened, second_up = Connection.open, 0, asyncio.Event()
+    plain, opened, second_up = UpstreamConnection.open, 0, asyncio.Event()
 
-    async def open_side_by_side(connection: Connection) -> None:
+    async def open_side_by_side(connection: UpstreamConnection) -> None:
         nonlocal opened
         opened += 1
         if opened == 1:
             await second_up.wait()
-            raise NotSent("refused")
+            raise RequestNotSent("refused")
         await plain(connection)
         second_up.set()  # the first is over before the loop has told of either
 
     async def story() -> None:
         async with Peer() as server, running(server) as (node, listen):
-            monkeypatch.setattr(Connection, "open", open_side_by_side)
+            monkeypatch.setattr(UpstreamConnection, "open", open_side_by_side)
             client = await Client().open(listen)
             client.ask()
             assert (await client.answer()).status == 200 and opened == 2
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -13,8 +13,8 @@
 import pytest
 
 from notchjunction.__main__ import main
-from notchjunction.balancing.engine import Names, Send, TurnBack, WriteOff
-from notchjunction.balancing.interface import Effect, Result
+from notchjunction.balancing.engine import FailRequest, RejectRequest, SendAttempt, SettingNames
+from notchjunction.balancing.interface import AttemptResult, Idempotency
 from notchjunction.config import validation
 from tests.helpers import (
     PLAIN,
@@ -93,67 +93,69 @@
     before = configuration()
     found = copy.deepcopy(before)
     change(found)
-    with pytest.raises(validation.Unfit) as refused:
-        validation.check(found, before)
+    with pytest.raises(validation.InvalidConfiguration) as refused:
+        validation.validate(found, before)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
 
 
 def test_all_errors_are_named_at_once_and_a_sound_file_has_none() -> None:
     before = configuration()
-    validation.check(before, before)
+    validation.validate(before, before)
     found = copy.deepcopy(before)
     for change, _ in BROKEN[:1] + BROKEN[6:7] + BROKEN[10:11] + BROKEN[16:17]:
         change(found)
-    with pytest.raises(validation.Unfit) as refused:
-        validation.check(found, before)
+    with pytest.raises(validation.InvalidConfiguration) as refused:
+        validation.validate(found, before)
     assert len(refused.value.errors) == 4
     more = copy.deepcopy(before)
     more["settings"]["profiles"].append({**first(more), "name": "new", "effect": "once", "window": 5})
     more["settings"]["limits"]["max_dispatches"] = 1
-    validation.check(more, before)
+    validation.validate(more, before)
 
 
 @pytest.mark.parametrize("text", ["", " \n", "[]", "7", "[" * 100000, '{"a": }'])
 def test_what_is_no_object_is_refused(text: str) -> None:
-    with pytest.raises(validation.Unfit):
+    with pytest.raises(validation.InvalidConfiguration):
         validation.parse(text)
 
 
 def test_a_file_cut_anywhere_is_refused() -> None:
     text = json.dumps(configuration())
     for end in range(len(text)):
-        with pytest.raises(validation.Unfit):
-            validation.check(validation.parse(text[:end]), configuration())
+        with pytest.raises(validation.InvalidConfiguration):
+            validation.validate(validation.parse(text[:end]), configuration())
 
 
 def retune(story: Story, attempts: int = 5, **profiles: Any) -> None:
-    terms = replace(TERMS, profiles=list(profiles.values()), max_dispatches=attempts)
-    story.decider.retune(terms, Names(list(profiles), [], ["a"]))
+    terms = replace(TERMS, request_classes=list(profiles.values()), max_attempts=attempts)
+    story.decider.apply_settings(terms, SettingNames(list(profiles), [], ["a"]))
 
 
-@pytest.mark.parametrize(("after", "order"), [(ONCE, TurnBack), (None, TurnBack), (SAFE, TurnBack)])
-def test_a_job_keeps_the_profile_it_was_taken_with(after: Effect | None, order: type) -> None:
-    story = Story(replace(TERMS, profiles=[profile(SAFE)]))
+@pytest.mark.parametrize(
+    ("after", "order"), [(ONCE, RejectRequest), (None, RejectRequest), (SAFE, RejectRequest)]
+)
+def test_a_job_keeps_the_profile_it_was_taken_with(after: Idempotency | None, order: type) -> None:
+    story = Story(replace(TERMS, request_classes=[profile(SAFE)]))
     ticket = story.take(SAFE)
     story.orders(ticket)
     if after is None:
         retune(story, other=PLAIN)
     else:
         retune(story, plain=profile(after))
-    story.end(ticket, Result.UNKNOWN)  # may have run, and not its server's fault
+    story.end(ticket, AttemptResult.UNKNOWN)  # may have run, and not its server's fault
     (final,) = story.orders(ticket)
     assert isinstance(final, order)  # a repeat was harmless when it was taken
 
 
 def test_a_stricter_profile_holds_for_what_comes_from_now_on() -> None:
-    story = Story(replace(TERMS, profiles=[profile(SAFE)]))
+    story = Story(replace(TERMS, request_classes=[profile(SAFE)]))
     retune(story, plain=profile(ONCE))
     for effect in (SAFE, NUMBERED, ONCE):
         ticket = story.take(effect)
         story.orders(ticket)
-        story.end(ticket, Result.UNKNOWN)
+        story.end(ticket, AttemptResult.UNKNOWN)
         (final,) = story.orders(ticket)
-        assert isinstance(final, WriteOff), effect
+        assert isinstance(final, FailRequest), effect
 
 
 def test_a_profile_that_stays_keeps_its_number_and_what_was_learned_of_it() -> None:
@@ -161,10 +163,10 @@
     for _ in range(8):
         ticket = story.take()
         story.orders(ticket)
-        story.end(ticket, Result.HONOURED)
+        story.end(ticket, AttemptResult.SUCCEEDED)
     retune(story, new=profile(ONCE), plain=PLAIN)
-    kinds = story.decider._kinds
-    core: Any = story.decider._core
+    kinds = story.decider._request_classes
+    core: Any = story.decider._balancer
     assert len(core._spent[kinds["plain"].number]) == 8 and not core._spent[kinds["new"].number]
     for _ in range(50):
         retune(story, plain=profile(ONCE))
@@ -174,12 +176,12 @@
 
 @pytest.mark.parametrize(("before", "after", "most"), [(5, 2, 2), (2, 5, 2)])
 def test_of_two_numbers_of_attempts_a_held_job_has_the_stricter(before: int, after: int, most: int) -> None:
-    host = FakeHost(max_dispatches=before)
+    host = FakeHost(max_attempts=before)
     host.serve(100)
     job = host.take()
-    host.core.retuned(replace(TERMS, max_dispatches=after), {0: PLAIN})
+    host.core.settings_changed(replace(TERMS, max_attempts=after), {0: PLAIN})
     for dispatch in range(most):
-        host.end(job, Result.FULL, dispatch)
+        host.end(job, AttemptResult.REJECTED, dispatch)
     assert len(host.sent(job)) == most and len(host.finals(job)) == 1
 
 
@@ -220,7 +222,7 @@
             file.write_text(json.dumps(told))
             node.read_again()
             assert [await status("plain"), await status("new")] == [200, 200]
-            assert node._told.discovery == place.address and node._told.terms.max_dispatches == 5
+            assert node._told.discovery == place.address and node._told.balancer.max_attempts == 5
             write("new")
             assert await status("new") == 200
             assert await status("plain") == 400
@@ -228,7 +230,11 @@
             assert (figures["reloads"], figures["reloads_failed"]) == (2, 2)
 
     run(story())
-    said = [record.__dict__["pairs"] for record in caplog.records if "unusable" in record.getMessage()]
+    said = [
+        record.__dict__["pairs"]
+        for record in caplog.records
+        if "configuration invalid" in record.getMessage()
+    ]
     assert [each["why"].partition(":")[0] for each in said] == [
         "settings.profiles.0.abandon_time",
         "settings.limits.max_dispatches",
@@ -250,7 +256,7 @@
             assert node.counters.read()["reloads"] == 1
             peer.go_on.set()
             assert (await client.answer()).status == 200
-            assert node.counters.read()["jobs_kept"] == 0
+            assert node.counters.read()["requests_tracked"] == 0
 
     run(story())
 
@@ -258,11 +264,11 @@
 def test_servers_zones_keep_their_numbers_when_the_list_of_zones_changes() -> None:
     story = Story(replace(TERMS, zone=0))
     retuned = replace(TERMS, zone=1)
-    story.decider.retune(retuned, Names(["plain"], [], ["b", "a"]))
-    core: Any = story.decider._core
+    story.decider.apply_settings(retuned, SettingNames(["plain"], [], ["b", "a"]))
+    core: Any = story.decider._balancer
     assert core._terms.zone == 0
     ticket = story.take()
-    assert isinstance(story.orders(ticket)[0], Send)
+    assert isinstance(story.orders(ticket)[0], SendAttempt)
 
 
 def test_a_file_can_be_checked_before_it_is_put_in_place(
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from notchjunction.upgrade.shutdown import Effect, Ending, Phase
+from notchjunction.upgrade.shutdown import Effect, GracefulShutdown, Phase
 
 Look = tuple[float, bool, int]  # s since SIGTERM, whether another process follows, callers
 Do = Effect
@@ -18,11 +18,13 @@
 
 
 def story(*looks: Look) -> list[Effect]:
-    ending = Ending(100.0, 2.0)
+    ending = GracefulShutdown(100.0, 2.0)
     return [effect for look in looks for effect in looked(ending, *look)]
 
 
-def looked(ending: Ending, at: float, followed: bool, callers: int, waiting: int = 0) -> Iterator[Effect]:
+def looked(
+    ending: GracefulShutdown, at: float, followed: bool, callers: int, waiting: int = 0
+) -> Iterator[Effect]:
     """A look at a node with so many callers, and so many in the queue, who are let in as it is closed."""
     connected = [None] * callers
     for effect in ending.look(100 + at, followed, lambda: len(connected)):
@@ -53,7 +55,7 @@
 
 
 def test_who_stands_in_waits_for_callers_until_too_little_time_is_left() -> None:
-    ending = Ending(100.0, 2.0)
+    ending = GracefulShutdown(100.0, 2.0)
     assert [*looked(ending, 0.0, True, 1), *looked(ending, 0.1, False, 0)] == [Do.YIELD, Do.TAKE_BACK]
     assert not list(looked(ending, 1.1, False, 0)) and ending.phase is Phase.STANDING_IN
     assert ending.left(101.1) == pytest.approx(0.1)
@@ -70,7 +72,7 @@
 def test_callers_let_in_as_the_queue_closes_are_not_ended_over(
     first: list[Look], at: float, effects: list[Effect]
 ) -> None:
-    ending = Ending(100.0, 2.0)
+    ending = GracefulShutdown(100.0, 2.0)
     for look in first:
         list(looked(ending, *look))
     assert list(looked(ending, at, False, 0, waiting=1)) == effects and not ending.over
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -14,9 +14,9 @@
 import pytest
 
 from notchjunction.balancing.balancer import Balancer
-from notchjunction.balancing.interface import Effect, Profile
-from notchjunction.balancing.records import Server
-from notchjunction.balancing.throughput import Take
+from notchjunction.balancing.interface import Idempotency, RequestClass
+from notchjunction.balancing.records import Endpoint
+from notchjunction.balancing.throughput import ServedRate
 from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
 from notchjunction.emulator.node import Make, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
@@ -96,8 +96,8 @@
         tiers=(Tier(servers, workers=workers, speeds=random.choice(((1.0,), (0.7, 1.0, 1.4)))),),
         seed=seed,
         profiles=(
-            Profile(max(1.0, 8 * work), max(2.0, 16 * work), effect=Effect.REISSUABLE),
-            Profile(max(1.0, 8 * work), max(2.0, 16 * work), effect=Effect.AT_MOST_ONCE),
+            RequestClass(max(1.0, 8 * work), max(2.0, 16 * work), idempotency=Idempotency.IDEMPOTENT),
+            RequestClass(max(1.0, 8 * work), max(2.0, 16 * work), idempotency=Idempotency.NON_IDEMPOTENT),
         ),
         streams=(Stream(0, 0.8 * rate, work=work), Stream(1, 0.2 * rate, work=work)),
         faults=faults,
@@ -168,8 +168,8 @@
 class Lavish(Balancer):
     """Each node takes the budget of a cold server for itself alone, and keeps to it."""
 
-    def _cold_left(self, server: Server, now: float) -> float:
-        return self._terms.nodes * super()._cold_left(server, now)
+    def _cold_left(self, server: Endpoint, now: float) -> float:
+        return self._terms.node_count * super()._cold_left(server, now)
 
 
 @pytest.mark.parametrize("window", [(16.9, False), (17.2, True)])
@@ -211,14 +211,14 @@
 def test_one_warm_server_that_is_left_does_not_pass_for_doing_all_that_the_fleet_did() -> None:
     """Servers did five jobs a second each, and no more is taken to be what they can do."""
     take, share, multiple, span, cold_time = 5.0, 0.1, 1.5, 2.0, 20.0
-    host = FakeHost(10, cold_share=share, cold_time=cold_time, tip_multiple=multiple)
+    host = FakeHost(10, slow_start_share=share, slow_start_time=cold_time, overload_multiple=multiple)
     host.serve(1000, every=0.02)
     host.list_servers(*range(9), started_at=host.clock)
     began, rows = host.clock, len(host.did)
     while host.clock < began + 4.0:
         host.take()
         host.advance(0.02)
-        sent, rows = [row for row in host.did[rows:] if row[0] == "dispatch"], len(host.did)
+        sent, rows = [row for row in host.did[rows:] if row[0] == "send_attempt"], len(host.did)
         for row in sent:
             host.end(row[1])
     pushed = [
@@ -233,23 +233,23 @@
 
 
 def test_a_new_process_takes_its_first_jobs_for_no_rate() -> None:
-    take = Take(0.0)
-    take.note(warm=4, ready=4)
-    take.pass_on(0.1, warm=4)
+    take = ServedRate(0.0)
+    take.record_success(warm=4, ready=4)
+    take.advance(0.1, warm=4)
     assert take.rate() < 0.03  # and not a quarter of a job in a tenth of a second
 
 
 def test_what_a_fleet_did_adds_up_while_traffic_moves_and_is_kept_while_none_is_warm() -> None:
-    takes = [Take(0.0), Take(0.0)]
+    takes = [ServedRate(0.0), ServedRate(0.0)]
     sums = []
     for step in range(2000):
-        takes[step >= 1000].note(warm=10, ready=10)  # ten a second in all, one a server
+        takes[step >= 1000].record_success(warm=10, ready=10)  # ten a second in all, one a server
         for take in takes:
-            take.pass_on(step / 10, warm=10)
+            take.advance(step / 10, warm=10)
         sums.append(sum(take.rate() for take in takes))
     assert min(sums[200:]) > 0.9 and max(sums[200:]) < 1.1
     before = takes[1].rate()
-    takes[1].pass_on(400.0, warm=0)
+    takes[1].advance(400.0, warm=0)
     assert takes[1].rate() == before
 
 
--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -44,7 +44,7 @@
             assert (await client.answer()).status == 200
             assert len(peer.requests) == 1 and len(failed) >= 2
             figures = node.counters.read()
-            assert figures["dispatches_first"] == 1 and "dispatches_again" not in figures
+            assert figures["attempts_first"] == 1 and "attempts_retried" not in figures
 
     run(story())
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -17,8 +17,8 @@
 
 from notchjunction import protocol
 from notchjunction.addresses import Address
-from notchjunction.balancing.interface import Effect, Profile, ServerEntry
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import EndpointEntry, Idempotency, RequestClass
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.servers import Server
@@ -62,7 +62,7 @@
         ({"resets": 1.0}, None),
         ({"losses": 1.0}, None),
         ({"hung": True}, None),
-        ({"presence": Presence.DRAINING}, 503),
+        ({"presence": EndpointState.DRAINING}, 503),
     ],
     ids=str,
 )
@@ -131,7 +131,7 @@
         clock = LoopClock()
         model = Discovery(replace(SMALL, list_rate=4.0, list_wait=0.1, list_delay=0.0), clock, 1)
         server = Server(0, Tier(), 0, 1.0, SMALL, clock, Random(1))
-        told: list[ServerEntry] = []
+        told: list[EndpointEntry] = []
         standin = DiscoveryStandIn(
             model,
             clock,
@@ -202,10 +202,10 @@
 
 
 DEAF = """
-from notchjunction.balancing.interface import News
+from notchjunction.balancing.interface import ListUpdate
 from notchjunction.node.node import Node
 hears = Node._hear
-Node._hear = lambda self, news, kind: hears(self, news, kind) if kind is News.REMEMBERED else None
+Node._hear = lambda self, news, kind: hears(self, news, kind) if kind is ListUpdate.CACHED else None
 from notchjunction.__main__ import main
 main()
 """
@@ -226,8 +226,8 @@
 
 
 WAITING = """
-from notchjunction.discovery.watch_state import Following
-Following.begins = lambda self, now, wait: 1000.0
+from notchjunction.discovery.watch_state import ListWatch
+ListWatch.poll_started = lambda self, now, wait: 1000.0
 from notchjunction.__main__ import main
 main()
 """
@@ -245,7 +245,9 @@
 
     async def story() -> None:
         found = await Stage(scenario, tmp_path).play()
-        told = {row.node for row in found.rows if isinstance(row, Told) and row.presence is Presence.DRAINING}
+        told = {
+            row.node for row in found.rows if isinstance(row, Told) and row.presence is EndpointState.DRAINING
+        }
         assert (len(told) == scenario.nodes) is finds_out
         caught = {text.partition(":")[0] for text in breaches(found)}
         assert not caught if finds_out else "told_in_time" in caught
@@ -254,9 +256,9 @@
 
 
 LOYAL = """
-from notchjunction.net.request_handler import Job
-Job.withdraw = lambda self: None
-Job._caller_there = lambda self: True
+from notchjunction.net.request_handler import RequestHandler
+RequestHandler.withdraw = lambda self: None
+RequestHandler._caller_there = lambda self: True
 from notchjunction.__main__ import main
 main()
 """
@@ -273,7 +275,7 @@
         SMALL,
         servers=2,
         length=6.0,
-        profiles=(Profile(2.0, 4.0, effect=Effect.REISSUABLE),),
+        profiles=(RequestClass(2.0, 4.0, idempotency=Idempotency.IDEMPOTENT),),
         streams=(Stream(0, 40.0, work=0.15),),
         faults=(Fault(Kind.RESET, 0.5, 6.0, (0, 1), 0.2),),
         client_patience=0.25,
@@ -317,7 +319,7 @@
     dies: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def story() -> None:
-        short = (Profile(0.3, 0.5, effect=Effect.REISSUABLE),)
+        short = (RequestClass(0.3, 0.5, idempotency=Idempotency.IDEMPOTENT),)
         streams = (Stream(0, 20.0, work=0.05),)
         stage = Stage(replace(SMALL, nodes=1, profiles=short, streams=streams), tmp_path)
         if dies == "at its start":
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -110,12 +110,12 @@
             async with running(shared=tmp_path, listen=listen, mgmt=mgmt2, known=False) as (new, _):
                 await until(old, "followed", True)
                 assert await call(mgmt2, "GET", "/control/ready") == 200
-                assert new._decider.barred == {"s0"}
+                assert new._decider.banned == {"s0"}
                 # A yes holds in both, whichever was asked; an unknown one is a no.
                 assert await call(mgmt2, "PUT", "/control/servers/s1/offline") == 200
-                assert old._decider.barred == {"s0", "s1"}
+                assert old._decider.banned == {"s0", "s1"}
                 assert await call(mgmt, "PUT", "/control/servers/s0/online") == 200
-                assert new._decider.barred == {"s1"} == old._decider.barred
+                assert new._decider.banned == {"s1"} == old._decider.banned
                 assert await call(mgmt2, "PUT", "/control/servers/s7/offline") == 404
                 for _ in range(6):
                     await served(await Client().open(listen))
@@ -182,9 +182,9 @@
                 while new._descriptors.elsewhere < held + OWN:
                     await asyncio.sleep(0.001)
                 assert new._descriptors.callers_elsewhere == 10
-                assert new._decider._terms.processes == old._decider._terms.processes == 2
+                assert new._decider._settings.process_count == old._decider._settings.process_count == 2
                 await first.aclose()
-                while new._descriptors.elsewhere or new._decider._terms.processes != 1:
+                while new._descriptors.elsewhere or new._decider._settings.process_count != 1:
                     await asyncio.sleep(0.001)
 
     run(story())
@@ -290,7 +290,7 @@
                     sock.send(b'{"got": true}\n')
                     await until(node, "others", 1)
             await until(node, "others", 0)
-            assert not node._handover.followed and node._decider._terms.processes == 1  # type: ignore[union-attr]
+            assert not node._handover.followed and node._decider._settings.process_count == 1  # type: ignore[union-attr]
             await served(await Client().open(listen))
             assert await node.take_offline("s0")
 
@@ -310,7 +310,7 @@
                 await node._loop.sock_connect(sock, str(tmp_path / FILE))
                 sock.send(b'{"got": true}\n')
                 await until(node, "others", 1)
-                assert not await node.take_offline("s0") and node._decider.barred == {"s0"}
+                assert not await node.take_offline("s0") and node._decider.banned == {"s0"}
 
     run(story())
 
@@ -342,7 +342,7 @@
                 monkeypatch.setattr(handover.Channel, "tell", crossed)
                 async with asyncio.timeout(5):
                     assert await node.take_offline("s0")
-                assert not channel._awaited and node._decider.barred == {"s0"}
+                assert not channel._awaited and node._decider.banned == {"s0"}
 
     run(story())
 
@@ -416,7 +416,7 @@
             assert old._handover.followed and old._callers.parting  # type: ignore[union-attr]
             peer.reply = OK
             await served(await Client().open(listen))
-            assert last.counters.read()["taken"] == 1
+            assert last.counters.read()["requests_received"] == 1
             peer.go_on.set()
             assert (await holder.answer()).status == 200
             await ends
@@ -435,7 +435,7 @@
 def found(folder: Path) -> bool:
     """Whether the socket that is put in its place last is there, and somebody listens."""
     try:
-        handover.Giver(str(folder)).close()
+        handover.StreamSender(str(folder)).close()
     except OSError:
         return False
     return True
@@ -450,7 +450,7 @@
             patch.undo()
             raise OSError(errno.EMFILE, "none for now")
 
-        patch.setattr(handover.Giver, "__init__", fails)
+        patch.setattr(handover.StreamSender, "__init__", fails)
         yield
 
 
@@ -517,7 +517,7 @@
                 await asyncio.sleep(0.001)
             last, _ = await stack.enter_async_context(running(shared=tmp_path, listen=listen, known=False))
             await until(old, "followed", True)
-            assert last.counters.read()["handovers_taken"] == 1
+            assert last.counters.read()["handovers_received"] == 1
 
     run(story())
 
@@ -613,7 +613,7 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             await offered(node)
             assert node._handover is not None
-            giver = handover.Giver(str(tmp_path))
+            giver = handover.StreamSender(str(tmp_path))
             node._handover.take_last()
             assert accepts == 2  # the giver, and nobody after it
             for _ in range(200):
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -14,8 +14,8 @@
 
 import pytest
 
-from notchjunction.balancing.interface import Effect, Group, Profile, Result
-from notchjunction.discovery.endpoints import Presence
+from notchjunction.balancing.interface import AttemptResult, DeduplicationScope, Idempotency, RequestClass
+from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.checkers import breaches
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.node import NO_TRY, Link, Links
@@ -50,14 +50,14 @@
         self.now = end
 
 
-def server(clock: Hand, tier: Tier | None = None, **scenario: Any) -> tuple[Server, list[Result]]:
+def server(clock: Hand, tier: Tier | None = None, **scenario: Any) -> tuple[Server, list[AttemptResult]]:
     found = Server(
         0, tier or Tier(workers=1), 0, 1.0, replace(CALM, thrash=0.0, **scenario), clock, Random(1)
     )
     return found, []
 
 
-def call(results: list[Result], seconds: float = 1.0, clock: Hand | None = None, **more: Any) -> Call:
+def call(results: list[AttemptResult], seconds: float = 1.0, clock: Hand | None = None, **more: Any) -> Call:
     return Call("job", 0, seconds, float("inf"), results.append, **more)
 
 
@@ -217,16 +217,23 @@
     assert breaches(World(scenario).play()) == []
 
 
-@pytest.mark.parametrize(("group", "at", "runs"), [(Group.ALL, 1, 1), (Group.ZONE, 1, 2), (Group.ZONE, 2, 1)])
-def test_a_groups_servers_drop_the_repeats_of_a_numbered_job(group: Group, at: int, runs: int) -> None:
-    profile = Profile(1.0, 2.0, effect=Effect.NUMBERED, group=group, window=5.0)
+@pytest.mark.parametrize(
+    ("group", "at", "runs"),
+    [(DeduplicationScope.ALL, 1, 1), (DeduplicationScope.ZONE, 1, 2), (DeduplicationScope.ZONE, 2, 1)],
+)
+def test_a_groups_servers_drop_the_repeats_of_a_numbered_job(
+    group: DeduplicationScope, at: int, runs: int
+) -> None:
+    profile = RequestClass(
+        1.0, 2.0, idempotency=Idempotency.KEYED, deduplication_scope=group, deduplication_window=5.0
+    )
     world = World(replace(CALM, servers=4, zones=2, profiles=(profile,), streams=(Stream(0, 0.001),)))
-    results: list[Result] = []
+    results: list[AttemptResult] = []
     for number in (0, at):
         world.servers[number].reach(Call((0, 1, number), 0, 0.1, float("inf"), results.append, number=(0, 1)))
     world.env.run(world.now + 1.0)
     ran = sum(type(row).__name__ == "Ran" for row in world.rows)
-    assert results == [Result.HONOURED] * 2 and ran == runs
+    assert results == [AttemptResult.SUCCEEDED] * 2 and ran == runs
 
 
 class Nowhere:
@@ -285,7 +292,7 @@
     heard = {
         row.node: row.at
         for row in World(scenario).play().rows
-        if isinstance(row, Told) and row.presence is Presence.DRAINING
+        if isinstance(row, Told) and row.presence is EndpointState.DRAINING
     }
     late = sum(at > 1_000_009.0 for at in heard.values())
     assert len(heard) == 10 and 2 <= late <= 8
