--- a/benchmarks/sameness_script.py
+++ b/benchmarks/sameness_script.py
@@ -19,7 +19,7 @@
 BEGIN_S = 1000.0  # the clock at which a script begins
 STEPS = 4000
 ENDPOINTS_MOST = 24  # numbers that change in a play
-FIRST_ENDPOINTS = (3, 8, 16, 48)  # in the first list; the last is a fleet too large to look through each time
+FIRST_ENDPOINTS = (3, 8, 16, 64)  # in the first list; the last is a fleet too large to look through each time
 ZONES = 2
 CELLS = 3
 TENANT_QUOTAS = (20.0, 5.0)  # requests a second
@@ -501,10 +501,16 @@
         self.driver.replace(self.settings, list(self.world.entries.values()))
 
 
-WATCHES = 20  # in one play
+WATCHES = 60  # in one play
 WATCH_CALLS = 60
-# Weights of a call's ends: answered, silent, refused, refused as one of a crowd, broken, moved.
-WATCH_END_WEIGHTS = (4.0, 1.0, 1.5, 0.7, 1.0, 0.3)
+# By kind of discovery, weights of the ends: answered, silent, refused, refused in a crowd, broken, moved.
+WATCH_END_WEIGHTS = (
+    (4.0, 1.0, 1.5, 0.7, 1.0, 0.3),  # some of all
+    (0.3, 0.1, 0.0, 6.0, 0.0, 0.1),  # a crowd for long
+    (0.3, 6.0, 0.3, 0.0, 0.3, 0.1),  # silent for long
+    (0.3, 0.0, 3.0, 1.0, 3.0, 0.1),  # down for long
+)
+WATCH_CALL_MOST_S = ((0.3,), (0.3, 1.0, 4.0), (1.5, 4.0))  # by kind of network: times that calls may take
 
 
 class Watch(Protocol):
@@ -521,12 +527,13 @@
     """Watches of several settings, whose calls end by chance."""
     random = Random(f"watch {seed}")
     for number in range(WATCHES):
-        nodes = random.choice((1, 40))
+        nodes = random.choice((1, 15, 16, 40))
         watch = make(random.choice((0.0, 4.0, 10.0)), random.random() < 0.2, seed * 100 + number, nodes)
+        weights, times = random.choice(WATCH_END_WEIGHTS), random.choice(WATCH_CALL_MOST_S)
         now = BEGIN_S
         for call in range(WATCH_CALLS):
             recording.add(now, Code.WATCH, number, call, *watch.call(now, call > 0))
-            now += random.choice((0.05, 1.0, 4.0)) * random.random()
-            event = random.choices(range(len(WATCH_END_WEIGHTS)), WATCH_END_WEIGHTS)[0]
+            now += random.choice(times) * random.random()
+            event = random.choices(range(len(weights)), weights)[0]
             recording.add(now, Code.WATCH, number, call, *watch.end(now, event))
             now += random.random()
