--- /dev/null
+++ b/tests/test_wire_compatibility.py
@@ -0,0 +1,313 @@
+"""What processes and nodes of two releases say to each other, byte for byte as commit 98f791a said it.
+
+The fixtures in `tests/fixtures/wire/` were recorded from that commit; its README says how. Strings that reach
+the wire are literals here: an identifier of the program may be renamed, its string may not.
+"""
+
+from __future__ import annotations
+
+import asyncio
+import json
+from base64 import b64decode
+from pathlib import Path
+from typing import Any
+
+import msgspec
+import pytest
+
+from notchjunction.decider import Decider, Listed, Names
+from notchjunction.emulator.scenario import Kind as ServerFault
+from notchjunction.fleet import limits, roster
+from notchjunction.fleet.envelope import Envelope, Key, Sender
+from notchjunction.fleet.member import DECODER, ENCODER, Member, read_section
+from notchjunction.http1.parser import AnswerReader, RequestReader
+from notchjunction.interface import Effect, Group, News, Presence, Profile, Terms
+from notchjunction.net import words as socket_words
+from notchjunction.notes import Notes, Word, tag_of
+from notchjunction.simwire import words as simulator_words
+from notchjunction.standins.fleet_stage import ProcessKind
+from notchjunction.standins.links import Kind as LinkFault
+from tests.helpers import Peer, free_address, running
+
+FIXTURES = Path(__file__).parent / "fixtures" / "wire"
+
+
+def recorded(name: str) -> Any:
+    return json.loads((FIXTURES / name).read_text())
+
+
+# Gossip between nodes.
+
+
+def test_a_gossip_datagram_is_written_and_read_as_recorded() -> None:
+    fixture = recorded("gossip.json")
+    words = [Word(*word) for word in fixture["words"]]
+    assert Notes(fixture["start"]).write(fixture["newest"], words).hex() == fixture["datagram"]
+    named = [Word(tag=tag, ago=ago, good=good, seconds=s) for tag, ago, good, s in fixture["words"]]
+    assert named == words
+    read = Notes(1).read(3, bytes.fromhex(fixture["datagram"]))
+    assert [list(word) for word in read] == fixture["read"]
+
+
+def test_the_tag_of_a_server_in_gossip_is_as_recorded() -> None:
+    tags = recorded("gossip.json")["tags"]
+    assert {name: tag_of(name) for name in tags} == tags
+
+
+# The fleet's datagrams.
+
+
+@pytest.mark.parametrize("number", range(4))
+def test_a_sealed_datagram_is_written_and_read_as_recorded(number: int) -> None:
+    fixture = recorded("envelopes.json")[number]
+    keys = [Key(int(name), bytes.fromhex(secret)) for name, secret in fixture["secrets"].items()]
+    sender, payload = Sender(*fixture["sender"]), bytes.fromhex(fixture["payload"])
+    to, to_start = fixture["to"]
+    own = Envelope(sender, keys)
+    for _ in range(1, fixture["sequence"]):
+        own.seal("other", 77, b"the first of its sequence")
+    assert own.seal(to, to_start, payload).hex() == fixture["datagram"]
+    opened = Envelope(Sender("other", 77), keys[::-1]).open(bytes.fromhex(fixture["datagram"]))
+    assert opened == (sender, to_start, payload, to_start == 0)
+
+
+RUMOURS = tuple(
+    roster.Rumour(
+        name=f"n{state}",
+        address=f"10.0.0.{state}:7000",
+        start=11 + state,
+        incarnation=21 + state,
+        state=roster.State(state),
+        age=31 + state,
+        by=by,
+    )
+    for state, by in enumerate(((), ("n5", "n6"), (), ("n7",)))
+)
+SUMS = bytes(range(256))
+# In the fixture's order; by the names of their fields, so that none changes its place unnoticed.
+MESSAGES: list[tuple[int, Any]] = [
+    (1, roster.Hello(seq=1)),
+    (2, roster.Welcome(seq=2, told=RUMOURS)),
+    (3, roster.Ping(seq=3, told=RUMOURS[:1])),
+    (4, roster.Ack(seq=4, told=RUMOURS[1:2])),
+    (5, roster.PingFor(seq=5, name="n9", told=RUMOURS[2:3])),
+    (6, roster.Nack(seq=6, told=RUMOURS[3:])),
+    (7, roster.Digest(sums=SUMS, told=RUMOURS)),
+    (8, roster.Differences(sums=SUMS[::-1], told=())),
+    (9, roster.Told(told=RUMOURS)),
+    (20, limits.Ask(limit="payments", serial=41, round=42, count=43)),
+    (21, limits.Grant(limit="payments", serial=51, round=52, count=53, term=54.5)),
+    (22, limits.Refuse(limit="payments", serial=61, free_in=0.25)),
+    (23, limits.GiveBack(limit="payments", serial=71, left=72)),
+    (24, limits.Recall(limit="payments", serial=81, count=82, wish=83)),
+    (25, limits.Standing(limit="payments", revision=91, phase=4, asks=True)),
+]
+
+
+@pytest.mark.parametrize("number", range(len(MESSAGES)))
+def test_a_message_of_the_fleet_is_written_and_read_as_recorded(number: int) -> None:
+    data = bytes.fromhex(recorded("fleet_messages.json")[number])
+    tag, message = MESSAGES[number]
+    assert ENCODER.encode([message]) == data
+    assert DECODER.decode(data) == [message]
+    assert msgspec.msgpack.decode(data)[0][0] == tag
+
+
+def test_every_message_of_the_fleet_is_recorded() -> None:
+    tags = {kind.__struct_config__.tag for kind in (roster.Message | limits.Message).__args__}
+    assert tags == {tag for tag, _ in MESSAGES}
+    assert len(recorded("fleet_messages.json")) == len(MESSAGES)
+
+
+def test_numbers_that_the_fleet_says_for_states_and_phases() -> None:
+    assert {state.name.lower(): int(state) for state in roster.State} == {
+        "alive": 0,
+        "suspect": 1,
+        "dead": 2,
+        "left": 3,
+    }
+    assert sorted(int(phase) for phase in limits.Phase) == [1, 2, 3, 4]
+
+
+def test_a_conversation_of_a_fleet_goes_as_recorded() -> None:
+    """Four nodes meet, miss one, lend rights under a changing split, and one leaves.
+
+    Each hears what the recorded ones said, and must say the same bytes: tags, fields, seals and all.
+    """
+    heads, said, *rows = map(json.loads, (FIXTURES / "fleet_conversation.jsonl").read_text().splitlines())
+    members = {
+        name: Member(name, 5 + number, read_section(section), heads["longest"], number, 0.0)
+        for number, (name, section) in enumerate(heads["sections"].items())
+    }
+    permits: dict[int, Any] = {}
+    for number, (now, name, action, more, says) in enumerate(rows):
+        own = members[name]
+        datagrams: list[Any] = []
+        match action:
+            case "tick":
+                datagrams = own.tick(now)
+            case "hear":
+                datagrams = own.hear(now, bytes.fromhex(said[more["datagram"]]), more["source"])
+            case "seek":
+                datagrams = own.packed(own.limits.seek(now, "payments", 2))
+            case "spend":
+                permits[number] = own.limits.spend(now, "payments", now + heads["longest"])
+                assert (permits[number] is not None) == more["got"]
+            case "release":
+                datagrams = own.packed(own.limits.release(now, permits[more["of"]]))
+            case "leave":
+                datagrams = own.leave(now)
+            case _:
+                raise AssertionError(action)
+        assert [each.data.hex() for each in datagrams] == [said[each] for each in says], (now, name, action)
+
+
+# What one process gives another: what it has learned, and where bodies stand.
+
+
+def test_what_a_process_has_learned_is_taken_over_and_said_again_as_recorded() -> None:
+    fixture = recorded("learned.json")
+    told = Terms(seed=7, profiles=[Profile(1.0, 2.0, late_share=0.5)], depth=0, depths=1)
+    own = Decider(told, Names(["plain"], [], ["a"]), lambda: float(fixture["now"]), lambda delay: None)
+    own.inherit_starts(json.loads(fixture["starts"]))
+    listed = [Listed(name, Presence.READY, at, "a", 0) for name, at in fixture["servers"]]
+    own.report_list(News.REMEMBERED, listed)
+    own.learn(json.loads(fixture["lessons"]))
+    assert json.dumps(own.start_ages()) == fixture["starts"]
+    assert json.dumps(own.lessons()) == fixture["lessons"]
+
+
+def test_the_keys_of_what_a_process_has_learned() -> None:
+    lessons = json.loads(recorded("learned.json")["lessons"])
+    assert list(lessons) == ["clearing", "servers", "spent"]
+    assert list(lessons["clearing"]) == ["began", "answers", "calm"]
+    assert all(
+        list(server) == ["last", "seconds", "back_in", "wait"] for server in lessons["servers"].values()
+    )
+    assert all(lessons["clearing"].values()) and lessons["servers"]["s2"]["back_in"] > 0
+    assert list(lessons["spent"]) == ["plain"] and lessons["spent"]["plain"]
+
+
+BODY_LEFT = 100_000  # bytes of each recorded body that were not given out when it was given away
+FRAMINGS = ["LENGTH", "CHUNKS", "TO_THE_END", "LENGTH"]
+
+
+@pytest.mark.parametrize("number", range(len(FRAMINGS)))
+def test_a_body_is_read_on_from_where_it_is_recorded_to_stand(number: int) -> None:
+    fixture = recorded("positions.json")[number]
+    position = json.loads(fixture["position"])
+    assert position["framing"] == FRAMINGS[number]
+    unread = b64decode(position["unread"])
+    reader = AnswerReader() if fixture["of"] == "answer" else RequestReader()
+    reader.go_on(position)
+    assert json.dumps(reader.state()) == fixture["position"]
+    end = fixture["rest"].encode().lstrip(unread[:1])
+    reader.feed(unread[:1] * (BODY_LEFT - len(unread)) + end)
+    body = bytearray()
+    while True:
+        piece, ended = reader.piece()
+        body += piece
+        if ended or not piece:
+            break
+    assert bytes(body) == unread[:1] * BODY_LEFT
+    assert ended == (position["framing"] != "TO_THE_END")
+
+
+# Words that stand for the members of enumerations: in settings, lists, reports and records.
+
+
+@pytest.mark.parametrize(
+    ("kind", "words"),
+    [
+        (Effect, ["reissuable", "numbered", "at-most-once"]),
+        (Group, ["all", "zone", "cell"]),
+        (
+            ServerFault,
+            [
+                "crash",
+                "hang",
+                "slow",
+                "errors",
+                "reset",
+                "lose",
+                "lie",
+                "drain",
+                "cut",
+                "list-down",
+                "list-late",
+                "list-split",
+                "list-silent",
+            ],
+        ),
+        (LinkFault, ["cut", "lose", "delay", "jitter", "repeat", "reorder"]),
+        (ProcessKind, ["pause", "kill"]),
+    ],
+)
+def test_words_of_scenario_files(kind: Any, words: list[str]) -> None:
+    assert [each.value for each in kind] == words
+
+
+def test_words_of_lists_and_results_on_sockets_and_at_the_simulator() -> None:
+    assert set(socket_words.PRESENCES) == {"active", "leaving", "left"}
+    assert set(simulator_words.PRESENCES) == {"on", "fading", "off"}
+    assert set(simulator_words.NEWS) == {"patch", "whole", "stale_copy", "broken"}
+    assert set(simulator_words.RESULTS) == {
+        "done",
+        "err",
+        "busy",
+        "etimedout",
+        "econnrefused",
+        "econnreset",
+        "ecanceled",
+        "skipped",
+    }
+
+
+def test_a_server_in_the_lists_own_form() -> None:
+    row = socket_words.row(Listed("s0", Presence.DRAINING, 1.5, "a", 3), "10.0.0.1:80")
+    assert json.dumps(row) == (
+        '{"name": "s0", "address": "10.0.0.1:80", "zone": "a", "group": 3, "status": "leaving", '
+        '"since_ms": 1500.0}'
+    )
+
+
+def test_the_fleet_as_operators_are_shown_it(tmp_path: Path) -> None:
+    """The whole answer of `GET /control/fleet`, but for what differs from start to start."""
+
+    async def story() -> None:
+        mgmt, (host, port) = free_address(), free_address()
+        at = f"{host}:{port}"
+        fleet = {
+            "listen": at,
+            "seeds": [at],
+            "keys": [{"number": 1, "secret": "0f" * 16}],
+            "limits": [{"name": "payments", "revision": 3, "owners": {"n": 2}}],
+        }
+        async with Peer() as peer, running(peer, mgmt=mgmt, fleet=fleet):
+            reader, writer = await asyncio.open_connection(*mgmt)
+            writer.write(b"GET /control/fleet HTTP/1.1\r\nHost: n\r\n\r\n")
+            head, _, body = (await reader.read()).partition(b"\r\n\r\n")
+            writer.close()
+        assert b"content-type: application/json" in head.lower()
+        shown = json.loads(body)
+        start = shown["nodes"]["n"].pop("start")
+        quarantine = shown["limits"]["payments"].pop("quarantined_for")
+        assert isinstance(start, int) and isinstance(quarantine, float)
+        assert shown == {
+            "away": False,
+            "nodes": {"n": {"state": "alive", "at": at}},
+            "limits": {
+                "payments": {
+                    "owned": 0,
+                    "in_use": 0,
+                    "lent": 0,
+                    "borrowed": 0,
+                    "revision": 3,
+                    "settled": False,
+                    "age": 0.0,
+                }
+            },
+            "faults": [],
+        }
+
+    asyncio.run(asyncio.wait_for(story(), 20))
