--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -4,15 +4,13 @@
 
 import asyncio
 import logging
-import select
 import socket
 import struct
 import time
-from base64 import b64decode, b64encode
 from collections.abc import Mapping
 from contextlib import suppress
 from dataclasses import replace
-from typing import TYPE_CHECKING, Any, Protocol
+from typing import Any
 
 from tornado.iostream import StreamClosedError
 
@@ -21,7 +19,8 @@
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net.body_streaming import Download, Upload
-from notchjunction.net.event_loop import waited_most
+from notchjunction.net.client_context import ClientContext
+from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.request_handler import (
     QuotaPermits,
     RequestHandler,
@@ -29,14 +28,12 @@
     internal_error,
     request_spec_of,
 )
-from notchjunction.net.socket_stream import NodeStream, Unread, discard_unread, end_sending
+from notchjunction.net.socket_stream import discard_unread, end_sending
+from notchjunction.net.stream_state import MigratedResponse, MigratedUpload, ResponseFraming
 from notchjunction.net.upstream_connection import LOOK_EVERY, PIECE, ConnectionLost, read_piece
 from notchjunction.safety.preconditions import AdmissionFacts, ConnectionFacts, Refusal, may_close, may_start
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-if TYPE_CHECKING:
-    from notchjunction.net.client_listener import ClientListener
-
 log = logging.getLogger(__name__)
 
 HEAD_WITHIN = 2.6  # s from connecting, or a later request's first byte, to a whole head; some take 2 s
@@ -49,39 +46,15 @@
 MOVE_PAUSE = 0.02  # s until an answer that could not move yet is tried again
 AHEAD_MOST = 2 * PIECE  # bytes kept of what comes ahead of an answer: a whole message and some of the next
 THROWN_MOST = 1024 * 1024  # bytes past those that are thrown away; whoever sends more ahead only costs
-ENDED = select.POLLRDHUP | select.POLLHUP | select.POLLERR  # what tells of an end behind unread bytes
 REFUSALS = (429, 503)  # what tells a caller that nothing was done
 GO_AHEAD = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class ClientStream(NodeStream):
-    """Knows how much of what was written the operating system has taken, and when what was read came."""
-
-    taken = 0
-    came_at = 0.0  # s, monotonic; the earliest moment at which the bytes that were read last can have come
-
-    def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        count = super().read_from_fd(buf)
-        if count:
-            self.came_at = time.monotonic() - waited_most()
-        return count
-
-    def write_to_fd(self, data: memoryview) -> int:
-        count = super().write_to_fd(data)
-        self.taken += count
-        return count
-
-
-class StreamMigrator(Protocol):
-    def __call__(self, state: Mapping[str, Any], *sockets: socket.socket) -> bool:
-        """Hands a caller to another process, with its server where an answer is under way; whether it did."""
-
-
 class ClientConnection:
     """One connection; requests on it are served one after another."""
 
-    def __init__(self, callers: ClientListener, stream: ClientStream, full: bool) -> None:
-        self._callers = callers
+    def __init__(self, context: ClientContext, stream: ClientStream, full: bool) -> None:
+        self._context = context
         self._stream = stream
         self._full = full
         self._requests = RequestReader()
@@ -90,7 +63,7 @@
         self._open = True
         self._busy = False
         # When the request's last byte was read; of one that came ahead of its turn, the first.
-        self._came_at = callers.clock()
+        self._came_at = context.clock()
         self._early_since: float | None = None  # s; since when what came before it was let in may wait
         self._waited = 0.0  # s so far for the body under way
         self._job: RequestHandler | None = None
@@ -101,13 +74,13 @@
         self._thrown = 0  # bytes sent too far ahead, thrown away; what comes after them makes no sense
         self._discards = False  # has its answer; the rest of its body is read
         self._turned_back = False  # as the node ends before its body is whole
-        callers.silent[self] = self._came_at
+        context.silent[self] = self._came_at
         # The first request is due by the time of connecting: bytes that drip in do not renew it.
         self._due = self._came_at + (REFUSED_WITHIN if full else HEAD_WITHIN)
 
     def waited_since(self, since: float) -> None:
         """It may have been in the queue since then (s), and what has come by now as well."""
-        if self._is_unread():
+        if self._stream.has_unread():
             self._early_since = since
 
     async def converse(self) -> None:
@@ -144,7 +117,7 @@
         if answer is None:
             return False
         self._note_answer(request, job, answer)
-        parts = self._callers.parting and (self._requests.going or not self._has_more())
+        parts = self._context.parting and (self._requests.going or not self._has_more())
         keep = request.keep and not self._full and not parts
         if isinstance(answer, Download):
             assert job is not None
@@ -155,27 +128,27 @@
 
     def _has_more(self) -> bool:
         """Guards against closing over a request that came with this one, read or not, drain or not."""
-        return self._requests.begun or self._has_read() or self._is_unread()
+        return self._requests.begun or self._has_read() or self._stream.has_unread()
 
     def _note_answer(self, request: Request, job: RequestHandler | None, answer: Answer | Download) -> None:
         status = answer.beginning.status if isinstance(answer, Download) else answer.status
-        recorder = self._callers.counters.recorder
+        recorder = self._context.counters.recorder
         recorder.note(Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.JOB_ID, ""), status=status)
         if job is not None:
             refused = status in REFUSALS
-            job.check(job.ledger.response_sent(self._callers.clock(), refused), status=status)
+            job.check(job.ledger.response_sent(self._context.clock(), refused), status=status)
 
     def close(self) -> None:
         """The one place where a caller's descriptor is given back."""
         if self._open:
             self._open = False
-            self._callers.counters.recorder.note(Occurrence.CALLER_CLOSED, why=self._why_closed())
+            self._context.counters.recorder.note(Occurrence.CALLER_CLOSED, why=self._why_closed())
             if self._job is not None:
                 self._job.check(self._job.ledger.connection_closed())
             self._stream.close()
             self._stir()
-            self._callers.descriptors.give_back_caller()
-            self._callers.counters.add("client_connections_closed")
+            self._context.descriptors.give_back_caller()
+            self._context.counters.add("client_connections_closed")
 
     def _why_closed(self) -> str:
         if self._at_fault:
@@ -210,13 +183,9 @@
 
     def _facts(self) -> ConnectionFacts:
         ending = self._parted or self._stream.closed()
-        unread = self._has_read() or self._is_unread()
+        unread = self._has_read() or self._stream.has_unread()
         return ConnectionFacts(self._busy, self._requests.begun, unread, ending)
 
-    def _is_unread(self) -> bool:
-        """Whether bytes, or an end, have come that wait in the operating system."""
-        return self._stream.unread() is not Unread.NOTHING
-
     def _part(self) -> None:
         """Ends the sending. Guards against a request that crosses this: from here on none is sent on."""
         if self._parted:
@@ -225,36 +194,36 @@
         self._stir()
         if self._stream.closed():
             return  # the caller went first; its coroutine has not heard of it yet
-        self._callers.lingering[self] = self._callers.clock()
+        self._context.lingering[self] = self._context.clock()
         end_sending(self._stream.socket)
 
     def _part_from_outside(self) -> None:
         """The same while its coroutine waits for what comes, which may be nothing."""
         self._part()
-        asyncio.get_running_loop().call_later(self._callers.linger_within(), self.close)
+        asyncio.get_running_loop().call_later(self._context.linger_within(), self.close)
 
     def _rest(self) -> None:
         """Between two requests, unless the next one has begun to come."""
-        now = self._callers.clock()
+        now = self._context.clock()
         self._waited = 0.0
         if self._requests.begun:
             self._due = now + HEAD_WITHIN
         else:
             self._due = now + IDLE_MOST
-            self._callers.idle[self] = now
+            self._context.idle[self] = now
 
     def _stir(self) -> None:
-        self._callers.silent.pop(self, None)
-        self._callers.idle.pop(self, None)
-        self._callers.heads.pop(self, None)
-        self._callers.lingering.pop(self, None)
+        self._context.silent.pop(self, None)
+        self._context.idle.pop(self, None)
+        self._context.heads.pop(self, None)
+        self._context.lingering.pop(self, None)
 
     async def _request(self) -> Request | None:
         """The next whole request; None when the caller is parted with, or has sent nothing for too long."""
         try:
             return await self._next_request()
         finally:
-            self._callers.heads.pop(self, None)
+            self._context.heads.pop(self, None)
 
     async def _next_request(self) -> Request | None:
         late = False
@@ -266,9 +235,9 @@
             if late:
                 return None
             if self._requests.in_body:
-                self._callers.heads.pop(self, None)
+                self._context.heads.pop(self, None)
             elif self._requests.begun:
-                self._callers.heads.setdefault(self, self._callers.clock())
+                self._context.heads.setdefault(self, self._context.clock())
             reading = self._read()
             if self._requests.awaits_go_ahead():
                 await self._write(GO_AHEAD)
@@ -277,7 +246,7 @@
                 return None
             if reading.done():
                 self._feed()
-                late = late and self._callers.clock() >= self._due
+                late = late and self._context.clock() >= self._due
             elif late and not self._requests.begun:
                 # Guards against ending a connection over a request that came as its time was over.
                 late = may_close(self._facts()) is None
@@ -289,12 +258,12 @@
         A body is due by its pace, over the time that was spent waiting for it: guards against callers that
         hold a connection for nothing.
         """
-        began = self._callers.clock()
+        began = self._context.clock()
         in_body = self._requests.in_body and not self._full
         if in_body:
             self._due = began + BODY_SLACK + self._requests.body_come / BODY_PACE - self._waited
         await asyncio.wait(waiting, timeout=max(0.0, self._due - began), return_when=asyncio.FIRST_COMPLETED)
-        now = self._callers.clock()
+        now = self._context.clock()
         if in_body:
             self._waited += now - began
         # Guards against a busy loop's delay being put down to the caller: what has come is read first.
@@ -302,43 +271,43 @@
 
     def _misplaced(self, request: Request) -> Answer | None:
         if request.path == protocol.READY and request.method == "GET":
-            return Answer(200 if self._callers.ready() and not self._callers.draining else 503)
+            return Answer(200 if self._context.ready() and not self._context.draining else 503)
         if request.path != protocol.JOBS and not request.path.startswith(protocol.JOBS + "/"):
             return self._bad(404)
         return self._bad(405) if request.method not in ("GET", "POST") else None
 
     async def _take(self, request: Request) -> tuple[RequestHandler | None, Answer | Download | None]:
         """The job and its final answer; no answer once the caller has gone."""
-        waited = 0.0 if request.more else self._callers.clock() - self._came_at
-        ask = request_spec_of(request, waited, self._callers.profiles)
+        waited = 0.0 if request.more else self._context.clock() - self._came_at
+        ask = request_spec_of(request, waited, self._context.profiles)
         if ask is None:
             return None, self._bad(400)
         job_id = request.headers[protocol.JOB_ID]
-        refusal = may_start(AdmissionFacts(self._parted, is_duplicate=job_id in self._callers.ids))
+        refusal = may_start(AdmissionFacts(self._parted, is_duplicate=job_id in self._context.ids))
         if refusal is Refusal.CONNECTION_CLOSING:
             # Guards against a request that crosses the end of its connection: no answer could be given.
             return None, None
         if refusal is not None:
             # Guards against one job's answer and end being mistaken for another's, here and at servers.
             return None, self._bad(409)
-        self._callers.counters.add("requests_received")
-        self._callers.counters.recorder.note(
+        self._context.counters.add("requests_received")
+        self._context.counters.recorder.note(
             Occurrence.REQUEST_TAKEN, job_id, left=round(ask.time_left, 3), waited=round(waited, 4)
         )
         if self._full:
-            self._callers.counters.add("responses_rejected")
+            self._context.counters.add("responses_rejected")
             return None, Answer(503)
-        self._callers.ids.add(job_id)
-        upload = Upload(self._callers.streams) if request.more else None
+        self._context.ids.add(job_id)
+        upload = Upload(self._context.streams) if request.more else None
         rights: QuotaPermits | None = None
         try:
-            if self._callers.admit is not None:
-                admitted = await self._callers.admit(ask)
+            if self._context.admit is not None:
+                admitted = await self._context.admit(ask)
                 if isinstance(admitted, Answer):
-                    self._callers.counters.add("responses_rejected")
+                    self._context.counters.add("responses_rejected")
                     return None, admitted
                 rights, ask = admitted
-            job = self._callers.take(ask, request, upload, rights)
+            job = self._context.take(ask, request, upload, rights)
             self._job, self._upload = job, upload
             try:
                 return job, await self._answer(job, upload)
@@ -349,10 +318,10 @@
         except StreamClosedError:
             raise
         except Exception as error:
-            self._callers.counters.add_failure("request handler failed", error)
-            return None, internal_error(self._callers.counters)
+            self._context.counters.add_failure("request handler failed", error)
+            return None, internal_error(self._context.counters)
         finally:
-            self._callers.ids.discard(job_id)
+            self._context.ids.discard(job_id)
             self._job = self._upload = None
             if rights is not None:
                 rights.close()
@@ -361,13 +330,13 @@
 
     async def _answer(self, job: RequestHandler, upload: Upload | None) -> Answer | Download | None:
         """Waits for the job's answer, and reads on: the rest of its body, or whether the caller goes."""
-        work = asyncio.create_task(job.answer(self._there))
+        work = asyncio.create_task(job.answer(self._stream.is_peer_connected))
         error: Answer | None = None
         while not work.done():
             waiting: set[asyncio.Future[Any]] = {work}
             if upload is not None and not upload.ended:
                 if upload.wants_more():
-                    late = await self._wait(work, self._read(self._callers.streams.piece()))
+                    late = await self._wait(work, self._read(self._context.streams.piece()))
                     # Guards against a late loop's delay undoing an answer that is there.
                     if late and not self._has_read() and not work.done():
                         error = self._bad(408)
@@ -377,7 +346,7 @@
                     full = not room.done()
                     room.cancel()
                     # Guards against a caller that goes unheard while its server takes nothing.
-                    if full and not work.done() and not self._there():
+                    if full and not work.done() and not self._stream.is_peer_connected():
                         self._left(job)
                         break
             else:
@@ -403,7 +372,7 @@
                 break
         answer = await work
         if answer is None:
-            self._callers.counters.add("requests_cancelled")
+            self._context.counters.add("requests_cancelled")
             error = error or (Answer(503, keep=False) if self._turned_back else None)
         if error is not None and isinstance(answer, Download):
             answer.close()
@@ -412,7 +381,7 @@
     def _left(self, job: RequestHandler) -> None:
         """The caller has gone: nothing is owed, and nothing more is sent for it."""
         job.ledger.client_gone = True
-        self._callers.counters.recorder.note(Occurrence.CALLER_LEFT, job.name)
+        self._context.counters.recorder.note(Occurrence.CALLER_LEFT, job.name)
         job.withdraw()
 
     async def _pass_on(self, request: Request, job: RequestHandler, download: Download, keep: bool) -> bool:
@@ -422,7 +391,7 @@
         keep = keep and (length is not None or chunks)
         try:
             await self._write(encode_answer(replace(beginning, keep=keep), chunks))
-            return await self._pump(download, length, chunks, keep)
+            return await self._pump(download, ResponseFraming(length, chunks, keep))
         except (ConnectionLost, Malformed) as error:
             download.close(error)
             raise self._broken_off(length, chunks) from error
@@ -432,11 +401,12 @@
         finally:
             download.close()
 
-    async def _pump(self, download: Download, length: int | None, chunks: bool, keep: bool) -> bool:
+    async def _pump(self, download: Download, framing: ResponseFraming) -> bool:
         """The pieces and their end; whether the connection can be used again."""
+        length, chunks = framing.length, framing.chunks
         while True:
-            if self._callers.moving.is_set() and not self._stays:
-                if self._move(download, length, chunks, keep):
+            if self._context.moving.is_set() and not self._stays:
+                if self._move(download, framing):
                     return False
                 await asyncio.sleep(MOVE_PAUSE)
             piece = download.ready_piece()
@@ -445,23 +415,23 @@
                 self._queued += len(wire)
                 written = self._stream.write(wire)
                 while not written.done() and not await self._taken(written):
-                    if self._move(download, length, chunks, keep, wire):
+                    if self._move(download, framing, wire):
                         return False
                     await asyncio.sleep(MOVE_PAUSE)
                 await asyncio.sleep(0)  # guards against one body taking all turns
             elif download.over:
                 break
             else:
-                await download.waits(asyncio.Event() if self._stays else self._callers.moving)
+                await download.waits(asyncio.Event() if self._stays else self._context.moving)
                 if download.has_more():
                     await download.more()
         if end := encode_end(length, chunks):
             await self._write(end)
-        return keep
+        return framing.keep
 
     async def _taken(self, written: asyncio.Future[None]) -> bool:
         """Waits until a piece is written, or answers are to move; whether it is written."""
-        moving = self._callers.moving
+        moving = self._context.moving
         waits: set[asyncio.Future[Any]] = {written}
         if not self._stays:
             waits.add(told := asyncio.ensure_future(moving.wait()))
@@ -475,48 +445,49 @@
             raise StreamClosedError
         return written.done()
 
-    def _move(
-        self, download: Download, length: int | None, chunks: bool, keep: bool, wire: bytes = b""
-    ) -> bool:
+    def _move(self, download: Download, framing: ResponseFraming, wire: bytes = b"") -> bool:
         """Gives the answer to the process that follows, with what is unread and what of `wire` is unsent."""
         self._stays = True
-        mover = self._callers.mover
+        mover = self._context.mover
         ahead = self._requests.begun or self._has_read() or self._stream.closed()
         if mover is None or ahead or download.over or not download.take_held():
             return False
-        unsent = b64encode(wire[len(wire) - (self._queued - self._stream.taken) :] if wire else b"")
-        state: dict[str, Any] = {"length": length, "chunks": chunks, "keep": keep, "answers": download.state}
-        state["unsent"] = unsent.decode()
+        unsent = wire[len(wire) - (self._queued - self._stream.bytes_sent) :] if wire else b""
+        state = MigratedResponse(framing, download.state, unsent)
         try:
-            if not mover(state, self._stream.socket, download.socket):
+            if not mover(state.to_wire(), self._stream.socket, download.socket):
                 return False
         except BlockingIOError:
             self._stays = False  # the other process is still busy with those before it
             return False
-        self._callers.counters.add("streams_migrated")
+        self._context.counters.add("streams_migrated")
         download.move()
         # Guards against ending it for the other process, too.
         self._stream.close()
         return True
 
-    async def resume(self, state: Mapping[str, Any], download: Download) -> None:
-        """Passes on what another process began to, and goes on as with any caller."""
+    async def resume(self, wire: Mapping[str, Any], download: Download) -> None:
+        """Passes on what another process began to, and goes on as with any client."""
         self._busy = True
         self._stir()
-        length, chunks = state["length"], bool(state["chunks"])
         try:
-            if unsent := b64decode(state["unsent"]):
-                await self._write(unsent)
-            keep = await self._pump(download, length, chunks, bool(state["keep"]))
-        except (ConnectionLost, Malformed) as error:
-            self._callers.counters.add("streams_truncated")
-            raise self._broken_off(length, chunks) from error
+            keep = await self._resume_response(MigratedResponse.from_wire(wire), download)
         finally:
             download.close()
         await self._go_on(keep)
 
+    async def _resume_response(self, state: MigratedResponse, download: Download) -> bool:
+        """What was unsent and the pieces after it; whether the connection can be used again."""
+        try:
+            if state.unsent:
+                await self._write(state.unsent)
+            return await self._pump(download, state.framing)
+        except (ConnectionLost, Malformed) as error:
+            self._context.counters.add("streams_truncated")
+            raise self._broken_off(state.framing.length, state.framing.chunks) from error
+
     def turn_back_upload(self) -> None:
-        if self._discards and not self._turned_back and (self._callers.mover is None or self._stays):
+        if self._discards and not self._turned_back and (self._context.mover is None or self._stays):
             self._part_from_outside()  # it had its answer a while ago, and nobody goes on with it
         under_way = self._upload is not None and not self._upload.ended
         if under_way and self._job is not None and not self._turned_back:
@@ -548,14 +519,14 @@
             if self._parted:
                 await self._linger()
                 return True
-            if self._callers.moving.is_set() and not self._stays:
+            if self._context.moving.is_set() and not self._stays:
                 if self._move_rest(keep):
                     return True
                 await asyncio.sleep(MOVE_PAUSE)
-            if self._turned_back and (self._stays or self._callers.mover is None):
+            if self._turned_back and (self._stays or self._context.mover is None):
                 break  # the process ends, and nobody can go on with it
-            told = asyncio.ensure_future(self._callers.moving.wait())
-            reading = self._read(self._callers.streams.piece())
+            told = asyncio.ensure_future(self._context.moving.wait())
+            reading = self._read(self._context.streams.piece())
             late = await self._wait(reading, *([] if self._stays else [told]))
             told.cancel()
             if reading.done():
@@ -567,34 +538,34 @@
 
     def _move_rest(self, keep: bool) -> bool:
         """Gives a caller whose body still comes to the process that follows."""
-        mover = self._callers.mover
+        mover = self._context.mover
         if mover is None or self._has_read() or self._stream.closed():
             return False
         try:
-            moved = mover({"keep": keep, "rest": self._requests.state()}, self._stream.socket)
+            moved = mover(MigratedUpload(keep, self._requests.state()).to_wire(), self._stream.socket)
         except BlockingIOError:
             return False
         self._stays = not moved
         if moved:
-            self._callers.counters.add("uploads_migrated")
+            self._context.counters.add("uploads_migrated")
             # Guards against ending it for the other process, too.
             self._stream.close()
         return moved
 
-    async def resume_rest(self, state: Mapping[str, Any]) -> None:
+    async def resume_rest(self, wire: Mapping[str, Any]) -> None:
         """Reads on a body whose job another process has answered, and goes on as with any caller."""
         self._busy = True
         self._stir()
-        self._requests.go_on(state["rest"])
-        keep = bool(state["keep"])
-        if await self._discard(keep):
+        state = MigratedUpload.from_wire(wire)
+        self._requests.go_on(state.parser)
+        if await self._discard(state.keep):
             return
-        await self._go_on(keep)
+        await self._go_on(state.keep)
 
     async def _go_on(self, keep: bool) -> None:
         """What another process began is done: from here on as with any caller."""
         self._busy = False
-        if keep and not self._callers.parting:
+        if keep and not self._context.parting:
             self._rest()
             await self.converse()
         else:
@@ -605,20 +576,6 @@
             self._reading = read_piece(self._stream, most)
         return self._reading
 
-    def _there(self) -> bool:
-        """Whether the caller has not gone, as the operating system knows it: its end may not be read yet.
-
-        Guards against a request that is sent on for nobody: the end stands behind bytes, or came just now.
-        """
-        unread = self._stream.unread()
-        if unread in (Unread.END, Unread.NOTHING):
-            return unread is Unread.NOTHING
-        poll = select.poll()
-        poll.register(self._stream.socket, select.POLLRDHUP)
-        with suppress(OSError):
-            return not any(events & ENDED for _, events in poll.poll(0))
-        return True  # nothing tells of an end
-
     def _has_read(self) -> bool:
         return self._reading is not None and self._reading.done()
 
@@ -626,15 +583,15 @@
         assert self._reading is not None
         reading, self._reading = self._reading, None
         piece = reading.result()
-        now = self._callers.clock()
+        now = self._context.clock()
         # A request's time counts from its last byte; of one that came ahead only the first is known for sure.
         if not self._busy or not self._requests.begun:
             # Guards against a late loop's delay passing for time that the caller still has.
-            self._came_at = now - max(0.0, time.monotonic() - self._stream.came_at)
+            self._came_at = now - max(0.0, time.monotonic() - self._stream.arrived_at)
         if self._early_since is not None:
             self._came_at, self._early_since = min(self._came_at, self._early_since), None
         if not self._requests.begun:
-            if self in self._callers.idle:
+            if self in self._context.idle:
                 self._due = now + HEAD_WITHIN
             self._stir()
         # Guards against memory that grows with what a caller sends ahead, which is read on for its end.
@@ -645,7 +602,7 @@
 
     def _bad(self, status: int) -> Answer:
         """An error that the caller made: said once, and the connection is not used further."""
-        self._callers.counters.add("bad_requests")
+        self._context.counters.add("bad_requests")
         self._at_fault = True
         return Answer(status, keep=False)
 
@@ -663,12 +620,12 @@
         if self._stream.closed():
             return
         self._part()
-        if self._callers.descriptors.full_of_callers():
+        if self._context.descriptors.full_of_callers():
             discard_unread(self._stream.socket)
             return
         left = LINGER_MOST
         with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(self._callers.linger_within()):
+            async with asyncio.timeout(self._context.linger_within()):
                 while left > 0:
                     left -= len(await self._read())
                     self._reading = None
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -7,7 +7,7 @@
 import logging
 import math
 import socket
-from collections.abc import Awaitable, Callable, Collection, Coroutine, Mapping
+from collections.abc import Callable, Collection, Coroutine, Mapping
 from contextlib import suppress
 from itertools import islice
 from typing import Any
@@ -16,14 +16,14 @@
 from tornado.netutil import bind_sockets
 
 from notchjunction.addresses import Address
-from notchjunction.balancing.engine import RequestSpec
 from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer, Request
-from notchjunction.net.body_streaming import Download, StreamBuffers, Upload
-from notchjunction.net.client_connection import ClientConnection, ClientStream, StreamMigrator
+from notchjunction.http1.messages import Answer
+from notchjunction.net.body_streaming import Download, StreamBuffers
+from notchjunction.net.client_connection import ClientConnection
+from notchjunction.net.client_context import Admit, IdleConnection, StartRequest, StreamMigrator
+from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE, Descriptors
 from notchjunction.net.event_loop import waited_most
-from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.net.socket_stream import give_up
 from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE
 from notchjunction.telemetry.counters import Counters
@@ -52,9 +52,6 @@
 REFUSAL = encode_answer(Answer(503, keep=False))
 SHORT_SAID = 10.0  # s in which one line says that the operating system has no descriptor for a caller
 
-# What stands before the decisions where limits hold for the whole fleet: rights, or the answer of a refusal.
-Admit = Callable[[RequestSpec], Awaitable[Answer | tuple[QuotaPermits | None, RequestSpec]]]
-
 
 def _refuse_unread(connection: socket.socket) -> None:
     """Answers 503 and closes at once, whatever was asked: no descriptor is left to read it with.
@@ -72,7 +69,7 @@
     def __init__(
         self,
         clock: Callable[[], float],
-        take: Callable[[RequestSpec, Request, Upload | None, QuotaPermits | None], RequestHandler],
+        take: StartRequest,
         ready: Callable[[], bool],
         spare_one: Callable[[], bool],
         profiles: Collection[str],
@@ -94,11 +91,11 @@
         self.listeners: list[socket.socket] = []
         self._callers: dict[ClientConnection, asyncio.Task[None]] = {}
         # Those that have sent nothing yet, and those between two requests; the longest so come first.
-        self.silent: dict[ClientConnection, float] = {}
-        self.idle: dict[ClientConnection, float] = {}
-        self.heads: dict[ClientConnection, float] = {}  # part of a head has come, and no whole one is unread
+        self.silent: dict[IdleConnection, float] = {}
+        self.idle: dict[IdleConnection, float] = {}
+        self.heads: dict[IdleConnection, float] = {}  # part of a head has come, and no whole one is unread
         self.lingering: dict[
-            ClientConnection, float
+            IdleConnection, float
         ] = {}  # their sending has ended; they are read from for a moment
         self.ids: set[str] = set()  # of the jobs that are held
         self._limited = False
@@ -289,7 +286,7 @@
             (self.lingering, LINGER_SPARED), (self.idle, IDLE_SPARED), (self.silent, SILENT_SPARED)
         )
 
-    def _close_one(self, *rows: tuple[dict[ClientConnection, float], float]) -> bool:
+    def _close_one(self, *rows: tuple[dict[IdleConnection, float], float]) -> bool:
         """One of the first row, else of the next, that has been in it for at least so many s."""
         now = self.clock()
         for kept, spared in rows:
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -25,8 +25,9 @@
 from notchjunction.net import client_connection as caller_module
 from notchjunction.net import client_listener
 from notchjunction.net.body_streaming import Download
-from notchjunction.net.client_connection import ClientConnection, ClientStream
+from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.client_listener import ClientListener
+from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.request_handler import RequestHandler
 from notchjunction.node.node import Node
 from notchjunction.telemetry.flight_recorder import Occurrence
