--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -10,6 +10,7 @@
 from notchjunction.balancing.engine import RequestSpec
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.net.body_streaming import StreamBuffers, Upload
+from notchjunction.net.client_state import ConnectionPhases
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.telemetry.counters import Counters
@@ -30,24 +31,10 @@
         """
 
 
-class IdleConnection(Protocol):
-    """What the listener may close of a connection on its own account, to free a descriptor."""
-
-    def close_if_idle(self) -> bool:
-        """Closes the connection now where no request is open on it; whether it did."""
-
-    def turn_away_in_head(self) -> None:
-        """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
-
-
 class ClientContext(Protocol):
-    """The shared state of all client connections of a node.
-
-    The four tables hold each connection under the time (s, `clock`) since when it has been in that phase, the
-    longest first. A connection enters and leaves them itself.
-    """
+    """The shared state of all client connections of a node."""
 
-    clock: Callable[[], float]
+    clock: Callable[[], float]  # s
     admit: Admit | None
     take: StartRequest
     ready: Callable[[], bool]
@@ -55,10 +42,7 @@
     counters: Counters
     descriptors: Descriptors
     streams: StreamBuffers
-    silent: dict[IdleConnection, float]  # nothing has come yet
-    idle: dict[IdleConnection, float]  # between two requests
-    heads: dict[IdleConnection, float]  # part of a head has come, and no whole one is unread
-    lingering: dict[IdleConnection, float]  # sending has ended; still read from for a moment
+    phases: ConnectionPhases
     ids: set[str]  # of requests in flight
     draining: bool  # readiness checks are answered with 503
     parting: bool  # responses announce that the connection closes
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -20,7 +20,8 @@
 from notchjunction.http1.messages import Answer
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.client_connection import ClientConnection
-from notchjunction.net.client_context import Admit, IdleConnection, StartRequest, StreamMigrator
+from notchjunction.net.client_context import Admit, StartRequest, StreamMigrator
+from notchjunction.net.client_state import ConnectionPhases, ManagedConnection
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE, Descriptors
 from notchjunction.net.event_loop import waited_most
@@ -90,13 +91,7 @@
         self._loop = asyncio.get_running_loop()
         self.listeners: list[socket.socket] = []
         self._callers: dict[ClientConnection, asyncio.Task[None]] = {}
-        # Those that have sent nothing yet, and those between two requests; the longest so come first.
-        self.silent: dict[IdleConnection, float] = {}
-        self.idle: dict[IdleConnection, float] = {}
-        self.heads: dict[IdleConnection, float] = {}  # part of a head has come, and no whole one is unread
-        self.lingering: dict[
-            IdleConnection, float
-        ] = {}  # their sending has ended; they are read from for a moment
+        self.phases = ConnectionPhases()
         self.ids: set[str] = set()  # of the jobs that are held
         self._limited = False
         self._short_said = -math.inf
@@ -113,7 +108,7 @@
         self.mover: StreamMigrator | None = None
         self.moving = asyncio.Event()
         counters.gauge("client_connections_open", lambda: descriptors.callers)
-        counters.gauge("client_connections_idle", lambda: len(self.idle))
+        counters.gauge("client_connections_idle", lambda: len(self.phases.idle))
 
     @property
     def connected(self) -> int:
@@ -238,7 +233,7 @@
         self._limited = full
         stream = ClientStream(connection, max_buffer_size=BUFFER_MOST, read_chunk_size=PIECE)
         caller = ClientConnection(self, stream, full)
-        caller.waited_since(self._queued_since)
+        caller.note_queued(self._queued_since)
         self._callers[caller] = self._loop.create_task(self._serve(caller, caller.converse()))
 
     def _make_room(self) -> bool:
@@ -263,7 +258,9 @@
     def _press(self) -> bool:
         """Makes room where a new caller would else get no answer: those who say nothing go first."""
         if self._close_one(
-            (self.lingering, LINGER_SPARED), (self.silent, SILENT_PRESSED), (self.idle, IDLE_PRESSED)
+            (self.phases.lingering, LINGER_SPARED),
+            (self.phases.silent, SILENT_PRESSED),
+            (self.phases.idle, IDLE_PRESSED),
         ):
             return True
         self._turn_slow_heads_away()
@@ -275,18 +272,20 @@
         Guards against a flood of half heads: each has its time to be whole, and others wait for that unheard.
         """
         due = self.clock() - HEAD_PRESSED
-        for caller, since in list(islice(self.heads.items(), TRIED_MOST)):
-            if since > due or len(self.lingering) >= TURNED_MOST:
+        for caller, since in list(islice(self.phases.heads.items(), TRIED_MOST)):
+            if since > due or len(self.phases.lingering) >= TURNED_MOST:
                 return
             caller.turn_away_in_head()
 
     def close_oldest(self) -> bool:
         """Gives up the caller that has been idle longest, else one that has sent nothing since it came."""
         return self._close_one(
-            (self.lingering, LINGER_SPARED), (self.idle, IDLE_SPARED), (self.silent, SILENT_SPARED)
+            (self.phases.lingering, LINGER_SPARED),
+            (self.phases.idle, IDLE_SPARED),
+            (self.phases.silent, SILENT_SPARED),
         )
 
-    def _close_one(self, *rows: tuple[dict[IdleConnection, float], float]) -> bool:
+    def _close_one(self, *rows: tuple[dict[ManagedConnection, float], float]) -> bool:
         """One of the first row, else of the next, that has been in it for at least so many s."""
         now = self.clock()
         for kept, spared in rows:
@@ -331,7 +330,7 @@
         """What is not whole by the node's end never ran."""
         self.last = True
         for caller in list(self._callers):
-            caller.turn_back_upload()
+            caller.reject_upload()
 
     def linger_within(self) -> float:
         """s that a caller is read from after its last answer."""
@@ -345,13 +344,13 @@
     def adopt_rest(self, state: Mapping[str, Any], caller_sock: socket.socket) -> None:
         """A caller who has its answer from another process of this node, and still sends its body."""
         caller = self._adopted(caller_sock, "uploads_adopted")
-        self._callers[caller] = self._loop.create_task(self._serve(caller, caller.resume_rest(state)))
+        self._callers[caller] = self._loop.create_task(self._serve(caller, caller.resume_upload(state)))
 
     def _adopted(self, caller_sock: socket.socket, counter: str) -> ClientConnection:
         self.descriptors.take_caller()
         self.counters.add(counter)
         stream = ClientStream(caller_sock, max_buffer_size=BUFFER_MOST, read_chunk_size=PIECE)
-        return ClientConnection(self, stream, full=False)
+        return ClientConnection(self, stream, over_limit=False)
 
     def serve(self) -> None:
         """Takes both back: the node is ready for more, and connections are kept."""
@@ -361,5 +360,5 @@
         """Closes callers with no request open, but for those that have stood so for less time."""
         since = self.clock() - least
         for caller in list(self._callers):
-            if self.idle.get(caller, self.silent.get(caller, 0.0)) <= since:
-                caller.part_if_idle()
+            if self.phases.idle.get(caller, self.phases.silent.get(caller, 0.0)) <= since:
+                caller.end_if_idle()
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,8 +19,8 @@
 from notchjunction.config import node_config, validation
 from notchjunction.discovery import watch_state
 from notchjunction.discovery.watch_state import ListWatch
-from notchjunction.net import client_connection as caller_module
-from notchjunction.net import client_listener
+from notchjunction.net import client_listener, request_intake
+from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.descriptors import SHORT_PAUSE
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.node.node import Node
@@ -121,7 +121,7 @@
 def test_past_the_margin_callers_wait_for_an_answer_but_not_for_long(
     room_within: float, let_in: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 0.3)
+    monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.3)
     monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)  # the crowd stays, however late the loop is
     monkeypatch.setattr(client_listener, "ROOM_WITHIN", room_within)
 
@@ -143,8 +143,8 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Nobody leaves. Each of those who wait has an answer and an orderly end, and soon."""
-    monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 30.0)
-    monkeypatch.setattr(caller_module, "HEAD_WITHIN", 30.0)
+    monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 30.0)
+    monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 30.0)
     monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)
 
     async def story() -> None:
@@ -166,8 +166,8 @@
 def test_callers_that_wait_for_room_are_answered_by_a_node_that_ends_or_pauses(
     end: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller_module, "REFUSED_WITHIN", 0.5)
-    monkeypatch.setattr(caller_module, "HEAD_WITHIN", 0.5)
+    monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.5)
+    monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 0.5)
     monkeypatch.setattr(client_listener, "ROOM_WITHIN", 5.0)
 
     async def story() -> None:
@@ -199,18 +199,18 @@
 def test_past_the_margin_half_heads_are_told_408_and_a_new_caller_has_an_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    for span in ("HEAD_WITHIN", "REFUSED_WITHIN", "BODY_SLACK"):
-        monkeypatch.setattr(caller_module, span, 30.0)  # nobody goes by itself
+    for span in ("HEAD_TIMEOUT_S", "REJECTED_TIMEOUT_S", "BODY_GRACE_S"):
+        monkeypatch.setattr(request_intake, span, 30.0)  # nobody goes by itself
     monkeypatch.setattr(client_listener, "ROOM_WITHIN", 30.0)
-    turn_away = caller_module.ClientConnection.turn_away_in_head
+    turn_away = ClientConnection.turn_away_in_head
     crossing: list[RawClient] = []
 
-    def crossed(caller: caller_module.ClientConnection) -> None:
+    def crossed(caller: ClientConnection) -> None:
         if crossing:
             crossing.pop().more(b"Req-Kind: plain\r\nReq-Deadline-Ms: 2000\r\n\r\n")
         turn_away(caller)
 
-    monkeypatch.setattr(caller_module.ClientConnection, "turn_away_in_head", crossed)
+    monkeypatch.setattr(ClientConnection, "turn_away_in_head", crossed)
 
     async def answer_to(client: RawClient) -> bytes:
         async with asyncio.timeout(10):
@@ -228,14 +228,14 @@
             body.ask(b"x" * 50, "POST", length=100)
             ending.more(HALF)
             crossing.append(ending)
-            while not node._callers.heads or not any(
-                caller._requests.in_body for caller in node._callers._callers
+            while not node._callers.phases.heads or not any(
+                caller._intake.parser.in_body for caller in node._callers._callers
             ):
                 await asyncio.sleep(0.001)
             halves = [RawClient(address) for _ in range(5)]
             for half in halves:
                 half.more(HALF.replace(b"1\r\n", b"2\r\n"))
-            while len(node._callers.heads) < 6:
+            while len(node._callers.phases.heads) < 6:
                 await asyncio.sleep(0.001)
             late = RawClient(address)
             late.ask()
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -20,15 +20,14 @@
 from notchjunction.addresses import Address, text_of
 from notchjunction.balancing.interface import ListUpdate
 from notchjunction.discovery.endpoint_list import read_list
-from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.messages import Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net import client_connection as caller_module
-from notchjunction.net import client_listener
-from notchjunction.net.body_streaming import Download
-from notchjunction.net.client_connection import ClientConnection
+from notchjunction.net import client_closing, client_listener, request_intake
+from notchjunction.net.client_connection import ClientConnection, Handled
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.request_handler import RequestHandler
+from notchjunction.net.request_intake import RequestIntake
 from notchjunction.node.node import Node
 from notchjunction.telemetry.flight_recorder import Occurrence
 from notchjunction.upgrade import handover, shutdown
@@ -107,7 +106,7 @@
 
 
 async def room_made(node: Node) -> None:
-    while not node._callers.idle:
+    while not node._callers.phases.idle:
         await asyncio.sleep(0)
     assert node._callers.close_oldest()
 
@@ -127,7 +126,7 @@
         (drained, "", {}),
         (led_away, "", {}),
         (room_made, "", {"IDLE_SPARED": 0.0}),
-        (nothing, "", {"IDLE_MOST": 0.05}),
+        (nothing, "", {"IDLE_TIMEOUT_S": 0.05}),
         (nothing, "Connection: close\r\n", {}),
         (short_of_descriptors, "Connection: close\r\n", {}),
     ],
@@ -140,7 +139,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for name, span in spans.items():
-        monkeypatch.setattr(caller_module if hasattr(caller_module, name) else client_listener, name, span)
+        monkeypatch.setattr(request_intake if hasattr(request_intake, name) else client_listener, name, span)
 
     async def story() -> None:
         async with Peer(LONG) as peer, running(peer) as (node, address):
@@ -162,8 +161,8 @@
     ends: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its job was turned back early; more of the body comes as the node gives it up."""
-    monkeypatch.setattr(caller_module, "BODY_SLACK", 0.1 if ends == "stalls" else 60.0)
-    monkeypatch.setattr(caller_module, "BODY_PACE", 10_000_000)
+    monkeypatch.setattr(request_intake, "BODY_GRACE_S", 0.1 if ends == "stalls" else 60.0)
+    monkeypatch.setattr(request_intake, "BODY_MIN_RATE", 10_000_000)
     monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
@@ -172,7 +171,7 @@
             crossing = Crossing(monkeypatch, lambda: caller.sendall(b"y" * 1000))
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b\r\n" % (70_000, b"x" * 70_000))
-            while not any(one._discards for one in node._callers._callers):
+            while not any(one._discarding for one in node._callers._callers):
                 await asyncio.sleep(0.001)
             if ends == "noise":
                 caller.sendall(b"what is this\r\n")
@@ -205,7 +204,7 @@
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b\r\n" % (70_000, b"x" * 70_000))
-            while not any(one._discards for one in node._callers._callers):
+            while not any(one._discarding for one in node._callers._callers):
                 await asyncio.sleep(0.001)
             caller.recv(65536)
             caller.sendall(last)
@@ -215,7 +214,7 @@
             assert (
                 len(over) == 2
                 and not node.counters.read().get("internal_errors")
-                and not node._callers.lingering
+                and not node._callers.phases.lingering
             )
 
     run(story())
@@ -256,7 +255,7 @@
     last = then == "says nothing at the last"
     monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.05 if then == "says nothing" else 60.0)
     monkeypatch.setattr(client_listener, "LINGER_LAST", 0.05 if last else 60.0)
-    monkeypatch.setattr(caller_module, "LINGER_MOST", 100_000)
+    monkeypatch.setattr(client_closing, "LINGER_MAX", 100_000)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -271,7 +270,7 @@
             async with asyncio.timeout(5):
                 while node._callers.connected:
                     await asyncio.sleep(0.001)
-            assert not node._callers.lingering and not node._descriptors.callers
+            assert not node._callers.phases.lingering and not node._descriptors.callers
 
     run(story())
 
@@ -302,8 +301,8 @@
     form: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its first byte came before; the clock is past the end when its last byte, or its beginning, does."""
-    for span in ("HEAD_WITHIN", "BODY_SLACK"):
-        monkeypatch.setattr(caller_module, span, 60.0)  # the clock is stepped by less
+    for span in ("HEAD_TIMEOUT_S", "BODY_GRACE_S"):
+        monkeypatch.setattr(request_intake, span, 60.0)  # the clock is stepped by less
     wire = wire_of(1, left=60_000)
     if form == "two at once":
         wire += wire_of(2, left=60_000)
@@ -315,7 +314,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             caller = connect(address)
             caller.sendall(wire[:1])
-            while not any(one._requests.begun for one in node._callers._callers):
+            while not any(one._intake.parser.begun for one in node._callers._callers):
                 await asyncio.sleep(0.001)
             node.stop()
             while not node._callers.parting:
@@ -396,7 +395,7 @@
             stays = connect(address)
             wire = wire_of(1, left=60_000).replace(b"plain", b"other")
             stays.sendall(wire[:1])
-            while not any(one._requests.begun for one in node._callers._callers):
+            while not any(one._intake.parser.begun for one in node._callers._callers):
                 await asyncio.sleep(0.001)
             node.stop()
             end_at = node._end_at
@@ -694,20 +693,18 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """The node parts with its callers; the second request has been read, but not looked at."""
-    take = ClientConnection._take
+    take = ClientConnection._handle_request
     second: list[socket.socket] = []
 
-    async def crossed(
-        caller: ClientConnection, request: Request
-    ) -> tuple[RequestHandler | None, Answer | Download | None]:
+    async def crossed(caller: ClientConnection, request: Request) -> Handled:
         taken = await take(caller, request)
         if second:
             second.pop().sendall(wire_of(2))
-            while not caller._has_read():
+            while not caller._intake.has_read():
                 await asyncio.sleep(0)
         return taken
 
-    monkeypatch.setattr(ClientConnection, "_take", crossed)
+    monkeypatch.setattr(ClientConnection, "_handle_request", crossed)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -829,13 +826,13 @@
 
 def as_an_answer_is_ready(act: Callable[[ClientConnection], None], monkeypatch: pytest.MonkeyPatch) -> None:
     """Does this ahead of each answer, with the caller that it is for."""
-    note = ClientConnection._note_answer
+    note = ClientConnection._record_response
 
     def noted(self: ClientConnection, *facts: Any) -> None:
         act(self)
         note(self, *facts)
 
-    monkeypatch.setattr(ClientConnection, "_note_answer", noted)
+    monkeypatch.setattr(ClientConnection, "_record_response", noted)
 
 
 def test_a_request_that_waits_unread_as_an_answer_is_ready_is_answered_too(
@@ -869,20 +866,20 @@
 def test_a_request_that_comes_as_its_connection_has_rested_for_too_long_is_answered(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(caller_module, "IDLE_MOST", 0.1)
+    monkeypatch.setattr(request_intake, "IDLE_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (_, address):
             caller = RawClient(address)
-            wait = ClientConnection._wait
+            wait = RequestIntake.wait
 
-            async def crossed(self: ClientConnection, *waiting: asyncio.Future[Any]) -> bool:
+            async def crossed(self: RequestIntake, *waiting: asyncio.Future[Any]) -> bool:
                 late = await wait(self, *waiting)
-                if late and len(peer.requests) == 1 and not self._has_read():
+                if late and len(peer.requests) == 1 and not self.has_read():
                     caller.ask()
                 return late
 
-            monkeypatch.setattr(ClientConnection, "_wait", crossed)
+            monkeypatch.setattr(RequestIntake, "wait", crossed)
             caller.ask()
             async with asyncio.timeout(5):
                 while len(peer.requests) < 2:
@@ -927,7 +924,7 @@
         noted = [(entry.what, dict(entry.facts)) for entry in node.counters.recorder.about("")]
         whys = [facts["why"] for what, facts in noted if what is Occurrence.CALLER_CLOSED]
         states = [facts for what, facts in noted if what is Occurrence.STATE_CHANGED]
-        assert sorted(map(str, whys)) == ["bad request", "ended by the caller"]
+        assert sorted(map(str, whys)) == ["bad request", "ended by the client"]
         assert [facts["service"] for facts in states if "service" in facts] == ["leading", "serving"]
         assert [facts["ending"] for facts in states if "ending" in facts][:1] == ["lead"]
 
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -14,8 +14,10 @@
 from notchjunction.balancing.engine import CancelAttempt, FailRequest, RejectRequest, RequestSpec
 from notchjunction.balancing.interface import AttemptResult
 from notchjunction.http1.messages import BODY_MOST
-from notchjunction.net import client_connection as caller_module
+from notchjunction.net import request_intake
 from notchjunction.net.client_connection import ClientConnection
+from notchjunction.net.request_intake import RequestIntake
+from notchjunction.net.response_writer import ResponseWriter
 from notchjunction.net.socket_stream import NodeStream
 from notchjunction.net.upstream import SETTLED, AttemptSpec, UpstreamPool
 from notchjunction.net.upstream_connection import PIECE, UpstreamConnection
@@ -139,8 +141,8 @@
 
             def withdraw() -> None:
                 (caller,) = node._callers._callers
-                assert caller._job is not None
-                caller._job.withdraw()
+                assert caller._open_request is not None
+                caller._open_request.handler.withdraw()
 
             at_the_writing(monkeypatch, 1, withdraw)
             client.ask()
@@ -198,7 +200,7 @@
             while not peer.connections:
                 await asyncio.sleep(0.001)
             (caller,) = node._callers._callers
-            while caller._requests.body_come < len(BODY):
+            while caller._intake.parser.body_come < len(BODY):
                 await asyncio.sleep(0.001)
             # Its last bytes and its end come side by side.
             client.more(b"y" * 10)
@@ -260,7 +262,7 @@
             client, caller = await waiting(node, address, peer)
             send_ahead(client, bulk)
             # Whatever the node kept of it so far is in before the end comes.
-            while caller._requests.unread < PIECE:
+            while caller._intake.parser.unread < PIECE:
                 await asyncio.sleep(0.001)
             client.writer.close() if how == "close" else client.writer.transport.abort()
             figures = await withdrawn(node)
@@ -274,10 +276,10 @@
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, caller = await waiting(node, address, peer)
             count, most = send_ahead(client, 6 * PIECE), 0
-            while not caller._thrown:
+            while not caller._intake.bytes_discarded:
                 await asyncio.sleep(0)
-                most = max(most, caller._requests.unread)
-            assert PIECE < most <= caller_module.AHEAD_MOST
+                most = max(most, caller._intake.parser.unread)
+            assert PIECE < most <= request_intake.READ_AHEAD_MAX
             peer.reply = OK
             peer.go_on.set()
             statuses = []
@@ -293,7 +295,7 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            send_ahead(client, 2 * caller_module.THROWN_MOST)
+            send_ahead(client, 2 * request_intake.DISCARD_MAX)
             assert (await client.answer()).status == 413
             await withdrawn(node)
             assert len(peer.requests) == 1
@@ -314,10 +316,14 @@
             while not node._callers._callers:
                 await asyncio.sleep(0.001)
             (caller,) = node._callers._callers
-            while (upload := caller._upload) is None or upload.wants_more():
-                seen = caller._requests.body_come
+            while (
+                (request := caller._open_request) is None
+                or request.upload is None
+                or request.upload.wants_more()
+            ):
+                seen = caller._intake.parser.body_come
                 client.more(BODY[:8000])
-                while caller._requests.body_come == seen:
+                while caller._intake.parser.body_come == seen:
                     await asyncio.sleep(0.001)
             client.more(BODY[:8000])  # for which there is no room
             client.go("close")
@@ -352,18 +358,18 @@
 def test_a_caller_that_goes_while_its_answer_is_written_has_its_next_request_not_sent_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    write = ClientConnection._write
+    write = ResponseWriter.write
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
             await warm(address)
             client = RawClient(address)
 
-            async def goes(self: ClientConnection, wire: bytes) -> None:
+            async def goes(self: ResponseWriter, wire: bytes) -> None:
                 await write(self, wire)
                 client.go("close")
 
-            monkeypatch.setattr(ClientConnection, "_write", goes)
+            monkeypatch.setattr(ResponseWriter, "write", goes)
             client.ask()
             client.ask()
             await withdrawn(node)
@@ -406,7 +412,7 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            monkeypatch.setattr(ClientConnection, "_feed", broken)
+            monkeypatch.setattr(RequestIntake, "feed", broken)
             client.ask()
             assert (await client.answer()).status == 500
             while (figures := node.counters.read())["requests_tracked"]:
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -26,8 +26,7 @@
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader, Reader, RequestReader
-from notchjunction.net import body_streaming, upstream, upstream_connection
-from notchjunction.net import client_connection as caller_module
+from notchjunction.net import body_streaming, request_intake, response_writer, upstream, upstream_connection
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.socket_stream import NodeStream
 from notchjunction.net.upstream import AttemptSpec
@@ -416,7 +415,7 @@
 def test_a_caller_that_goes_midway_or_reads_nothing_ends_the_servers_side_too(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(caller_module, "WRITTEN_WITHIN", 0.2)
+    monkeypatch.setattr(response_writer, "WRITE_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         async def endless(talk: Talk) -> None:
@@ -441,7 +440,7 @@
 
 @pytest.mark.parametrize("how", ["caller closes", "caller stalls", "noise"])
 def test_a_body_that_is_never_whole_never_runs(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_module, "BODY_SLACK", 0.2)
+    monkeypatch.setattr(request_intake, "BODY_GRACE_S", 0.2)
 
     async def story() -> None:
         ran = []
@@ -461,7 +460,7 @@
                 caller.send(b"what is this\r\n")
                 assert (await caller.answer()).status == 400
             else:
-                monkeypatch.setattr(caller_module, "BODY_PACE", 4 * MB)
+                monkeypatch.setattr(request_intake, "BODY_MIN_RATE", 4 * MB)
                 assert (await caller.answer()).status == 408
             await peer.gone.wait()
             await nothing_left(node)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -27,14 +27,14 @@
 from notchjunction.discovery.endpoint_list import ListUnavailable, read_list
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import RENEW_LEAST, ListWatch
-from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.messages import Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.net import client_connection as caller_module
-from notchjunction.net import client_listener, discovery_client
+from notchjunction.net import client_listener, discovery_client, request_intake, response_writer
 from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import request_spec_of
+from notchjunction.net.response_writer import ResponseWriter
 from notchjunction.net.upstream import SETTLED, AttemptSpec, ExchangeResult, UpstreamPool
 from notchjunction.net.upstream_connection import RequestNotSent, UpstreamConnection
 from notchjunction.telemetry.counters import Counters
@@ -492,8 +492,8 @@
             (caller,) = node._callers._callers if ahead else (None,)
             for _ in range(ahead):
                 client.ask()
-                seen = caller._requests.unread if caller else 0
-                while caller and caller._requests.unread == seen:
+                seen = caller._intake.parser.unread if caller else 0
+                while caller and caller._intake.parser.unread == seen:
                     await asyncio.sleep(0.001)
             client.writer.close()
             while (
@@ -604,7 +604,7 @@
 
 
 def test_a_caller_that_reads_nothing_counts_as_gone(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_module, "WRITTEN_WITHIN", 0.0)
+    monkeypatch.setattr(response_writer, "WRITE_TIMEOUT_S", 0.0)
 
     async def story() -> None:
         body = b"x" * 60000
@@ -657,10 +657,10 @@
 
 
 def test_a_bad_caller_that_is_gone_before_its_error_is_no_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def gone(caller: caller_module.ClientConnection, _: Answer) -> None:
-        caller._stream.close()
+    async def gone(writer: ResponseWriter, _: bytes) -> None:
+        writer.stream.close()
 
-    monkeypatch.setattr(caller_module.ClientConnection, "_write", gone)
+    monkeypatch.setattr(ResponseWriter, "write", gone)
 
     async def story() -> None:
         async with running() as (node, address):
@@ -696,7 +696,7 @@
 def test_a_first_request_is_due_by_the_time_of_connecting(
     said: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(caller_module, "HEAD_WITHIN", 0.2)
+    monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         async with running() as (_, address):
@@ -719,7 +719,7 @@
 
 
 def test_a_slow_head_is_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_module, "HEAD_WITHIN", 0.05)
+    monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with running() as (_, address):
@@ -732,9 +732,9 @@
 
 @pytest.mark.parametrize(("pace", "status"), [(40, 200), (2, 408)])
 def test_a_body_may_come_slowly_but_not_drip(pace: int, status: int, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(caller_module, "HEAD_WITHIN", 0.1)
-    monkeypatch.setattr(caller_module, "BODY_PACE", 400)
-    monkeypatch.setattr(caller_module, "BODY_SLACK", 0.1)
+    monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(request_intake, "BODY_MIN_RATE", 400)
+    monkeypatch.setattr(request_intake, "BODY_GRACE_S", 0.1)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (_, address):
@@ -1048,7 +1048,7 @@
     monkeypatch.setattr(client_listener, "SILENT_SPARED", 60.0)
     monkeypatch.setattr(client_listener, "IDLE_SPARED", 60.0)
     # Nor is one that is about to ask taken for silent: the silent three go as the second of the refused ends.
-    monkeypatch.setattr(client_listener, "SILENT_PRESSED", 0.9 * caller_module.REFUSED_WITHIN)
+    monkeypatch.setattr(client_listener, "SILENT_PRESSED", 0.9 * request_intake.REJECTED_TIMEOUT_S)
     monkeypatch.setattr(
         client_listener, "ROOM_WITHIN", 5.0
     )  # and that is when there is room for who comes last
@@ -1199,7 +1199,7 @@
             await peer.asked.wait()
             client.ask()
             (caller,) = node._callers._callers
-            while not caller._requests.begun:
+            while not caller._intake.parser.begun:
                 await asyncio.sleep(0.001)
             node.stop()
             while not node._callers.parting:
