--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -208,9 +208,7 @@
                     return Handled(None, admitted)
                 permits, spec = admitted
             handler = self._context.take(spec, request, upload, permits)
-            self._open_request = OpenRequest(
-                self._context, self._stream, self._state, self._intake, handler, upload
-            )
+            self._open_request = OpenRequest(self._context, self._stream, self._intake, handler, upload)
             try:
                 return Handled(handler, await self._open_request.response())
             except BaseException:
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -9,7 +9,6 @@
 import socket
 from collections.abc import Callable, Collection, Coroutine, Mapping
 from contextlib import suppress
-from itertools import islice
 from typing import Any
 
 from tornado.iostream import StreamClosedError
@@ -21,8 +20,9 @@
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.client_context import Admit, StartRequest, StreamMigrator
-from notchjunction.net.client_state import ConnectionPhases, ManagedConnection
+from notchjunction.net.client_state import ConnectionPhases
 from notchjunction.net.client_stream import ClientStream
+from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE, Descriptors
 from notchjunction.net.event_loop import waited_most
 from notchjunction.net.socket_stream import give_up
@@ -38,16 +38,6 @@
 ONE_FAILED = (errno.ECONNABORTED, errno.EPROTO, errno.ENETDOWN, errno.ENETUNREACH, errno.EHOSTUNREACH)
 LINGER_WITHIN = 0.5  # s of reading on after the last answer, so that a reset does not destroy it on its way
 LINGER_LAST = 0.2  # s of it once all has to be answered: the kill may come 0.3 s after that
-LINGER_SPARED = 0.1  # s of it that each has even where descriptors are short; over most round trips
-IDLE_SPARED = 2.0  # s idle after which a caller is closed where descriptors are short; sound ones come again
-SILENT_SPARED = 0.5  # s from connecting after which one that said nothing is; sound ones send at once
-SILENT_PRESSED = 0.1  # s of that past the margin; by then a sound one's request has come from any zone
-IDLE_PRESSED = (
-    0.25  # s idle, likewise; the pauses of busy callers are shorter, and those who wait can bear it
-)
-HEAD_PRESSED = 1.0  # s of a head under way, likewise; shorter than ROOM_WITHIN, in which others wait for it
-TURNED_MOST = 16  # of those read from for a last moment; none is told 408 for room while there are as many
-TRIED_MOST = 4  # callers looked at to make room for one; the longest idle are rarely about to send
 ROOM_LOOK = 0.01  # s between looks for room past the margin, while callers wait; refusals take less
 ROOM_WITHIN = 0.3  # s that they wait for it, then they are refused; most deadlines are longer
 REFUSAL = encode_answer(Answer(503, keep=False))
@@ -87,11 +77,13 @@
         self.profiles = profiles
         self.counters = counters
         self.descriptors = descriptors
-        self._spare_one = spare_one
         self._loop = asyncio.get_running_loop()
         self.listeners: list[socket.socket] = []
         self._callers: dict[ClientConnection, asyncio.Task[None]] = {}
         self.phases = ConnectionPhases()
+        self._pressure = DescriptorPressure(
+            lambda: self.clock(), self.phases, descriptors, spare_one, counters
+        )
         self.ids: set[str] = set()  # of the jobs that are held
         self._limited = False
         self._short_said = -math.inf
@@ -202,7 +194,7 @@
                 if not short or self.clock() > self._short_said + SHORT_SAID:
                     log.warning("accept failed", extra=pairs(why=error))
                     self._short_said = self.clock() if short else self._short_said
-                if error.errno in ONE_FAILED or (short and self._press()):
+                if error.errno in ONE_FAILED or (short and self._pressure.press()):
                     # Guards against resets for all behind that one, as where the listener is closed next.
                     continue
                 if short:
@@ -215,13 +207,12 @@
         return ACCEPT_MOST
 
     def _let_in(self, connection: socket.socket) -> None:
-        full = self.descriptors.full_of_callers() and not self._make_room()
-        if not full or not self.descriptors.spent() or self._press():
-            self._waits_since = None
-        else:
-            # Guards against running out altogether: then not even the list could be asked for.
+        verdict = self._pressure.judge()
+        if verdict is Verdict.WAIT:
             self._keep_waiting(connection)
             return
+        self._waits_since = None
+        full = verdict is Verdict.REJECT
         self.descriptors.take_caller()
         self.counters.add("client_connections_opened")
         if full:
@@ -236,10 +227,6 @@
         caller.note_queued(self._queued_since)
         self._callers[caller] = self._loop.create_task(self._serve(caller, caller.converse()))
 
-    def _make_room(self) -> bool:
-        """Closes an idle caller; else an idle connection to a server, if callers are within their share."""
-        return self.close_oldest() or (not self.descriptors.past_callers_share() and self._spare_one())
-
     def _keep_waiting(self, connection: socket.socket) -> None:
         """Past the margin, and nobody can go: those who come next wait where they take no descriptor.
 
@@ -255,47 +242,9 @@
             self.counters.add("client_connections_dropped")
             _refuse_unread(connection)
 
-    def _press(self) -> bool:
-        """Makes room where a new caller would else get no answer: those who say nothing go first."""
-        if self._close_one(
-            (self.phases.lingering, LINGER_SPARED),
-            (self.phases.silent, SILENT_PRESSED),
-            (self.phases.idle, IDLE_PRESSED),
-        ):
-            return True
-        self._turn_slow_heads_away()
-        return False
-
-    def _turn_slow_heads_away(self) -> None:
-        """Tells those whose head has come for longest 408; they leave room a moment later, with that read.
-
-        Guards against a flood of half heads: each has its time to be whole, and others wait for that unheard.
-        """
-        due = self.clock() - HEAD_PRESSED
-        for caller, since in list(islice(self.phases.heads.items(), TRIED_MOST)):
-            if since > due or len(self.phases.lingering) >= TURNED_MOST:
-                return
-            caller.turn_away_in_head()
-
     def close_oldest(self) -> bool:
-        """Gives up the caller that has been idle longest, else one that has sent nothing since it came."""
-        return self._close_one(
-            (self.phases.lingering, LINGER_SPARED),
-            (self.phases.idle, IDLE_SPARED),
-            (self.phases.silent, SILENT_SPARED),
-        )
-
-    def _close_one(self, *rows: tuple[dict[ManagedConnection, float], float]) -> bool:
-        """One of the first row, else of the next, that has been in it for at least so many s."""
-        now = self.clock()
-        for kept, spared in rows:
-            for caller, since in islice(kept.items(), TRIED_MOST):
-                if since > now - spared:
-                    break
-                if caller.close_if_idle():
-                    self.counters.add("client_connections_shed")
-                    return True
-        return False
+        """Closes the client that has been idle longest, else one that has sent nothing since it came."""
+        return self._pressure.close_oldest()
 
     async def _serve(self, caller: ClientConnection, work: Coroutine[Any, Any, None]) -> None:
         try:
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -33,7 +33,6 @@
         self,
         context: ClientContext,
         stream: ClientStream,
-        state: ConnectionState,
         intake: RequestIntake,
         handler: RequestHandler,
         upload: Upload | None,
@@ -42,7 +41,7 @@
         self.upload = upload
         self._context = context
         self._stream = stream
-        self._state = state
+        self._state = intake.state
         self._intake = intake
 
     async def response(self) -> Response | None:
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -48,7 +48,7 @@
         self._connection = connection
         self._context = context
         self._stream = stream
-        self._state = state
+        self.state = state
         self._reading: asyncio.Future[bytes] | None = None
         self._queued_since: float | None = None  # s; since when what came before the accept may have waited
         self._body_waited = 0.0  # s so far for the body under way
@@ -63,9 +63,9 @@
 
     def closing_facts(self) -> ConnectionFacts:
         """What decides at this moment whether the connection may be closed."""
-        closing = self._state.closing or self._stream.closed()
+        closing = self.state.closing or self._stream.closed()
         unread = self.has_read() or self._stream.has_unread()
-        return ConnectionFacts(self._state.request_open, self.parser.begun, unread, closing)
+        return ConnectionFacts(self.state.request_open, self.parser.begun, unread, closing)
 
     def has_more(self) -> bool:
         """Whether a further request has come, read or not.
@@ -113,7 +113,7 @@
             if self.parser.awaits_go_ahead():
                 await send_continue()
             late = await self.wait(reading)
-            if self._state.closing:
+            if self.state.closing:
                 return None
             if reading.done():
                 self.feed()
@@ -136,7 +136,7 @@
         hold a connection for nothing.
         """
         started = self._context.clock()
-        in_body = self.parser.in_body and not self._state.over_limit
+        in_body = self.parser.in_body and not self.state.over_limit
         if in_body:
             self._due = started + BODY_GRACE_S + self.parser.body_come / BODY_MIN_RATE - self._body_waited
         await asyncio.wait(
@@ -169,7 +169,7 @@
         piece = reading.result()
         now = self._context.clock()
         # A request's time counts from its last byte; of one that came ahead only the first is known for sure.
-        if not self._state.request_open or not self.parser.begun:
+        if not self.state.request_open or not self.parser.begun:
             # Guards against a late loop's delay passing for time that the client still has.
             self.arrived_at = now - max(0.0, time.monotonic() - self._stream.arrived_at)
         if self._queued_since is not None:
@@ -179,7 +179,7 @@
                 self._due = now + HEAD_TIMEOUT_S
             self._context.phases.leave(self._connection)
         # Guards against memory that grows with what a client sends ahead, which is read on for its end.
-        ahead = self._state.request_open and self.parser.unread + len(piece) > READ_AHEAD_MAX
+        ahead = self.state.request_open and self.parser.unread + len(piece) > READ_AHEAD_MAX
         if self.bytes_discarded or ahead:
             self.bytes_discarded += len(piece)
         else:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -19,7 +19,7 @@
 from notchjunction.config import node_config, validation
 from notchjunction.discovery import watch_state
 from notchjunction.discovery.watch_state import ListWatch
-from notchjunction.net import client_listener, request_intake
+from notchjunction.net import client_listener, descriptor_pressure, request_intake
 from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.descriptors import SHORT_PAUSE
 from notchjunction.net.discovery_client import DiscoveryClient
@@ -122,7 +122,8 @@
     room_within: float, let_in: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.3)
-    monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)  # the crowd stays, however late the loop is
+    # The crowd stays, however late the loop is.
+    monkeypatch.setattr(descriptor_pressure, "HEAD_PRESSED_S", 30.0)
     monkeypatch.setattr(client_listener, "ROOM_WITHIN", room_within)
 
     async def story() -> None:
@@ -145,7 +146,7 @@
     """Nobody leaves. Each of those who wait has an answer and an orderly end, and soon."""
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 30.0)
     monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 30.0)
-    monkeypatch.setattr(client_listener, "HEAD_PRESSED", 30.0)
+    monkeypatch.setattr(descriptor_pressure, "HEAD_PRESSED_S", 30.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -22,7 +22,7 @@
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net import client_closing, client_listener, request_intake
+from notchjunction.net import client_closing, client_listener, descriptor_pressure, request_intake
 from notchjunction.net.client_connection import ClientConnection, Handled
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_stream import ClientStream
@@ -125,7 +125,7 @@
     [
         (drained, "", {}),
         (led_away, "", {}),
-        (room_made, "", {"IDLE_SPARED": 0.0}),
+        (room_made, "", {"IDLE_SPARED_S": 0.0}),
         (nothing, "", {"IDLE_TIMEOUT_S": 0.05}),
         (nothing, "Connection: close\r\n", {}),
         (short_of_descriptors, "Connection: close\r\n", {}),
@@ -139,7 +139,9 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     for name, span in spans.items():
-        monkeypatch.setattr(request_intake if hasattr(request_intake, name) else client_listener, name, span)
+        monkeypatch.setattr(
+            request_intake if hasattr(request_intake, name) else descriptor_pressure, name, span
+        )
 
     async def story() -> None:
         async with Peer(LONG) as peer, running(peer) as (node, address):
@@ -277,7 +279,7 @@
 
 def test_callers_that_have_their_last_answer_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_listener, "LINGER_WITHIN", 60.0)
-    monkeypatch.setattr(client_listener, "LINGER_SPARED", 0.0)
+    monkeypatch.setattr(descriptor_pressure, "LINGER_SPARED_S", 0.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -29,7 +29,13 @@
 from notchjunction.discovery.watch_state import RENEW_LEAST, ListWatch
 from notchjunction.http1.messages import Request
 from notchjunction.http1.parser import AnswerReader
-from notchjunction.net import client_listener, discovery_client, request_intake, response_writer
+from notchjunction.net import (
+    client_listener,
+    descriptor_pressure,
+    discovery_client,
+    request_intake,
+    response_writer,
+)
 from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.net.discovery_client import DiscoveryClient
@@ -1045,10 +1051,10 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # However slow the machine is, none of the first seven has stood for so long that it makes room.
-    monkeypatch.setattr(client_listener, "SILENT_SPARED", 60.0)
-    monkeypatch.setattr(client_listener, "IDLE_SPARED", 60.0)
+    monkeypatch.setattr(descriptor_pressure, "SILENT_SPARED_S", 60.0)
+    monkeypatch.setattr(descriptor_pressure, "IDLE_SPARED_S", 60.0)
     # Nor is one that is about to ask taken for silent: the silent three go as the second of the refused ends.
-    monkeypatch.setattr(client_listener, "SILENT_PRESSED", 0.9 * request_intake.REJECTED_TIMEOUT_S)
+    monkeypatch.setattr(descriptor_pressure, "SILENT_PRESSED_S", 0.9 * request_intake.REJECTED_TIMEOUT_S)
     monkeypatch.setattr(
         client_listener, "ROOM_WITHIN", 5.0
     )  # and that is when there is room for who comes last
@@ -1081,11 +1087,11 @@
     run(story())
 
 
-@pytest.mark.parametrize(("spared", "status"), [("IDLE_SPARED", 200), ("SILENT_SPARED", None)])
+@pytest.mark.parametrize(("spared", "status"), [("IDLE_SPARED_S", 200), ("SILENT_SPARED_S", None)])
 def test_where_descriptors_are_short_a_caller_with_no_request_open_makes_room(
     spared: str, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(client_listener, spared, 0.0)
+    monkeypatch.setattr(descriptor_pressure, spared, 0.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
