--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -34,7 +34,8 @@
 from notchjunction.net import admin, gossip_socket
 from notchjunction.net.admin import AdminListener
 from notchjunction.net.body_streaming import StreamBuffers, Upload
-from notchjunction.net.client_listener import LINGER_LAST, ClientListener
+from notchjunction.net.client_listener import ClientListener
+from notchjunction.net.client_registry import LINGER_FINAL_S, ClientRegistry, ClientServices
 from notchjunction.net.descriptors import OWN, Descriptors
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
@@ -93,17 +94,18 @@
             streams,
         )
         self._fleet = self._share(told) if told.fleet is not None else None
-        self._callers = ClientListener(
-            self.now,
-            self._take,
-            lambda: self._ready,
-            self._servers.close_oldest,
-            frozenset(told.setting_names.request_classes),
-            descriptors,
-            counters,
-            streams,
-            self._fleet.admit if self._fleet is not None else None,
+        services = ClientServices(
+            clock=self.now,
+            take=self._take,
+            ready=lambda: self._ready,
+            profiles=frozenset(told.setting_names.request_classes),
+            descriptors=descriptors,
+            counters=counters,
+            streams=streams,
+            admit=self._fleet.admit if self._fleet is not None else None,
         )
+        self._clients = ClientRegistry(services)
+        self._client_listener = ClientListener(self._clients, self._servers.close_oldest)
         self._management = AdminListener(self, counters)
         self._service = ServingState()
         self._handover: Handover | None = None
@@ -148,7 +150,7 @@
         )
 
     def _spare_one(self) -> bool:
-        return self._callers.close_oldest()
+        return self._client_listener.close_oldest()
 
     def now(self) -> float:
         """Unix time that never jumps."""
@@ -170,7 +172,7 @@
         if inherited is not None:
             self._inherit(inherited)
         else:
-            self._callers.open(told.listen, shared=told.shared_directory is not None)
+            self._client_listener.open(told.listen, shared=told.shared_directory is not None)
         if told.admin_address is not None:
             self._management.open(told.admin_address)
         if self._talk is not None:
@@ -257,13 +259,13 @@
         # Guards against letting in callers for whom there is no list yet; the other process has them.
         await self._ready_now.wait()
         self._inherited = []
-        self._callers.adopt(listeners)
+        self._client_listener.adopt(listeners)
 
     def _adopt_last(self) -> None:
         """Guards against resets for who waits where the end comes before a list, and the other has gone."""
         if self._inherited and self._handover is not None and not self._handover.others:
             listeners, self._inherited = self._inherited, []
-            self._callers.adopt(listeners)
+            self._client_listener.adopt(listeners)
 
     async def _offer(self) -> None:
         """The next process is sent to this one as soon as it can serve."""
@@ -272,7 +274,7 @@
         self._handover.offer()
 
     def listeners(self) -> list[socket.socket]:
-        return self._callers.listeners
+        return self._client_listener.listeners
 
     def state(self) -> dict[str, Any]:
         out = self._service.state in (State.LEADING, State.PARTING)
@@ -310,11 +312,11 @@
     def adopt_stream(self, state: Mapping[str, Any], caller: socket.socket, server: socket.socket) -> None:
         """An answer that the process before this one began to pass on."""
         download = self._servers.adopt(state["answers"], server)
-        self._callers.adopt_stream(state, caller, download)
+        self._clients.adopt_stream(state, caller, download)
 
     def adopt_rest(self, state: Mapping[str, Any], caller: socket.socket) -> None:
         """A caller whose job the process before this one has answered, and whose body still comes."""
-        self._callers.adopt_rest(state, caller)
+        self._clients.adopt_upload(state, caller)
 
     def used_elsewhere(self) -> None:
         if self._handover is not None:
@@ -353,13 +355,13 @@
         effect = self._service.tell(event)
         self.counters.recorder.note(Occurrence.STATE_CHANGED, service=self._service.state.name.lower())
         if effect is Effect.LEAD:
-            log.info("out of service", extra=pairs(clients=self._callers.connected))
-            self._callers.drain()
+            log.info("out of service", extra=pairs(clients=self._client_listener.connected))
+            self._clients.drain()
             self._leading = asyncio.create_task(self._lead_away())
         elif effect is Effect.SERVE:
-            log.info("in service", extra=pairs(clients=self._callers.connected))
+            log.info("in service", extra=pairs(clients=self._client_listener.connected))
             self._stop_leading()
-            self._callers.serve()
+            self._clients.serve()
         return effect is not None
 
     def _stop_leading(self) -> None:
@@ -370,9 +372,9 @@
     async def _lead_away(self) -> None:
         await asyncio.sleep(LEAD_SPAN)
         if self._service.tell(Input.DUE) is Effect.PART:
-            self._callers.part()
+            self._clients.part()
         while True:
-            self._callers.close_idle(IDLE_LEAST)
+            self._clients.close_idle(IDLE_LEAST)
             await asyncio.sleep(LOOK_SPAN)
 
     # Configuration and end.
@@ -397,7 +399,7 @@
                 return
         before, self._told = self._told, told
         self._decider.apply_settings(told.balancer, told.setting_names)
-        self._callers.profiles = frozenset(told.setting_names.request_classes)
+        self._clients.profiles = frozenset(told.setting_names.request_classes)
         self._servers.retune(told.connect_timeout, told.connection_idle_timeout, told.load_path)
         found, had = set(told.setting_names.request_classes), set(before.setting_names.request_classes)
         log.info(
@@ -432,7 +434,7 @@
     async def _drain(self) -> None:
         log.info(
             "shutdown started",
-            extra=pairs(in_flight=self._decider.in_flight, clients=self._callers.connected),
+            extra=pairs(in_flight=self._decider.in_flight, clients=self._client_listener.connected),
         )
         ending = self._ending
         assert ending is not None
@@ -446,39 +448,39 @@
                 self.counters.recorder.note(Occurrence.STATE_CHANGED, ending=effect.name.lower())
                 match effect:
                     case Do.LEAD:
-                        self._callers.drain()
+                        self._clients.drain()
                     case Do.YIELD:
-                        self._callers.pause()
-                        self._callers.part()
+                        self._client_listener.pause()
+                        self._clients.part()
                         part_until = now + PART_SPAN
                     case Do.TAKE_BACK:
                         log.warning("successor lost", extra=pairs(left=ending.left(now)))
-                        self._callers.serve()
-                        self._callers.go_on()
+                        self._clients.serve()
+                        self._client_listener.resume()
                         part_until = math.inf
                         moves = False
                         if giver is not None:
                             giver.close()
                             giver = None
-                            self._callers.keep_streams()
+                            self._clients.keep_streams()
                     case Do.CLOSE:
                         self._adopt_last()
-                        self._callers.stop()
+                        self._client_listener.stop()
                     case Do.PART:
-                        self._callers.part()
+                        self._clients.part()
                         part_until = now + PART_SPAN
                     case Do.MOVE:
                         moves = True
                     case Do.TURN_BACK:
-                        self._callers.turn_back_uploads()
+                        self._clients.reject_uploads()
             # Guards against answers to slow readers that the end of this process would cut off; where no
             # descriptor is left, or the other process is busy, it is tried again at the next look.
             if moves and giver is None and handover is not None and not ending.over:
                 giver = handover.giver()
                 if giver is not None:
-                    self._callers.move_streams(giver)
+                    self._clients.move_streams(giver)
             if part_until < math.inf:
-                self._callers.close_idle(IDLE_LEAST if now < part_until else 0.0)
+                self._clients.close_idle(IDLE_LEAST if now < part_until else 0.0)
             if not ending.over:
                 await asyncio.sleep(LOOK_SPAN)
         if giver is not None:
@@ -487,14 +489,16 @@
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
         # While what operators ask about is there yet, but no longer than callers are read from at the end.
-        await self._management.close(min(LINGER_LAST, max(0.0, self._end_at + LINGER_LAST - self.now())))
+        await self._management.close(
+            min(LINGER_FINAL_S, max(0.0, self._end_at + LINGER_FINAL_S - self.now()))
+        )
         if self._talk is not None:
             self._talk.close()
         if self._fleet is not None:
             self._fleet.close()
         if self._handover is not None:
             self._handover.close()
-        self._callers.close_listeners()
+        self._client_listener.close()
         self._discovery.close()
         self._servers.close()
         self._print_counters()
@@ -503,11 +507,11 @@
     def _connected(self) -> int:
         """Callers, and whom another process of the node has given to this one; asked before it ends."""
         given = False
-        if not self._callers.connected and self._handover is not None:
+        if not self._client_listener.connected and self._handover is not None:
             self._handover.take_last()
-            given = self._handover.queued and not self._callers.last
+            given = self._handover.queued and not self._clients.final
         # Guards against a reset for each in a queue where there was no descriptor for them as it closed.
-        return self._callers.connected + (self._callers.queued or given)
+        return self._client_listener.connected + (self._client_listener.queued or given)
 
     def _followed(self) -> bool:
         return self._handover is not None and self._handover.followed
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from notchjunction.net import client_listener
+from notchjunction.net import client_registry
 from notchjunction.node import node as node_module
 from notchjunction.upgrade import handover, shutdown
 
@@ -26,4 +26,4 @@
     monkeypatch.setattr(shutdown, "MOVE_AFTER", 0.1)
     monkeypatch.setattr(shutdown, "ANSWER_SHARE", 1.0)
     monkeypatch.setattr(handover, "TOLD_EVERY", 0.005)
-    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.1)
+    monkeypatch.setattr(client_registry, "LINGER_TIMEOUT_S", 0.1)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -124,7 +124,7 @@
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.3)
     # The crowd stays, however late the loop is.
     monkeypatch.setattr(descriptor_pressure, "HEAD_PRESSED_S", 30.0)
-    monkeypatch.setattr(client_listener, "ROOM_WITHIN", room_within)
+    monkeypatch.setattr(client_listener, "ROOM_TIMEOUT_S", room_within)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -169,27 +169,26 @@
 ) -> None:
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.5)
     monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 0.5)
-    monkeypatch.setattr(client_listener, "ROOM_WITHIN", 5.0)
+    monkeypatch.setattr(client_listener, "ROOM_TIMEOUT_S", 5.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
             crowd, late = await crowded(node, address)
-            while node._callers._waiting is None:
+            while node._client_listener._waiting is None:
                 await asyncio.sleep(0.001)
             if end:
                 node.stop()
-                while node._callers.listeners and not node._callers._stops:
+                while node._client_listener.listeners and not node._client_listener._stopping:
                     await asyncio.sleep(0.001)
                 assert {(await client.answer()).status for client in late} <= {200, 503}
-                assert (
-                    not node._callers.listeners and "client_connections_dropped" not in node.counters.read()
-                )
+                assert not node._client_listener.listeners
+                assert "client_connections_dropped" not in node.counters.read()
             else:
-                node._callers.pause()
+                node._client_listener.pause()
                 assert (await late[0].answer()).status in (200, 503)
                 opened = node.counters.read()["client_connections_opened"]
                 assert opened == 9  # the others are in the queue, for another process of the node
-                node._callers.go_on()
+                node._client_listener.resume()
                 assert {(await client.answer()).status for client in late[1:]} <= {200, 503}
             for client in crowd:
                 client.writer.close()
@@ -202,7 +201,7 @@
 ) -> None:
     for span in ("HEAD_TIMEOUT_S", "REJECTED_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(request_intake, span, 30.0)  # nobody goes by itself
-    monkeypatch.setattr(client_listener, "ROOM_WITHIN", 30.0)
+    monkeypatch.setattr(client_listener, "ROOM_TIMEOUT_S", 30.0)
     turn_away = ClientConnection.turn_away_in_head
     crossing: list[RawClient] = []
 
@@ -229,14 +228,14 @@
             body.ask(b"x" * 50, "POST", length=100)
             ending.more(HALF)
             crossing.append(ending)
-            while not node._callers.phases.heads or not any(
-                caller._intake.parser.in_body for caller in node._callers._callers
+            while not node._clients.phases.heads or not any(
+                caller._intake.parser.in_body for caller in node._clients.connections
             ):
                 await asyncio.sleep(0.001)
             halves = [RawClient(address) for _ in range(5)]
             for half in halves:
                 half.more(HALF.replace(b"1\r\n", b"2\r\n"))
-            while len(node._callers.phases.heads) < 6:
+            while len(node._clients.phases.heads) < 6:
                 await asyncio.sleep(0.001)
             late = RawClient(address)
             late.ask()
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -22,7 +22,12 @@
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.http1.messages import Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net import client_closing, client_listener, descriptor_pressure, request_intake
+from notchjunction.net import (
+    client_closing,
+    client_registry,
+    descriptor_pressure,
+    request_intake,
+)
 from notchjunction.net.client_connection import ClientConnection, Handled
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_stream import ClientStream
@@ -106,9 +111,9 @@
 
 
 async def room_made(node: Node) -> None:
-    while not node._callers.phases.idle:
+    while not node._clients.phases.idle:
         await asyncio.sleep(0)
-    assert node._callers.close_oldest()
+    assert node._client_listener.close_oldest()
 
 
 async def short_of_descriptors(node: Node) -> None:
@@ -173,7 +178,7 @@
             crossing = Crossing(monkeypatch, lambda: caller.sendall(b"y" * 1000))
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b\r\n" % (70_000, b"x" * 70_000))
-            while not any(one._discarding for one in node._callers._callers):
+            while not any(one._discarding for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             if ends == "noise":
                 caller.sendall(b"what is this\r\n")
@@ -199,24 +204,24 @@
             def ended(stream: ClientStream, exc_info: Any = False) -> None:
                 close(stream, exc_info)
                 if not last:
-                    node._callers.turn_back_uploads()
+                    node._clients.reject_uploads()
                 over.append(stream)
 
             monkeypatch.setattr(ClientStream, "close", ended)
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b\r\n" % (70_000, b"x" * 70_000))
-            while not any(one._discarding for one in node._callers._callers):
+            while not any(one._discarding for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             caller.recv(65536)
             caller.sendall(last)
             caller.close()
-            while node._callers.connected:
+            while node._client_listener.connected:
                 await asyncio.sleep(0.001)
             assert (
                 len(over) == 2
                 and not node.counters.read().get("internal_errors")
-                and not node._callers.phases.lingering
+                and not node._clients.phases.lingering
             )
 
     run(story())
@@ -242,7 +247,7 @@
                 while old._handover is None or not old._handover.followed:
                     await asyncio.sleep(0.001)
                 old.stop()
-                while not new.counters.read().get("streams_adopted") or old._callers.connected:
+                while not new.counters.read().get("streams_adopted") or old._client_listener.connected:
                     await asyncio.sleep(0.001)
                 crossing = Crossing(monkeypatch, lambda: caller.sendall(wire_of(2)))
                 go_on.set()
@@ -255,13 +260,13 @@
 @pytest.mark.parametrize("then", ["closes", "sends on", "says nothing", "says nothing at the last"])
 def test_a_caller_is_read_from_for_a_moment_only(then: str, monkeypatch: pytest.MonkeyPatch) -> None:
     last = then == "says nothing at the last"
-    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.05 if then == "says nothing" else 60.0)
-    monkeypatch.setattr(client_listener, "LINGER_LAST", 0.05 if last else 60.0)
+    monkeypatch.setattr(client_registry, "LINGER_TIMEOUT_S", 0.05 if then == "says nothing" else 60.0)
+    monkeypatch.setattr(client_registry, "LINGER_FINAL_S", 0.05 if last else 60.0)
     monkeypatch.setattr(client_closing, "LINGER_MAX", 100_000)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._callers.last = last
+            node._clients.final = last
             client = await Client().open(address)
             client.ask(extra="Connection: close\r\n")
             assert (await client.answer()).status == 200 and await client.closed()
@@ -270,15 +275,15 @@
             elif then == "sends on":
                 client.send(b"x" * 200_000)
             async with asyncio.timeout(5):
-                while node._callers.connected:
+                while node._client_listener.connected:
                     await asyncio.sleep(0.001)
-            assert not node._callers.phases.lingering and not node._descriptors.callers
+            assert not node._clients.phases.lingering and not node._descriptors.callers
 
     run(story())
 
 
 def test_callers_that_have_their_last_answer_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(client_listener, "LINGER_WITHIN", 60.0)
+    monkeypatch.setattr(client_registry, "LINGER_TIMEOUT_S", 60.0)
     monkeypatch.setattr(descriptor_pressure, "LINGER_SPARED_S", 0.0)
 
     async def story() -> None:
@@ -316,10 +321,10 @@
         async with Peer() as peer, running(peer) as (node, address):
             caller = connect(address)
             caller.sendall(wire[:1])
-            while not any(one._intake.parser.begun for one in node._callers._callers):
+            while not any(one._intake.parser.begun for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
-            while not node._callers.parting:
+            while not node._clients.parting:
                 await asyncio.sleep(0.001)
             node._offset += 10.0
             caller.setblocking(False)
@@ -397,18 +402,18 @@
             stays = connect(address)
             wire = wire_of(1, left=60_000).replace(b"plain", b"other")
             stays.sendall(wire[:1])
-            while not any(one._intake.parser.begun for one in node._callers._callers):
+            while not any(one._intake.parser.begun for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
             end_at = node._end_at
-            while not node._callers.parting:
+            while not node._clients.parting:
                 await asyncio.sleep(0.001)
             if when == "as it ends":
                 os.kill(os.getpid(), signal.SIGHUP)
                 while not node.counters.read().get("reloads"):
                     await asyncio.sleep(0.001)
-                assert node._end_at == end_at and not node._callers.listeners
-            assert node._callers.draining and node._callers.parting
+                assert node._end_at == end_at and not node._client_listener.listeners
+            assert node._clients.draining and node._clients.parting
             left = end_at - node.now()
             stays.sendall(wire[1:])
             assert (await heard(stays)).startswith(b"HTTP/1.1 200")
@@ -430,15 +435,15 @@
             stays, waits = connect(address), connect(queue.getsockname())
             stays.sendall(wire_of(1)[:1])
             waits.sendall(wire_of(2))
-            while not node._callers.connected:
+            while not node._client_listener.connected:
                 await asyncio.sleep(0.001)
             node.stop()
-            while node._callers.listeners:
+            while node._client_listener.listeners:
                 await asyncio.sleep(0.001)
             endpoints = {"index": 1, "snapshot": True, "endpoints": rows(peer)}
             node._hear(read_list(endpoints), ListUpdate.CACHED)
             assert (await heard(waits)).startswith(b"HTTP/1.1 200")
-            assert not node._callers.listeners and queue.fileno() < 0
+            assert not node._client_listener.listeners and queue.fileno() < 0
             stays.close()
 
     run(story())
@@ -582,16 +587,16 @@
             while node._handover is None or node._handover._listener is None:
                 await asyncio.sleep(0.001)
             caller, hangs = connect(address), socket.socket(socket.AF_UNIX)
-            while not node._callers.connected:
+            while not node._client_listener.connected:
                 await asyncio.sleep(0.001)
-            node._callers.pause()
+            node._client_listener.pause()
             late = connect(address)
             fillers = [os.dup(late.fileno()) for _ in range(20)]  # so that no lower number is free
             hangs.connect(str(tmp_path / handover.FILE))
             hangs.setblocking(False)
             while await asyncio.get_running_loop().sock_recv(hangs, 4096):
                 pass
-            node._callers.go_on()
+            node._client_listener.resume()
             while node.counters.read()["client_connections_opened"] < 2:
                 await asyncio.sleep(0.001)
             late.sendall(wire_of(1, extra="Connection: close\r\n"))
@@ -710,7 +715,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._callers.part()
+            node._clients.part()
             second.append(sock := connect(address))
             sock.sendall(wire_of(1))
             while second:
@@ -789,11 +794,11 @@
 
     async def story() -> None:
         async with running() as (node, address):
-            clock = node._callers.clock
+            clock = node._clients.clock
 
             async def late(job: RequestHandler, *there: Callable[[], bool]) -> Any:
                 found = await answer(job, *there)
-                node._callers.clock = lambda: clock() + 60.0
+                node._clients.clock = lambda: clock() + 60.0
                 return found
 
             monkeypatch.setattr(RequestHandler, "answer", late)
@@ -811,13 +816,13 @@
 
 def test_a_node_that_finds_no_descriptor_as_it_ends_does_end(monkeypatch: pytest.MonkeyPatch) -> None:
     """By when all has to be answered it waits for nobody who can't be let in."""
-    monkeypatch.setattr(ClientListener, "stop", lambda callers: setattr(callers, "_stops", True))
+    monkeypatch.setattr(ClientListener, "stop", lambda callers: setattr(callers, "_stopping", True))
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, _):
             node.stop()
             assert node._ending is not None
-            while not node._callers.queued:
+            while not node._client_listener.queued:
                 await asyncio.sleep(0.001)
             while not node._ending.over:
                 await asyncio.sleep(0.001)
@@ -847,7 +852,7 @@
             caller = RawClient(address)
 
             def crossed(_: ClientConnection) -> None:
-                node._callers.part()
+                node._clients.part()
                 if len(peer.requests) == 1:
                     caller.ask()
 
@@ -898,7 +903,7 @@
             caller = RawClient(address)
 
             def gone(answered: ClientConnection) -> None:
-                node._callers.part()
+                node._clients.part()
                 answered._stream.close()
 
             as_an_answer_is_ready(gone, monkeypatch)
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -140,7 +140,7 @@
             client = RawClient(address)
 
             def withdraw() -> None:
-                (caller,) = node._callers._callers
+                (caller,) = node._clients.connections
                 assert caller._open_request is not None
                 caller._open_request.handler.withdraw()
 
@@ -199,7 +199,7 @@
             client.ask(BODY, "POST", length=len(BODY) + 10)
             while not peer.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._callers._callers
+            (caller,) = node._clients.connections
             while caller._intake.parser.body_come < len(BODY):
                 await asyncio.sleep(0.001)
             # Its last bytes and its end come side by side.
@@ -242,7 +242,7 @@
     client = await Client().open(address)
     client.ask()
     await peer.asked.wait()
-    (caller,) = node._callers._callers
+    (caller,) = node._clients.connections
     return client, caller
 
 
@@ -313,9 +313,9 @@
             node._servers._connect_within = 10.0  # s, over what the story waits
             client = RawClient(address)
             client.ask(BODY[:1000], "POST", length=10 * len(BODY))
-            while not node._callers._callers:
+            while not node._clients.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._callers._callers
+            (caller,) = node._clients.connections
             while (
                 (request := caller._open_request) is None
                 or request.upload is None
@@ -343,7 +343,7 @@
                 await given.wait()
                 return None, ask
 
-            node._callers.admit = admit
+            node._clients.admit = admit
             client = RawClient(address)
             client.ask()
             await asked.wait()
@@ -384,18 +384,18 @@
 ) -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            taken = node._callers.take
+            taken = node._clients.take
 
             def take(*args: Any) -> Any:
                 # From the moment that the job is there, each read of its caller's bytes fails.
-                (caller,) = node._callers._callers
+                (caller,) = node._clients.connections
                 monkeypatch.setattr(caller._stream, "read_from_fd", fails)
                 return taken(*args)
 
             def fails(_: object) -> int:
                 raise OSError(error, "gone")
 
-            monkeypatch.setattr(node._callers, "take", take)
+            monkeypatch.setattr(node._clients, "take", take)
             client = RawClient(address)
             client.ask()
             await withdrawn(node)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -761,7 +761,7 @@
                 while old._handover is None or not old._handover.followed:
                     await asyncio.sleep(0.002)
                 old.stop()
-                while old._callers.connected:  # all its callers are gone, this one among them
+                while old._client_listener.connected:  # all its callers are gone, this one among them
                     await asyncio.sleep(0.005)
                 while not new.counters.read().get("streams_adopted"):
                     await asyncio.sleep(0.005)
@@ -878,7 +878,7 @@
                 monkeypatch.setattr(handover.StreamSender, "__init__", fails_at_first)
                 old.stop()
                 async with asyncio.timeout(10):
-                    while old._callers.connected:
+                    while old._client_listener.connected:
                         await asyncio.sleep(0.005)
                 assert old.counters.read()["streams_migrated"] == 1 and not failures
                 go_on.set()
@@ -920,7 +920,7 @@
             while old._handover is None or not old._handover.followed:
                 await asyncio.sleep(0.002)
             old.stop()
-            while old._callers.mover is None:
+            while old._clients.mover is None:
                 await asyncio.sleep(0.002)
             async with running(**again) as (last, _):
                 while follower._handover is None or not follower._handover.followed:
@@ -931,7 +931,7 @@
                 monkeypatch.setattr(socket.socket, "connect", fails_once)
                 go_on.set()
                 async with asyncio.timeout(10):
-                    while old._callers.connected:
+                    while old._client_listener.connected:
                         await asyncio.sleep(0.002)
                     while not last.counters.read().get("streams_adopted"):
                         await asyncio.sleep(0.002)
@@ -1011,7 +1011,7 @@
                 for caller in opened:
                     status, body, whole = await caller.whole()
                     assert whole and (status, len(body)) in ((200, 4 * MB), (503, 0))
-                while old._callers.connected:
+                while old._client_listener.connected:
                     await asyncio.sleep(0.002)
                 moved = old.counters.read().get("streams_migrated", 0)
                 while new.counters.read().get("streams_adopted", 0) < moved:
@@ -1028,7 +1028,7 @@
     async def story() -> None:
         async with served() as (node, address, _):
             if last == "the node parts":
-                node._callers.part()
+                node._clients.part()
             caller = await Caller().open(address)
             extra = "Connection: close\r\n" if last != "the node parts" else ""
             caller.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
@@ -1149,7 +1149,7 @@
                 old.stop()
                 while not new.counters.read().get("uploads_adopted"):
                     await asyncio.sleep(0.002)
-                while old._callers.connected:
+                while old._client_listener.connected:
                     await asyncio.sleep(0.002)
                 caller.send(BODY[200_000:] + b"\r\n0\r\n\r\n")
                 answer = await caller.answer()
@@ -1232,7 +1232,7 @@
             await caller._reader.readuntil(b"\r\n\r\n")
             await caller._reader.readexactly(200_000)
             caller.writer.transport.abort()
-            (held,) = node._callers._callers
+            (held,) = node._clients.connections
             while not held._stream.closed():
                 await asyncio.sleep(0.002)
             left.set()
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -495,7 +495,7 @@
             client.ask()
             if not at_once:
                 await peer.asked.wait()
-            (caller,) = node._callers._callers if ahead else (None,)
+            (caller,) = node._clients.connections if ahead else (None,)
             for _ in range(ahead):
                 client.ask()
                 seen = caller._intake.parser.unread if caller else 0
@@ -1056,7 +1056,7 @@
     # Nor is one that is about to ask taken for silent: the silent three go as the second of the refused ends.
     monkeypatch.setattr(descriptor_pressure, "SILENT_PRESSED_S", 0.9 * request_intake.REJECTED_TIMEOUT_S)
     monkeypatch.setattr(
-        client_listener, "ROOM_WITHIN", 5.0
+        client_listener, "ROOM_TIMEOUT_S", 5.0
     )  # and that is when there is room for who comes last
 
     async def story() -> None:
@@ -1204,11 +1204,11 @@
             client.ask()
             await peer.asked.wait()
             client.ask()
-            (caller,) = node._callers._callers
+            (caller,) = node._clients.connections
             while not caller._intake.parser.begun:
                 await asyncio.sleep(0.001)
             node.stop()
-            while not node._callers.parting:
+            while not node._clients.parting:
                 await asyncio.sleep(0.001)
             peer.go_on.set()
             found = [await client.answer() for _ in range(2)]
@@ -1262,7 +1262,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             client = await Client().open(address)
             node.stop()
-            while node._callers.listeners:
+            while node._client_listener.listeners:
                 await asyncio.sleep(0.001)
             with pytest.raises(ConnectionRefusedError):
                 await Client().open(address)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -150,7 +150,7 @@
     stands: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The node goes on with its end in the moment after."""
-    monkeypatch.setattr(node_module, "LINGER_LAST", 60.0)
+    monkeypatch.setattr(node_module, "LINGER_FINAL_S", 60.0)
     close, crossing = AdminListener.close, asyncio.Event()
 
     def crossed(self: AdminListener, *told: Any) -> Any:
@@ -193,7 +193,7 @@
 
 
 def test_an_operator_that_has_said_nothing_holds_up_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(node_module, "LINGER_LAST", 60.0)
+    monkeypatch.setattr(node_module, "LINGER_FINAL_S", 60.0)
 
     async def story() -> None:
         mgmt = free_address()
@@ -483,7 +483,7 @@
                 for client in silent:
                     assert await client.closed()
                 await asyncio.gather(*work)
-                while node._callers.connected:
+                while node._client_listener.connected:
                     await asyncio.sleep(0.005)
                 going = False
                 assert len(led_away) >= 3
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -240,7 +240,8 @@
         async with Peer() as peer:
             first = AsyncExitStack()
             old, listen = await first.enter_async_context(running(peer, shared=one))
-            old._loop.remove_reader(old._callers.listeners[0].fileno())  # so that they wait in its queue
+            # So that they wait in its queue.
+            old._loop.remove_reader(old._client_listener.listeners[0].fileno())
             waiting = [await Client().open(listen) for _ in range(40)]
             async with running(peer, shared=other, listen=listen):
                 for client in waiting:
@@ -370,7 +371,7 @@
             stack.callback(follower.kill)
             await until_yes(mgmt2)
             ends = asyncio.create_task(first.aclose())
-            while not old._callers.parting:
+            while not old._clients.parting:
                 await asyncio.sleep(0.001)
             peer.reply = OK
             follower.kill()
@@ -413,7 +414,7 @@
             await until(middle, "followed", True)
             await second.aclose()
             await until(old, "others", 0)
-            assert old._handover.followed and old._callers.parting  # type: ignore[union-attr]
+            assert old._handover.followed and old._clients.parting  # type: ignore[union-attr]
             peer.reply = OK
             await served(await Client().open(listen))
             assert last.counters.read()["requests_received"] == 1
