--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -8,7 +8,7 @@
 import signal
 import socket
 import time
-from collections.abc import Coroutine, Mapping
+from collections.abc import Mapping
 from contextlib import suppress
 from dataclasses import replace
 from typing import TYPE_CHECKING, Any
@@ -40,6 +40,8 @@
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.net.upstream import UpstreamPool
+from notchjunction.node.background_tasks import BackgroundTasks
+from notchjunction.node.gauges import register_gauges, register_gossip_gauges
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 from notchjunction.telemetry.logs import pairs
@@ -122,7 +124,7 @@
         self._end_at = math.inf
         self._wake_call: asyncio.TimerHandle | None = None
         self._move_call: asyncio.TimerHandle | None = None
-        self._tasks: set[asyncio.Task[None]] = set()
+        self._tasks = BackgroundTasks(counters)
         self._decider = BalancerEngine(told.balancer, told.setting_names, self.now, self._wake, time.time)
         self._talk = (
             gossip_socket.GossipSocket(*told.gossip, self._decider.receive_gossip, counters)
@@ -130,14 +132,8 @@
             else None
         )
         if self._talk is not None:
-            counters.gauge("gossip_ignored", lambda: self._decider.ignored_reports)
-        counters.gauge("requests_in_flight", lambda: self._decider.in_flight)
-        counters.gauge("requests_tracked", lambda: self._decider.tracked)
-        counters.gauge("streams_open", lambda: streams.open)
-        counters.gauge("descriptors_in_use", lambda: descriptors.held)
-        counters.gauge("list_polls_timed_out", lambda: self._discovery.silences)
-        counters.gauge("list_stale_seconds", lambda: max(0.0, -self._discovery.notified_in()))
-        counters.gauge("loop_lag_max", lambda: max(self._decider.timer_lags, default=0.0))
+            register_gossip_gauges(counters, self._decider)
+        register_gauges(counters, self._decider, self._discovery, descriptors, streams)
 
     def _share(self, told: NodeConfig) -> FleetTransport:
         # Loaded here and not above: where nothing is shared, nothing of it is in memory.
@@ -181,16 +177,16 @@
             await self._fleet.open()
         self.listening.set()
         if self._handover is not None:
-            self._start(self._offer())
+            self._tasks.start(self._offer())
         if told.cached_list is not None and not self._ready:
             first = self._following.initial_wait()
             if first > 0:
-                self._start(self._go_by_late(told.cached_list, first))
+                self._tasks.start(self._go_by_late(told.cached_list, first))
             else:
                 self._go_by(told.cached_list)
-        self._start(self._run_errands())
-        self._start(self._follow_list())
-        self._start(self._sweep())
+        self._tasks.start(self._run_errands())
+        self._tasks.start(self._follow_list())
+        self._tasks.start(self._sweep())
         await self._stopping.wait()
         await self._drain()
 
@@ -250,7 +246,7 @@
         if state.get("out"):
             self._led(Input.OUT)
         self._inherited = inherited.listeners
-        self._start(self._adopt(inherited.listeners))
+        self._tasks.start(self._adopt(inherited.listeners))
         log.info(
             "handover received", extra=pairs(endpoints=len(self._known), banned=len(self._decider.banned))
         )
@@ -485,9 +481,7 @@
                 await asyncio.sleep(LOOK_SPAN)
         if giver is not None:
             giver.close()
-        for task in self._tasks:
-            task.cancel()
-        await asyncio.gather(*self._tasks, return_exceptions=True)
+        await self._tasks.cancel()
         # While what operators ask about is there yet, but no longer than callers are read from at the end.
         await self._management.close(
             min(LINGER_FINAL_S, max(0.0, self._end_at + LINGER_FINAL_S - self.now()))
@@ -541,21 +535,11 @@
 
     # Errands.
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
-        task = asyncio.create_task(work)
-        self._tasks.add(task)
-        task.add_done_callback(self._done)
-
-    def _done(self, task: asyncio.Task[None]) -> None:
-        self._tasks.discard(task)
-        if not task.cancelled() and (error := task.exception()) is not None:
-            self.counters.add_failure("node task failed", error)
-
     async def _run_errands(self) -> None:
         while True:
             match await self._decider.next_node_command():
                 case SendProbe(server):
-                    self._start(self._probe(server))
+                    self._tasks.start(self._probe(server))
                 case PollList():
                     self._list_due.set()
                 case SendGossip(peer, note) if self._talk is not None:
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -431,7 +431,7 @@
     async def story() -> None:
         async with Peer() as peer, running(known=False) as (node, address):
             (queue,) = bind_sockets(0, "127.0.0.1")
-            node._start(node._adopt([queue]))
+            node._tasks.start(node._adopt([queue]))
             stays, waits = connect(address), connect(queue.getsockname())
             stays.sendall(wire_of(1)[:1])
             waits.sendall(wire_of(2))
