--- /dev/null
+++ b/notchjunction/net/client_context.py
@@ -0,0 +1,53 @@
+"""What a client's connection needs of whoever accepted it, as types without the listener itself."""
+
+from __future__ import annotations
+
+import asyncio
+import socket
+from collections.abc import Awaitable, Callable, Collection, Mapping
+from typing import Any, Protocol
+
+from notchjunction.balancing.engine import RequestSpec
+from notchjunction.http1.messages import Answer, Request
+from notchjunction.net.body_streaming import StreamBuffers, Upload
+from notchjunction.net.client_state import ConnectionPhases
+from notchjunction.net.descriptors import Descriptors
+from notchjunction.net.request_handler import QuotaPermits, RequestHandler
+from notchjunction.telemetry.counters import Counters
+
+# Admission under quotas of the whole fleet, ahead of the balancer: a rejection, or permits and request.
+Admit = Callable[[RequestSpec], Awaitable[Answer | tuple[QuotaPermits | None, RequestSpec]]]
+StartRequest = Callable[[RequestSpec, Request, Upload | None, QuotaPermits | None], RequestHandler]
+
+
+class StreamMigrator(Protocol):
+    """Sends open connections to the process of the node that replaces this one."""
+
+    def __call__(self, state: Mapping[str, Any], *sockets: socket.socket) -> bool:
+        """Sends a client's socket, and its endpoint's where a response is under way; whether it was taken.
+
+        Raises:
+            BlockingIOError: The other process is still busy with earlier ones; a later try may succeed.
+        """
+
+
+class ClientContext(Protocol):
+    """The shared state of all client connections of a node."""
+
+    clock: Callable[[], float]  # s
+    admit: Admit | None
+    take: StartRequest
+    ready: Callable[[], bool]
+    profiles: Collection[str]  # request classes that are served; empty: all
+    counters: Counters
+    descriptors: Descriptors
+    streams: StreamBuffers
+    phases: ConnectionPhases
+    ids: set[str]  # of requests in flight
+    draining: bool  # readiness checks are answered with 503
+    parting: bool  # responses announce that the connection closes
+    mover: StreamMigrator | None
+    moving: asyncio.Event  # set while responses under way go to another process
+
+    def linger_within(self) -> float:
+        """How long (s) a connection is read from after its last response."""
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -14,8 +14,10 @@
 from notchjunction.balancing.engine import CancelAttempt, FailRequest, RejectRequest, RequestSpec
 from notchjunction.balancing.interface import AttemptResult
 from notchjunction.http1.messages import BODY_MOST
-from notchjunction.net import client_connection as caller_module
+from notchjunction.net import request_intake
 from notchjunction.net.client_connection import ClientConnection
+from notchjunction.net.request_intake import RequestIntake
+from notchjunction.net.response_writer import ResponseWriter
 from notchjunction.net.socket_stream import NodeStream
 from notchjunction.net.upstream import SETTLED, AttemptSpec, UpstreamPool
 from notchjunction.net.upstream_connection import PIECE, UpstreamConnection
@@ -138,9 +140,9 @@
             client = RawClient(address)
 
             def withdraw() -> None:
-                (caller,) = node._callers._callers
-                assert caller._job is not None
-                caller._job.withdraw()
+                (caller,) = node._clients.connections
+                assert caller._open_request is not None
+                caller._open_request.handler.withdraw()
 
             at_the_writing(monkeypatch, 1, withdraw)
             client.ask()
@@ -197,8 +199,8 @@
             client.ask(BODY, "POST", length=len(BODY) + 10)
             while not peer.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._callers._callers
-            while caller._requests.body_come < len(BODY):
+            (caller,) = node._clients.connections
+            while caller._intake.parser.body_come < len(BODY):
                 await asyncio.sleep(0.001)
             # Its last bytes and its end come side by side.
             client.more(b"y" * 10)
@@ -240,7 +242,7 @@
     client = await Client().open(address)
     client.ask()
     await peer.asked.wait()
-    (caller,) = node._callers._callers
+    (caller,) = node._clients.connections
     return client, caller
 
 
@@ -260,7 +262,7 @@
             client, caller = await waiting(node, address, peer)
             send_ahead(client, bulk)
             # Whatever the node kept of it so far is in before the end comes.
-            while caller._requests.unread < PIECE:
+            while caller._intake.parser.unread < PIECE:
                 await asyncio.sleep(0.001)
             client.writer.close() if how == "close" else client.writer.transport.abort()
             figures = await withdrawn(node)
@@ -274,10 +276,10 @@
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, caller = await waiting(node, address, peer)
             count, most = send_ahead(client, 6 * PIECE), 0
-            while not caller._thrown:
+            while not caller._intake.bytes_discarded:
                 await asyncio.sleep(0)
-                most = max(most, caller._requests.unread)
-            assert PIECE < most <= caller_module.AHEAD_MOST
+                most = max(most, caller._intake.parser.unread)
+            assert PIECE < most <= request_intake.READ_AHEAD_MAX
             peer.reply = OK
             peer.go_on.set()
             statuses = []
@@ -293,7 +295,7 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            send_ahead(client, 2 * caller_module.THROWN_MOST)
+            send_ahead(client, 2 * request_intake.DISCARD_MAX)
             assert (await client.answer()).status == 413
             await withdrawn(node)
             assert len(peer.requests) == 1
@@ -311,13 +313,17 @@
             node._servers._connect_within = 10.0  # s, over what the story waits
             client = RawClient(address)
             client.ask(BODY[:1000], "POST", length=10 * len(BODY))
-            while not node._callers._callers:
+            while not node._clients.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._callers._callers
-            while (upload := caller._upload) is None or upload.wants_more():
-                seen = caller._requests.body_come
+            (caller,) = node._clients.connections
+            while (
+                (request := caller._open_request) is None
+                or request.upload is None
+                or request.upload.wants_more()
+            ):
+                seen = caller._intake.parser.body_come
                 client.more(BODY[:8000])
-                while caller._requests.body_come == seen:
+                while caller._intake.parser.body_come == seen:
                     await asyncio.sleep(0.001)
             client.more(BODY[:8000])  # for which there is no room
             client.go("close")
@@ -337,7 +343,7 @@
                 await given.wait()
                 return None, ask
 
-            node._callers.admit = admit
+            node._clients.admit = admit
             client = RawClient(address)
             client.ask()
             await asked.wait()
@@ -352,18 +358,18 @@
 def test_a_caller_that_goes_while_its_answer_is_written_has_its_next_request_not_sent_on(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    write = ClientConnection._write
+    write = ResponseWriter.write
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
             await warm(address)
             client = RawClient(address)
 
-            async def goes(self: ClientConnection, wire: bytes) -> None:
+            async def goes(self: ResponseWriter, wire: bytes) -> None:
                 await write(self, wire)
                 client.go("close")
 
-            monkeypatch.setattr(ClientConnection, "_write", goes)
+            monkeypatch.setattr(ResponseWriter, "write", goes)
             client.ask()
             client.ask()
             await withdrawn(node)
@@ -378,18 +384,18 @@
 ) -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            taken = node._callers.take
+            taken = node._clients.take
 
             def take(*args: Any) -> Any:
                 # From the moment that the job is there, each read of its caller's bytes fails.
-                (caller,) = node._callers._callers
+                (caller,) = node._clients.connections
                 monkeypatch.setattr(caller._stream, "read_from_fd", fails)
                 return taken(*args)
 
             def fails(_: object) -> int:
                 raise OSError(error, "gone")
 
-            monkeypatch.setattr(node._callers, "take", take)
+            monkeypatch.setattr(node._clients, "take", take)
             client = RawClient(address)
             client.ask()
             await withdrawn(node)
@@ -406,7 +412,7 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            monkeypatch.setattr(ClientConnection, "_feed", broken)
+            monkeypatch.setattr(RequestIntake, "feed", broken)
             client.ask()
             assert (await client.answer()).status == 500
             while (figures := node.counters.read())["requests_tracked"]:
