--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -43,9 +43,9 @@
 from notchjunction.telemetry.flight_recorder import Occurrence
 from notchjunction.telemetry.logs import pairs
 from notchjunction.upgrade.handover import Handover, InheritedState, StreamSender
-from notchjunction.upgrade.serving_state import Effect, Input, ServingState, State
-from notchjunction.upgrade.shutdown import Effect as Do
+from notchjunction.upgrade.serving_state import ServingAction, ServingEvent, ServingState, ServingStateMachine
 from notchjunction.upgrade.shutdown import GracefulShutdown
+from notchjunction.upgrade.shutdown import ShutdownAction as Do
 
 if TYPE_CHECKING:
     from notchjunction.net.fleet_transport import FleetTransport
@@ -105,7 +105,7 @@
             self._fleet.admit if self._fleet is not None else None,
         )
         self._management = AdminListener(self, counters)
-        self._service = ServingState()
+        self._service = ServingStateMachine()
         self._handover: Handover | None = None
         self._inherited: list[socket.socket] = []  # of which nobody is let in yet: there is no list
         self._leading: asyncio.Task[None] | None = None
@@ -208,13 +208,13 @@
 
     def stop(self) -> None:
         """Begins the drain; a second call changes nothing."""
-        if self._service.tell(Input.END) is Effect.CEASE:
+        if self._service.handle(ServingEvent.SHUTDOWN_REQUESTED) is ServingAction.SHUT_DOWN:
             # Not in the drain. Guards against jobs that the kill cuts off where the start is not over.
             longest = max(
                 (profile.deadline for profile in self._told.balancer.request_classes), default=math.inf
             )
             self._ending = GracefulShutdown(self.now(), longest)
-            self._end_at = self._ending.end_at
+            self._end_at = self._ending.deadline
             self._stopping.set()
 
     # Another process of this node, before or after this one.
@@ -246,7 +246,7 @@
         except (KeyError, TypeError, ValueError) as error:
             log.warning("learned state not restored", extra=pairs(why=repr(error)))
         if state.get("out"):
-            self._led(Input.OUT)
+            self._led(ServingEvent.TAKEN_OUT_OF_SERVICE)
         self._inherited = inherited.listeners
         self._start(self._adopt(inherited.listeners))
         log.info(
@@ -275,7 +275,7 @@
         return self._callers.listeners
 
     def state(self) -> dict[str, Any]:
-        out = self._service.state in (State.LEADING, State.PARTING)
+        out = self._service.state in (ServingState.NOT_READY, ServingState.DRAINING)
         version = self._discovery.version
         listed = None
         if version is not None:
@@ -300,7 +300,7 @@
             case "unbar":
                 self._decider.lift_ban(str(value))
             case "out":
-                self._led(Input.OUT if value else Input.IN)
+                self._led(ServingEvent.TAKEN_OUT_OF_SERVICE if value else ServingEvent.PUT_IN_SERVICE)
         self._point()
 
     def others_changed(self) -> None:
@@ -328,7 +328,7 @@
     # What operators ask.
 
     def control_ready(self) -> bool:
-        return self._ready and self._service.state is not State.ENDING
+        return self._ready and self._service.state is not ServingState.SHUTTING_DOWN
 
     async def take_offline(self, server: str) -> bool:
         known = self._decider.ban(server)
@@ -341,22 +341,22 @@
         return known and await self._tell_others("unbar", server)
 
     async def out_of_service(self) -> bool:
-        return self._led(Input.OUT) and await self._tell_others("out", True)
+        return self._led(ServingEvent.TAKEN_OUT_OF_SERVICE) and await self._tell_others("out", True)
 
     async def in_service(self) -> bool:
-        return self._led(Input.IN) and await self._tell_others("out", False)
+        return self._led(ServingEvent.PUT_IN_SERVICE) and await self._tell_others("out", False)
 
     def fleet_figures(self) -> Mapping[str, Any] | None:
         return self._fleet.figures() if self._fleet is not None else None
 
-    def _led(self, event: Input) -> bool:
-        effect = self._service.tell(event)
+    def _led(self, event: ServingEvent) -> bool:
+        effect = self._service.handle(event)
         self.counters.recorder.note(Occurrence.STATE_CHANGED, service=self._service.state.name.lower())
-        if effect is Effect.LEAD:
+        if effect is ServingAction.REPORT_NOT_READY:
             log.info("out of service", extra=pairs(clients=self._callers.connected))
             self._callers.drain()
             self._leading = asyncio.create_task(self._lead_away())
-        elif effect is Effect.SERVE:
+        elif effect is ServingAction.RESUME:
             log.info("in service", extra=pairs(clients=self._callers.connected))
             self._stop_leading()
             self._callers.serve()
@@ -369,7 +369,7 @@
 
     async def _lead_away(self) -> None:
         await asyncio.sleep(LEAD_SPAN)
-        if self._service.tell(Input.DUE) is Effect.PART:
+        if self._service.handle(ServingEvent.NOTICE_TIME_OVER) is ServingAction.DRAIN_CLIENTS:
             self._callers.part()
         while True:
             self._callers.close_idle(IDLE_LEAST)
@@ -440,19 +440,19 @@
         part_until = math.inf
         giver: StreamSender | None = None
         moves = False
-        while not ending.over:
+        while not ending.finished:
             handover, now = self._handover, self.now()
-            for effect in ending.look(now, self._followed(), self._connected):
+            for effect in ending.next_actions(now, self._followed(), self._connected):
                 self.counters.recorder.note(Occurrence.STATE_CHANGED, ending=effect.name.lower())
                 match effect:
-                    case Do.LEAD:
+                    case Do.REPORT_NOT_READY:
                         self._callers.drain()
-                    case Do.YIELD:
+                    case Do.PAUSE_ACCEPTING:
                         self._callers.pause()
                         self._callers.part()
                         part_until = now + PART_SPAN
-                    case Do.TAKE_BACK:
-                        log.warning("successor lost", extra=pairs(left=ending.left(now)))
+                    case Do.RESUME_ACCEPTING:
+                        log.warning("successor lost", extra=pairs(left=ending.serve_time_left(now)))
                         self._callers.serve()
                         self._callers.go_on()
                         part_until = math.inf
@@ -461,25 +461,25 @@
                             giver.close()
                             giver = None
                             self._callers.keep_streams()
-                    case Do.CLOSE:
+                    case Do.CLOSE_LISTENERS:
                         self._adopt_last()
                         self._callers.stop()
-                    case Do.PART:
+                    case Do.DRAIN_CLIENTS:
                         self._callers.part()
                         part_until = now + PART_SPAN
-                    case Do.MOVE:
+                    case Do.MIGRATE_STREAMS:
                         moves = True
-                    case Do.TURN_BACK:
+                    case Do.REJECT_UPLOADS:
                         self._callers.turn_back_uploads()
             # Guards against answers to slow readers that the end of this process would cut off; where no
             # descriptor is left, or the other process is busy, it is tried again at the next look.
-            if moves and giver is None and handover is not None and not ending.over:
+            if moves and giver is None and handover is not None and not ending.finished:
                 giver = handover.giver()
                 if giver is not None:
                     self._callers.move_streams(giver)
             if part_until < math.inf:
                 self._callers.close_idle(IDLE_LEAST if now < part_until else 0.0)
-            if not ending.over:
+            if not ending.finished:
                 await asyncio.sleep(LOOK_SPAN)
         if giver is not None:
             giver.close()
--- a/notchjunction/upgrade/shutdown.py
+++ b/notchjunction/upgrade/shutdown.py
@@ -1,122 +1,152 @@
-"""What a process that was asked to end does until it has: a table and its reader. Pure."""
+"""Graceful shutdown: what a process does from SIGTERM until it ends. A state machine without I/O or clock."""
 
 from __future__ import annotations
 
 import math
 from collections.abc import Callable, Iterator
 from enum import Enum, auto
-from typing import NamedTuple
-
-LISTEN_ON = 0.6  # s that new callers are let in after SIGTERM; they go on coming for 0.4 s
-KILL_AFTER = 0.7  # s, and the longest abandon time, from SIGTERM to the least that a SIGKILL may come
-LONGEST_MOST = 3.0  # s of that abandon time at most
-KILL_MARGIN = 0.3  # s before it by which all is answered; the loop may be late
-ANSWER_SHARE = 0.5  # of what is left kept for answers; until then callers that stay are served on
-MOVE_AFTER = 1.6  # s from SIGTERM until answers under way move; most have ended, and two seconds are left
-
-
-class Phase(Enum):
-    BEGUN = auto()
-    LISTENING = auto()  # callers are still let in; those who look are told that they should not come
-    SERVING = auto()  # the listener is closed; callers that stay are served on
-    FOLLOWED = auto()  # another process of the node has the same queue of callers; these part
-    STANDING_IN = auto()  # the one that followed has gone: whoever comes has nobody else
-    PARTING = auto()  # answers close their connections, and idle callers are closed
-    ENDED = auto()
-
-
-class Seen(Enum):
-    """What is looked at, in this order."""
-
-    FOLLOWED = auto()  # another process is ready in this one's place
-    ALONE = auto()
-    LISTENED = auto()
-    MOVE_DUE = auto()
-    SERVED = auto()
-    LAST = auto()  # by now all is answered, or the kill cuts it off
-    EMPTY = auto()  # no caller is connected
-
-
-class Effect(Enum):
-    LEAD = auto()  # says that it is not ready
-    YIELD = auto()  # lets nobody in, but keeps the queue of callers open, and parts with those it has
-    TAKE_BACK = auto()  # lets callers in again, and is found again by the next process
-    CLOSE = auto()  # lets in who waits, and nobody after
-    PART = auto()
-    MOVE = auto()
-    TURN_BACK = auto()
-    END = auto()
-
-
-class Row(NamedTuple):
-    phase: Phase
-    seen: Seen
-    then: Phase
-    effects: tuple[Effect, ...]
-
-
-P, Do = Phase, Effect
-TABLE = (
-    Row(P.BEGUN, Seen.FOLLOWED, P.FOLLOWED, (Do.YIELD,)),
-    Row(P.BEGUN, Seen.ALONE, P.LISTENING, (Do.LEAD,)),
-    Row(P.LISTENING, Seen.FOLLOWED, P.FOLLOWED, (Do.YIELD,)),
-    Row(P.LISTENING, Seen.LISTENED, P.SERVING, (Do.CLOSE,)),
-    Row(P.SERVING, Seen.SERVED, P.PARTING, (Do.PART,)),
-    Row(P.SERVING, Seen.EMPTY, P.ENDED, (Do.END,)),
-    Row(P.FOLLOWED, Seen.ALONE, P.STANDING_IN, (Do.TAKE_BACK,)),
-    Row(P.FOLLOWED, Seen.MOVE_DUE, P.FOLLOWED, (Do.MOVE,)),
-    Row(P.FOLLOWED, Seen.LAST, P.FOLLOWED, (Do.TURN_BACK,)),
-    Row(P.FOLLOWED, Seen.EMPTY, P.ENDED, (Do.END,)),
-    Row(P.STANDING_IN, Seen.FOLLOWED, P.FOLLOWED, (Do.YIELD,)),
-    Row(P.STANDING_IN, Seen.SERVED, P.PARTING, (Do.CLOSE, Do.LEAD, Do.PART)),
-    Row(P.PARTING, Seen.LAST, P.PARTING, (Do.TURN_BACK,)),
-    Row(P.PARTING, Seen.EMPTY, P.ENDED, (Do.END,)),
+
+from notchjunction.state_table import StateTable, Transition
+
+# New clients are accepted for so long after SIGTERM; they go on coming for 0.4 s.
+ACCEPT_TIME_S = 0.6
+# SIGKILL comes at the earliest so long after SIGTERM, plus the longest request deadline.
+KILL_AFTER_S = 0.7
+# That request deadline counts up to here.
+MAX_REQUEST_DEADLINE_S = 3.0
+# Every request is answered so long before SIGKILL; the loop may be late.
+KILL_MARGIN_S = 0.3
+# Share of the time until then that is kept for responses; before it, clients that stay are served on.
+DRAIN_SHARE = 0.5
+# From SIGTERM until responses in flight migrate; most have ended by then, and two seconds are left.
+MIGRATE_AFTER_S = 1.6
+
+
+class ShutdownPhase(Enum):
+    """How far the shutdown has come."""
+
+    STARTED = auto()
+    ACCEPTING = auto()  # clients are still accepted; whoever polls readiness sees that they should not come
+    SERVING = auto()  # the listeners are closed; clients that stay are served on
+    SUCCESSOR_READY = auto()  # another process of the node accepts from the same queue; clients are drained
+    SUCCESSOR_LOST = auto()  # that process has gone: clients that come have only this one
+    DRAINING = auto()  # responses close their connections, and idle client connections are closed
+    FINISHED = auto()
+
+
+class ShutdownCondition(Enum):
+    """What is observed, in this order."""
+
+    SUCCESSOR_READY = auto()
+    NO_SUCCESSOR = auto()
+    ACCEPT_TIME_OVER = auto()
+    MIGRATION_DUE = auto()
+    SERVE_TIME_OVER = auto()
+    DEADLINE_PASSED = auto()  # what is not answered by now is cut off by SIGKILL
+    NO_CLIENTS = auto()  # no client is connected
+
+
+class ShutdownAction(Enum):
+    """What the node has to do."""
+
+    REPORT_NOT_READY = auto()
+    PAUSE_ACCEPTING = auto()  # accepts no clients but keeps their queue open, and drains those it has
+    RESUME_ACCEPTING = auto()  # accepts clients again, and offers the handover to the next process again
+    CLOSE_LISTENERS = auto()  # accepts the clients that wait, and none after them
+    DRAIN_CLIENTS = auto()
+    MIGRATE_STREAMS = auto()
+    REJECT_UPLOADS = auto()
+    FINISH = auto()
+
+
+_P, _C, _A = ShutdownPhase, ShutdownCondition, ShutdownAction
+SHUTDOWN_TRANSITIONS: StateTable[ShutdownPhase, ShutdownCondition, tuple[ShutdownAction, ...]] = StateTable(
+    [
+        Transition(_P.STARTED, _C.SUCCESSOR_READY, _P.SUCCESSOR_READY, (_A.PAUSE_ACCEPTING,)),
+        Transition(_P.STARTED, _C.NO_SUCCESSOR, _P.ACCEPTING, (_A.REPORT_NOT_READY,)),
+        Transition(_P.ACCEPTING, _C.SUCCESSOR_READY, _P.SUCCESSOR_READY, (_A.PAUSE_ACCEPTING,)),
+        Transition(_P.ACCEPTING, _C.ACCEPT_TIME_OVER, _P.SERVING, (_A.CLOSE_LISTENERS,)),
+        Transition(_P.SERVING, _C.SERVE_TIME_OVER, _P.DRAINING, (_A.DRAIN_CLIENTS,)),
+        Transition(_P.SERVING, _C.NO_CLIENTS, _P.FINISHED, (_A.FINISH,)),
+        Transition(_P.SUCCESSOR_READY, _C.NO_SUCCESSOR, _P.SUCCESSOR_LOST, (_A.RESUME_ACCEPTING,)),
+        Transition(_P.SUCCESSOR_READY, _C.MIGRATION_DUE, _P.SUCCESSOR_READY, (_A.MIGRATE_STREAMS,)),
+        Transition(_P.SUCCESSOR_READY, _C.DEADLINE_PASSED, _P.SUCCESSOR_READY, (_A.REJECT_UPLOADS,)),
+        Transition(_P.SUCCESSOR_READY, _C.NO_CLIENTS, _P.FINISHED, (_A.FINISH,)),
+        Transition(_P.SUCCESSOR_LOST, _C.SUCCESSOR_READY, _P.SUCCESSOR_READY, (_A.PAUSE_ACCEPTING,)),
+        Transition(
+            _P.SUCCESSOR_LOST,
+            _C.SERVE_TIME_OVER,
+            _P.DRAINING,
+            (_A.CLOSE_LISTENERS, _A.REPORT_NOT_READY, _A.DRAIN_CLIENTS),
+        ),
+        Transition(_P.DRAINING, _C.DEADLINE_PASSED, _P.DRAINING, (_A.REJECT_UPLOADS,)),
+        Transition(_P.DRAINING, _C.NO_CLIENTS, _P.FINISHED, (_A.FINISH,)),
+    ]
 )
-ROWS = {(row.phase, row.seen): row for row in TABLE}
 
 
 class GracefulShutdown:
-    """From SIGTERM at `now` (s) to the end; `longest` is the longest abandon time of the node's profiles."""
+    """One shutdown, from SIGTERM at `now` (s on the caller's clock) until all clients have gone.
+
+    `max_request_deadline` is the longest deadline (s) of the node's request classes.
+    """
 
-    def __init__(self, now: float, longest: float) -> None:
-        span = KILL_AFTER - KILL_MARGIN + min(longest, LONGEST_MOST)
-        self.phase = Phase.BEGUN
-        self.end_at = now + span
-        self._listen_until = now + LISTEN_ON
-        # Guards against callers that have nowhere to go yet, as where another node is still starting.
-        self._serve_until = self.end_at - span * ANSWER_SHARE
-        self._move_due = self._move_at = now + MOVE_AFTER
+    def __init__(self, now: float, max_request_deadline: float) -> None:
+        duration = KILL_AFTER_S - KILL_MARGIN_S + min(max_request_deadline, MAX_REQUEST_DEADLINE_S)
+        self.phase = ShutdownPhase.STARTED
+        self.deadline = now + duration
+        self._accept_until = now + ACCEPT_TIME_S
+        # Guards against clients that have nowhere to go yet, as where another node is still starting.
+        self._serve_until = self.deadline - duration * DRAIN_SHARE
+        self._migration_due_at = self._migrate_at = now + MIGRATE_AFTER_S
 
     @property
-    def over(self) -> bool:
-        return self.phase is Phase.ENDED
+    def finished(self) -> bool:
+        """Whether the process may end."""
+        return self.phase is ShutdownPhase.FINISHED
 
-    def left(self, now: float) -> float:
-        """s in which callers are let in yet."""
+    def serve_time_left(self, now: float) -> float:
+        """Time (s) for which clients are served on as before, from `now`."""
         return max(0.0, round(self._serve_until - now, 3))
 
-    def look(self, now: float, followed: bool, connected: Callable[[], int]) -> Iterator[Effect]:
-        """What is to be done now, in this order; to be asked again and again until it has ended.
+    def next_actions(
+        self, now: float, has_successor: bool, count_clients: Callable[[], int]
+    ) -> Iterator[ShutdownAction]:
+        """Yields what to do now, in order; to be called again and again until the shutdown has finished.
 
-        `connected` is counted where it is judged. Guards against ending over callers whom an effect of this
-        very look has let in.
+        Each action is to be done before the next one is taken. `count_clients` is called where its count is
+        judged. Guards against finishing over clients that an action of this very call has accepted.
         """
-        judgements: dict[Seen, Callable[[], bool]] = {
-            Seen.FOLLOWED: lambda: followed,
-            Seen.ALONE: lambda: not followed,
-            Seen.LISTENED: lambda: now >= self._listen_until,
-            Seen.MOVE_DUE: lambda: now >= self._move_at,
-            Seen.SERVED: lambda: now >= self._serve_until,
-            Seen.LAST: lambda: now >= self.end_at,
-            Seen.EMPTY: lambda: not connected(),
-        }
-        for seen, holds in judgements.items():
-            row = ROWS.get((self.phase, seen))
-            if row is None or not holds():
+        for condition in ShutdownCondition:
+            transition = SHUTDOWN_TRANSITIONS.find(self.phase, condition)
+            if transition is None or not self._holds(condition, now, has_successor, count_clients):
                 continue
-            self.phase = row.then
-            if seen is Seen.MOVE_DUE:
-                self._move_at = math.inf  # it is tried once
-            elif row.then is Phase.STANDING_IN:
-                self._move_at = self._move_due  # and once more with the next one that follows
-            yield from row.effects
+            self.phase = transition.next_state
+            if condition is ShutdownCondition.MIGRATION_DUE:
+                self._migrate_at = math.inf  # it is tried once
+            elif self.phase is ShutdownPhase.SUCCESSOR_LOST:
+                self._migrate_at = self._migration_due_at  # and once more with the next successor
+            yield from transition.action
+
+    def _holds(
+        self,
+        condition: ShutdownCondition,
+        now: float,
+        has_successor: bool,
+        count_clients: Callable[[], int],
+    ) -> bool:
+        match condition:
+            case ShutdownCondition.SUCCESSOR_READY:
+                return has_successor
+            case ShutdownCondition.NO_SUCCESSOR:
+                return not has_successor
+            case ShutdownCondition.ACCEPT_TIME_OVER:
+                return now >= self._accept_until
+            case ShutdownCondition.MIGRATION_DUE:
+                return now >= self._migrate_at
+            case ShutdownCondition.SERVE_TIME_OVER:
+                return now >= self._serve_until
+            case ShutdownCondition.DEADLINE_PASSED:
+                return now >= self.deadline
+            case ShutdownCondition.NO_CLIENTS:
+                return not count_clients()
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -22,8 +22,8 @@
 def _short_spans(monkeypatch: pytest.MonkeyPatch) -> None:
     for name, span in SPANS.items():
         monkeypatch.setattr(node_module, name, span)
-    monkeypatch.setattr(shutdown, "LISTEN_ON", 0.05)
-    monkeypatch.setattr(shutdown, "MOVE_AFTER", 0.1)
-    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 1.0)
+    monkeypatch.setattr(shutdown, "ACCEPT_TIME_S", 0.05)
+    monkeypatch.setattr(shutdown, "MIGRATE_AFTER_S", 0.1)
+    monkeypatch.setattr(shutdown, "DRAIN_SHARE", 1.0)
     monkeypatch.setattr(handover, "TOLD_EVERY", 0.005)
     monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.1)
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -163,7 +163,7 @@
     """Its job was turned back early; more of the body comes as the node gives it up."""
     monkeypatch.setattr(caller_module, "BODY_SLACK", 0.1 if ends == "stalls" else 60.0)
     monkeypatch.setattr(caller_module, "BODY_PACE", 10_000_000)
-    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
         async with running() as (node, address):
@@ -359,7 +359,7 @@
 
         async with Peer() as peer, running(peer, starting=told_to_end_meanwhile):
             assert (await heard(late[0])).startswith(b"HTTP/1.1 200")
-            span = shutdown.KILL_AFTER - shutdown.KILL_MARGIN + 2.0  # s, 2.0 of them the longest abandon time
+            span = shutdown.KILL_AFTER_S - shutdown.KILL_MARGIN_S + 2.0  # s, 2.0 of them the longest deadline
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= (span - 1.0) * 1000
 
     run(story())
@@ -557,7 +557,7 @@
             node.stop()
             while not node.counters.read().get("uploads_adopted"):
                 await asyncio.sleep(0.001)
-            assert gave == [True] and node._ending is not None and not node._ending.over
+            assert gave == [True] and node._ending is not None and not node._ending.finished
             caller.sendall(b"x" * 30_000)
             assert await heard(caller) == b""
         assert node.counters.read()["uploads_adopted"] == 1 and not node.counters.read().get(
@@ -819,9 +819,9 @@
             assert node._ending is not None
             while not node._callers.queued:
                 await asyncio.sleep(0.001)
-            while not node._ending.over:
+            while not node._ending.finished:
                 await asyncio.sleep(0.001)
-            assert node.now() >= node._ending.end_at
+            assert node.now() >= node._ending.deadline
 
     run(story())
 
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -895,7 +895,7 @@
     missing: int | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It ends between two looks; by then a third one has the place, maybe out of reach for a moment."""
-    monkeypatch.setattr(shutdown, "KILL_AFTER", 8.0)
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", 8.0)
     connect, failures = socket.socket.connect, [missing]
 
     def fails_once(sock: socket.socket, place: Any) -> None:
@@ -957,7 +957,7 @@
 
 
 def test_a_body_that_is_not_whole_by_the_nodes_end_is_turned_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
         ran = []
@@ -1124,7 +1124,7 @@
     answered: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Its caller has its answer, and reads that only once all of its body is sent."""
-    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.4)  # the node's end is 0.3 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.4)  # the node's end is 0.3 s after it was asked to
 
     async def story() -> None:
         ran: list[object] = []
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1250,7 +1250,7 @@
 def test_a_draining_node_serves_on_callers_that_stay_and_takes_no_job_past_its_own_end(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 0.8)
+    monkeypatch.setattr(shutdown, "DRAIN_SHARE", 0.8)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -17,7 +17,13 @@
 from notchjunction.net.upstream import UpstreamPool
 from notchjunction.node import node as node_module
 from notchjunction.node.node import Node
-from notchjunction.upgrade.serving_state import TABLE, Effect, Input, ServingState, State
+from notchjunction.upgrade.serving_state import (
+    SERVING_TRANSITIONS,
+    ServingAction,
+    ServingEvent,
+    ServingState,
+    ServingStateMachine,
+)
 from tests.helpers import OK, SILENT, Client, Peer, Reply, call, free_address, rows, running
 from tests.test_net import run
 
@@ -409,7 +415,7 @@
                 client.ask()
                 await peer.asked.wait()
                 assert await call(mgmt, "PUT", "/control/out-of-service") == 200
-                while node._service.state is not State.PARTING:
+                while node._service.state is not ServingState.DRAINING:
                     await asyncio.sleep(0.01)
                 peer.go_on.set()
                 answer = await client.answer()
@@ -420,19 +426,21 @@
     run(story())
 
 
-@pytest.mark.parametrize("state", list(State))
-@pytest.mark.parametrize("event", list(Input))
-def test_every_state_and_input_has_one_row_or_none(state: State, event: Input) -> None:
-    service = ServingState()
+@pytest.mark.parametrize("state", list(ServingState))
+@pytest.mark.parametrize("event", list(ServingEvent))
+def test_every_state_and_input_has_one_row_or_none(state: ServingState, event: ServingEvent) -> None:
+    service = ServingStateMachine()
     service.state = state
-    effect = service.tell(event)
-    assert sum(1 for row in TABLE if (row.state, row.input) == (state, event)) == (effect is not None)
-    if state is State.ENDING:
-        assert service.state is State.ENDING and effect in (None, Effect.NOTHING)
-    if event is Input.END:
-        assert service.state is State.ENDING
-    if event is Input.IN and state is not State.ENDING:
-        assert service.state is State.SERVING
+    effect = service.handle(event)
+    assert sum(1 for row in SERVING_TRANSITIONS if (row.state, row.event) == (state, event)) == (
+        effect is not None
+    )
+    if state is ServingState.SHUTTING_DOWN:
+        assert service.state is ServingState.SHUTTING_DOWN and effect in (None, ServingAction.NONE)
+    if event is ServingEvent.SHUTDOWN_REQUESTED:
+        assert service.state is ServingState.SHUTTING_DOWN
+    if event is ServingEvent.PUT_IN_SERVICE and state is not ServingState.SHUTTING_DOWN:
+        assert service.state is ServingState.SERVING
 
 
 def test_calls_are_answered_while_descriptors_are_short() -> None:
@@ -474,7 +482,7 @@
                             await asyncio.sleep(0.005)
                         client.writer.close()
                         led_away.append(time.monotonic())
-                        if node._service.state is State.PARTING:
+                        if node._service.state is ServingState.DRAINING:
                             return
 
                 work = [asyncio.create_task(stays()) for _ in range(3)]
--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What a process does from SIGTERM on: a table, played on a plain clock."""
+"""What a process does from SIGTERM on: a state machine, played on a plain clock."""
 
 from __future__ import annotations
 
@@ -6,74 +6,101 @@
 
 import pytest
 
-from notchjunction.upgrade.shutdown import Effect, GracefulShutdown, Phase
+from notchjunction.upgrade.shutdown import GracefulShutdown, ShutdownPhase
+from notchjunction.upgrade.shutdown import ShutdownAction as Action
 
-Look = tuple[float, bool, int]  # s since SIGTERM, whether another process follows, callers
-Do = Effect
+Step = tuple[float, bool, int]  # s since SIGTERM, whether a successor is ready, clients
 
 
 @pytest.fixture(autouse=True)
 def _half_for_answers(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr("notchjunction.upgrade.shutdown.ANSWER_SHARE", 0.5)  # of 2.4 s
+    monkeypatch.setattr("notchjunction.upgrade.shutdown.DRAIN_SHARE", 0.5)  # of 2.4 s
 
 
-def story(*looks: Look) -> list[Effect]:
-    ending = GracefulShutdown(100.0, 2.0)
-    return [effect for look in looks for effect in looked(ending, *look)]
+def actions_of(*steps: Step) -> list[Action]:
+    shutdown = GracefulShutdown(100.0, 2.0)
+    return [action for step in steps for action in stepped(shutdown, *step)]
 
 
-def looked(
-    ending: GracefulShutdown, at: float, followed: bool, callers: int, waiting: int = 0
-) -> Iterator[Effect]:
-    """A look at a node with so many callers, and so many in the queue, who are let in as it is closed."""
-    connected = [None] * callers
-    for effect in ending.look(100 + at, followed, lambda: len(connected)):
-        if effect is Do.CLOSE:
+def stepped(
+    shutdown: GracefulShutdown, at: float, has_successor: bool, clients: int, waiting: int = 0
+) -> Iterator[Action]:
+    """One step of a node with so many clients, and so many in the queue, accepted as it closes."""
+    connected = [None] * clients
+    for action in shutdown.next_actions(100 + at, has_successor, lambda: len(connected)):
+        if action is Action.CLOSE_LISTENERS:
             connected.extend([None] * waiting)
-        yield effect
+        yield action
 
 
 @pytest.mark.parametrize(
-    ("looks", "effects"),
+    ("steps", "actions"),
     [
-        ([(0, False, 3), (0.04, False, 0)], [Do.LEAD]),  # callers come for a while, even if none is there
-        ([(0, False, 3), (0.06, False, 0)], [Do.LEAD, Do.CLOSE, Do.END]),
-        ([(0, False, 3), (0.06, False, 3), (1.3, False, 3)], [Do.LEAD, Do.CLOSE, Do.PART]),
-        ([(0, True, 0)], [Do.YIELD, Do.END]),
-        ([(0, True, 3), (0.2, True, 3), (0.3, True, 3)], [Do.YIELD, Do.MOVE]),
-        ([(0, True, 3), (0.05, False, 3), (0.06, True, 0)], [Do.YIELD, Do.TAKE_BACK, Do.YIELD, Do.END]),
-        ([(0, False, 3), (0.03, True, 3)], [Do.LEAD, Do.YIELD]),
+        # Clients come for a while, even if none is there.
+        ([(0, False, 3), (0.04, False, 0)], [Action.REPORT_NOT_READY]),
+        ([(0, False, 3), (0.06, False, 0)], [Action.REPORT_NOT_READY, Action.CLOSE_LISTENERS, Action.FINISH]),
+        (
+            [(0, False, 3), (0.06, False, 3), (1.3, False, 3)],
+            [Action.REPORT_NOT_READY, Action.CLOSE_LISTENERS, Action.DRAIN_CLIENTS],
+        ),
+        ([(0, True, 0)], [Action.PAUSE_ACCEPTING, Action.FINISH]),
+        ([(0, True, 3), (0.2, True, 3), (0.3, True, 3)], [Action.PAUSE_ACCEPTING, Action.MIGRATE_STREAMS]),
+        (
+            [(0, True, 3), (0.05, False, 3), (0.06, True, 0)],
+            [Action.PAUSE_ACCEPTING, Action.RESUME_ACCEPTING, Action.PAUSE_ACCEPTING, Action.FINISH],
+        ),
+        ([(0, False, 3), (0.03, True, 3)], [Action.REPORT_NOT_READY, Action.PAUSE_ACCEPTING]),
         (
             [(0, True, 3), (0.2, True, 3), (0.3, False, 3), (0.4, True, 3), (0.5, True, 3), (0.6, True, 3)],
-            [Do.YIELD, Do.MOVE, Do.TAKE_BACK, Do.YIELD, Do.MOVE],
+            [
+                Action.PAUSE_ACCEPTING,
+                Action.MIGRATE_STREAMS,
+                Action.RESUME_ACCEPTING,
+                Action.PAUSE_ACCEPTING,
+                Action.MIGRATE_STREAMS,
+            ],
+        ),
+        (
+            [(0, True, 1), (2.5, True, 1), (2.6, True, 1)],
+            [Action.PAUSE_ACCEPTING, Action.MIGRATE_STREAMS, Action.REJECT_UPLOADS, Action.REJECT_UPLOADS],
         ),
-        ([(0, True, 1), (2.5, True, 1), (2.6, True, 1)], [Do.YIELD, Do.MOVE, Do.TURN_BACK, Do.TURN_BACK]),
     ],
 )
-def test_what_is_done_as_a_process_ends(looks: list[Look], effects: list[Effect]) -> None:
-    assert story(*looks) == effects
+def test_what_is_done_as_a_process_ends(steps: list[Step], actions: list[Action]) -> None:
+    assert actions_of(*steps) == actions
 
 
-def test_who_stands_in_waits_for_callers_until_too_little_time_is_left() -> None:
-    ending = GracefulShutdown(100.0, 2.0)
-    assert [*looked(ending, 0.0, True, 1), *looked(ending, 0.1, False, 0)] == [Do.YIELD, Do.TAKE_BACK]
-    assert not list(looked(ending, 1.1, False, 0)) and ending.phase is Phase.STANDING_IN
-    assert ending.left(101.1) == pytest.approx(0.1)
-    assert list(looked(ending, 1.3, False, 0)) == [Do.CLOSE, Do.LEAD, Do.PART, Do.END] and ending.over
+def test_a_process_that_lost_its_successor_waits_for_clients_until_too_little_time_is_left() -> None:
+    shutdown = GracefulShutdown(100.0, 2.0)
+    assert [*stepped(shutdown, 0.0, True, 1), *stepped(shutdown, 0.1, False, 0)] == [
+        Action.PAUSE_ACCEPTING,
+        Action.RESUME_ACCEPTING,
+    ]
+    assert not list(stepped(shutdown, 1.1, False, 0)) and shutdown.phase is ShutdownPhase.SUCCESSOR_LOST
+    assert shutdown.serve_time_left(101.1) == pytest.approx(0.1)
+    assert (
+        list(stepped(shutdown, 1.3, False, 0))
+        == [Action.CLOSE_LISTENERS, Action.REPORT_NOT_READY, Action.DRAIN_CLIENTS, Action.FINISH]
+        and shutdown.finished
+    )
 
 
 @pytest.mark.parametrize(
-    ("first", "at", "effects"),
+    ("first", "at", "actions"),
     [
-        ([(0, False, 0)], 0.06, [Do.CLOSE]),
-        ([(0, True, 1), (0.1, False, 0)], 1.3, [Do.CLOSE, Do.LEAD, Do.PART]),
+        ([(0, False, 0)], 0.06, [Action.CLOSE_LISTENERS]),
+        (
+            [(0, True, 1), (0.1, False, 0)],
+            1.3,
+            [Action.CLOSE_LISTENERS, Action.REPORT_NOT_READY, Action.DRAIN_CLIENTS],
+        ),
     ],
 )
-def test_callers_let_in_as_the_queue_closes_are_not_ended_over(
-    first: list[Look], at: float, effects: list[Effect]
+def test_clients_accepted_as_the_listeners_close_are_not_ended_over(
+    first: list[Step], at: float, actions: list[Action]
 ) -> None:
-    ending = GracefulShutdown(100.0, 2.0)
-    for look in first:
-        list(looked(ending, *look))
-    assert list(looked(ending, at, False, 0, waiting=1)) == effects and not ending.over
-    assert list(looked(ending, at + 0.01, False, 0)) == [Do.END]
+    shutdown = GracefulShutdown(100.0, 2.0)
+    for step in first:
+        list(stepped(shutdown, *step))
+    assert list(stepped(shutdown, at, False, 0, waiting=1)) == actions and not shutdown.finished
+    assert list(stepped(shutdown, at + 0.01, False, 0)) == [Action.FINISH]
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -351,8 +351,8 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """It has stopped letting callers in, and still holds a job; nobody else is left at the address."""
-    monkeypatch.setattr(shutdown, "KILL_AFTER", 8.0)
-    monkeypatch.setattr(shutdown, "ANSWER_SHARE", 0.1)
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", 8.0)
+    monkeypatch.setattr(shutdown, "DRAIN_SHARE", 0.1)
 
     async def story() -> None:
         mgmt2, mgmt3 = free_address(), free_address()
