--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -42,7 +42,9 @@
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 from notchjunction.telemetry.logs import pairs
-from notchjunction.upgrade.handover import Handover, InheritedState, StreamSender
+from notchjunction.upgrade.handover import Handover, StreamSender
+from notchjunction.upgrade.listener_sharing import InheritedState
+from notchjunction.upgrade.messages import NodeState, OperatorCommand, ProcessIdentity, ResourceUsage
 from notchjunction.upgrade.serving_state import ServingAction, ServingEvent, ServingState, ServingStateMachine
 from notchjunction.upgrade.shutdown import GracefulShutdown
 from notchjunction.upgrade.shutdown import ShutdownAction as Do
@@ -223,29 +225,29 @@
         told = self._told
         if told.shared_directory is None:
             return None
-        identity = {"node": told.name, "listen": text_of(told.listen)}
+        identity = ProcessIdentity(told.name, text_of(told.listen))
         self._handover = Handover(told.shared_directory, identity, self, self.counters)
         return await self._handover.join()
 
     def _inherit(self, inherited: InheritedState) -> None:
         """Goes on where the serving process stands: its list, operators' word, and then its callers."""
         state = inherited.state
-        for server in state.get("barred", ()):
+        for server in state.banned:
             self._decider.ban(server, known=True)
         try:
-            self._decider.restore_start_times(state.get("starts", {}))
+            self._decider.restore_start_times(state.start_times)
         except (TypeError, ValueError, AttributeError) as error:
             log.warning("start times not restored", extra=pairs(why=repr(error)))
         with suppress(ListUnavailable):
-            known = read_list(state.get("list"))
+            known = read_list(state.endpoint_list)
             if known.endpoints:
                 self._discovery.remember(known.version)
                 self._hear(known, ListUpdate.CACHED)
         try:
-            self._decider.restore_state(state["lessons"])
+            self._decider.restore_state(state.learned_state)
         except (KeyError, TypeError, ValueError) as error:
             log.warning("learned state not restored", extra=pairs(why=repr(error)))
-        if state.get("out"):
+        if state.out_of_service:
             self._led(ServingEvent.TAKEN_OUT_OF_SERVICE)
         self._inherited = inherited.listeners
         self._start(self._adopt(inherited.listeners))
@@ -261,7 +263,7 @@
 
     def _adopt_last(self) -> None:
         """Guards against resets for who waits where the end comes before a list, and the other has gone."""
-        if self._inherited and self._handover is not None and not self._handover.others:
+        if self._inherited and self._handover is not None and not self._handover.peer_count:
             listeners, self._inherited = self._inherited, []
             self._callers.adopt(listeners)
 
@@ -274,56 +276,56 @@
     def listeners(self) -> list[socket.socket]:
         return self._callers.listeners
 
-    def state(self) -> dict[str, Any]:
+    def state(self) -> NodeState:
         out = self._service.state in (ServingState.NOT_READY, ServingState.DRAINING)
         version = self._discovery.version
         listed = None
         if version is not None:
             listed = {"index": version, "snapshot": True, "endpoints": self._known.rows()}
         barred = sorted(self._decider.banned)
-        return {
-            "barred": barred,
-            "out": out,
-            "list": listed,
-            "starts": self._decider.start_ages(),
-            "lessons": self._decider.export_state(),
-        }
+        return NodeState(
+            banned=barred,
+            out_of_service=out,
+            endpoint_list=listed,
+            start_times=self._decider.start_ages(),
+            learned_state=self._decider.export_state(),
+        )
 
-    def usage(self) -> dict[str, int]:
-        return {"held": self._descriptors.held, "callers": self._descriptors.callers}
+    def usage(self) -> ResourceUsage:
+        return ResourceUsage(self._descriptors.held, self._descriptors.callers)
 
-    def told(self, word: str, value: Any) -> None:
+    def apply_operator_command(self, word: str, value: Any) -> None:
         """An operator's word to the other process, which is word to the node."""
         match word:
-            case "bar":
+            case OperatorCommand.BAN:
                 self._decider.ban(str(value), known=True)
-            case "unbar":
+            case OperatorCommand.LIFT_BAN:
                 self._decider.lift_ban(str(value))
-            case "out":
+            case OperatorCommand.OUT_OF_SERVICE:
                 self._led(ServingEvent.TAKEN_OUT_OF_SERVICE if value else ServingEvent.PUT_IN_SERVICE)
         self._point()
 
-    def others_changed(self) -> None:
+    def peers_changed(self) -> None:
         assert self._handover is not None
-        self._decider.set_process_count(1 + self._handover.others)
+        self._decider.set_process_count(1 + self._handover.peer_count)
 
     def adopt_stream(self, state: Mapping[str, Any], caller: socket.socket, server: socket.socket) -> None:
         """An answer that the process before this one began to pass on."""
         download = self._servers.adopt(state["answers"], server)
         self._callers.adopt_stream(state, caller, download)
 
-    def adopt_rest(self, state: Mapping[str, Any], caller: socket.socket) -> None:
+    def adopt_upload(self, state: Mapping[str, Any], caller: socket.socket) -> None:
         """A caller whose job the process before this one has answered, and whose body still comes."""
         self._callers.adopt_rest(state, caller)
 
-    def used_elsewhere(self) -> None:
+    def peer_usage_changed(self) -> None:
         if self._handover is not None:
-            others = self._handover.others * (OWN + admin.DESCRIPTORS)
-            self._descriptors.elsewhere = self._handover.used_elsewhere("held") + others
-            self._descriptors.callers_elsewhere = self._handover.used_elsewhere("callers")
+            others = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
+            self._descriptors.elsewhere = self._handover.peer_usage().descriptors + others
+            self._descriptors.callers_elsewhere = self._handover.peer_usage().clients
 
     async def _tell_others(self, word: str, value: Any) -> bool:
-        return self._handover is None or await self._handover.tell(word, value)
+        return self._handover is None or await self._handover.send_command(word, value)
 
     # What operators ask.
 
@@ -333,18 +335,22 @@
     async def take_offline(self, server: str) -> bool:
         known = self._decider.ban(server)
         self._point()
-        return known and await self._tell_others("bar", server)
+        return known and await self._tell_others(OperatorCommand.BAN, server)
 
     async def bring_online(self, server: str) -> bool:
         known = self._decider.lift_ban(server)
         self._point()
-        return known and await self._tell_others("unbar", server)
+        return known and await self._tell_others(OperatorCommand.LIFT_BAN, server)
 
     async def out_of_service(self) -> bool:
-        return self._led(ServingEvent.TAKEN_OUT_OF_SERVICE) and await self._tell_others("out", True)
+        return self._led(ServingEvent.TAKEN_OUT_OF_SERVICE) and await self._tell_others(
+            OperatorCommand.OUT_OF_SERVICE, True
+        )
 
     async def in_service(self) -> bool:
-        return self._led(ServingEvent.PUT_IN_SERVICE) and await self._tell_others("out", False)
+        return self._led(ServingEvent.PUT_IN_SERVICE) and await self._tell_others(
+            OperatorCommand.OUT_OF_SERVICE, False
+        )
 
     def fleet_figures(self) -> Mapping[str, Any] | None:
         return self._fleet.figures() if self._fleet is not None else None
@@ -474,7 +480,7 @@
             # Guards against answers to slow readers that the end of this process would cut off; where no
             # descriptor is left, or the other process is busy, it is tried again at the next look.
             if moves and giver is None and handover is not None and not ending.finished:
-                giver = handover.giver()
+                giver = handover.open_stream_sender()
                 if giver is not None:
                     self._callers.move_streams(giver)
             if part_until < math.inf:
@@ -504,13 +510,13 @@
         """Callers, and whom another process of the node has given to this one; asked before it ends."""
         given = False
         if not self._callers.connected and self._handover is not None:
-            self._handover.take_last()
-            given = self._handover.queued and not self._callers.last
+            self._handover.accept_last_streams()
+            given = self._handover.has_queued_streams and not self._callers.last
         # Guards against a reset for each in a queue where there was no descriptor for them as it closed.
         return self._callers.connected + (self._callers.queued or given)
 
     def _followed(self) -> bool:
-        return self._handover is not None and self._handover.followed
+        return self._handover is not None and self._handover.has_successor
 
     def _take(
         self, ask: RequestSpec, request: Request, upload: Upload | None, rights: QuotaPermits | None
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -25,5 +25,5 @@
     monkeypatch.setattr(shutdown, "ACCEPT_TIME_S", 0.05)
     monkeypatch.setattr(shutdown, "MIGRATE_AFTER_S", 0.1)
     monkeypatch.setattr(shutdown, "DRAIN_SHARE", 1.0)
-    monkeypatch.setattr(handover, "TOLD_EVERY", 0.005)
+    monkeypatch.setattr(handover, "USAGE_INTERVAL_S", 0.005)
     monkeypatch.setattr(client_listener, "LINGER_WITHIN", 0.1)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -24,7 +24,7 @@
 from notchjunction.net.descriptors import SHORT_PAUSE
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.node.node import Node
-from notchjunction.upgrade import handover
+from notchjunction.upgrade import listener_sharing, shared_folder
 from tests.helpers import (
     OK,
     SILENT,
@@ -356,14 +356,18 @@
 
 
 @pytest.mark.parametrize(
-    ("file", "kind"), [(handover.FILE, socket.SOCK_STREAM), (handover.STREAMS, socket.SOCK_SEQPACKET)]
+    ("file", "kind"),
+    [
+        (shared_folder.HANDOVER_SOCKET, socket.SOCK_STREAM),
+        (shared_folder.STREAMS_SOCKET, socket.SOCK_SEQPACKET),
+    ],
 )
 def test_the_next_process_that_can_not_be_let_in_yet_is_later_and_costs_nothing_until_then(
     file: str, kind: socket.SocketKind, tmp_path: Path
 ) -> None:
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             with socket.socket(socket.AF_UNIX, kind) as follower, socket.socket(socket.AF_UNIX, kind) as late:
                 follower.setblocking(False)
@@ -376,7 +380,9 @@
                         await asyncio.sleep(0)
                     assert node.counters.read()["accepts_failed"] <= tries_since(began)
                 if kind is socket.SOCK_STREAM:
-                    told = json.loads(await node._loop.sock_recv(follower, handover.FIRST_MOST))
+                    told = json.loads(
+                        await node._loop.sock_recv(follower, listener_sharing.MAX_IDENTITY_BYTES)
+                    )
                     assert told["node"] == "n"
                 else:
                     while len(node._handover._taking) < 2:
@@ -458,11 +464,11 @@
     pushed: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.1)
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.1)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         with socket.socket(socket.AF_UNIX) as hung:  # takes connections and says nothing
-            hung.bind(str(tmp_path / handover.FILE))
+            hung.bind(str(tmp_path / shared_folder.HANDOVER_SOCKET))
             hung.listen()
             down = Peer()
             down.address = free_address()
@@ -477,7 +483,7 @@
 
 
 def test_the_waits_of_a_start_leave_half_of_its_10_s() -> None:
-    assert handover.JOINED_WITHIN + watch_state.FIRST_WITHIN < 5.0
+    assert listener_sharing.JOIN_TIMEOUT_S + watch_state.FIRST_WITHIN < 5.0
 
 
 def test_without_any_list_a_node_says_so_and_is_ready_with_the_first_one() -> None:
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -30,7 +30,7 @@
 from notchjunction.net.request_handler import RequestHandler
 from notchjunction.node.node import Node
 from notchjunction.telemetry.flight_recorder import Occurrence
-from notchjunction.upgrade import handover, shutdown
+from notchjunction.upgrade import handover, listener_sharing, messages, shared_folder, shutdown
 from tests.helpers import (
     Client,
     Peer,
@@ -237,7 +237,7 @@
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Connection: close\r\n"))
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.001)
                 old.stop()
                 while not new.counters.read().get("streams_adopted") or old._callers.connected:
@@ -448,7 +448,7 @@
 ) -> None:
     async def story() -> None:
         address = free_address()
-        identity = {"node": "n", "listen": text_of(address), "version": str(handover.VERSION)}
+        identity = {"node": "n", "listen": text_of(address), "version": str(messages.PROTOCOL_VERSION)}
         goes = asyncio.Event()
         (queue,) = bind_sockets(address[1], address[0])
 
@@ -460,15 +460,15 @@
             await goes.wait()
             writer.close()
 
-        server = await asyncio.start_unix_server(give, str(tmp_path / handover.FILE))
+        server = await asyncio.start_unix_server(give, str(tmp_path / shared_folder.HANDOVER_SOCKET))
         async with running(known=False, shared=tmp_path, listen=address) as (node, _):
-            assert node._handover is not None and node._handover.others == 1
+            assert node._handover is not None and node._handover.peer_count == 1
             caller = connect(address)
             caller.sendall(wire_of(1))
             if giver == "has gone":
                 queue.close()
                 goes.set()
-                while node._handover.others:
+                while node._handover.peer_count:
                     await asyncio.sleep(0.001)
             node.stop()
             if giver == "has gone":
@@ -528,7 +528,7 @@
 
     Where descriptors are short in that moment, it is taken a little later.
     """
-    stop, take_last = ClientListener.stop, handover.Handover.take_last
+    stop, take_last = ClientListener.stop, handover.Handover.accept_last_streams
     rest = RequestReader()
     rest.feed(wire_of(1, extra="Content-Length: 100000\r\n").replace(b"GET", b"POST") + b"x" * 70_000)
     assert rest.next() is not None
@@ -543,16 +543,16 @@
         given.close()
 
     def at_first_short(self: handover.Handover) -> None:
-        monkeypatch.setattr(handover.Handover, "take_last", take_last)
+        monkeypatch.setattr(handover.Handover, "accept_last_streams", take_last)
         with no_descriptor_left() if short else nullcontext():
             take_last(self)
 
-    monkeypatch.setattr(handover.Handover, "take_last", at_first_short)
+    monkeypatch.setattr(handover.Handover, "accept_last_streams", at_first_short)
     monkeypatch.setattr(ClientListener, "stop", crossed)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             node.stop()
             while not node.counters.read().get("uploads_adopted"):
@@ -573,11 +573,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The caller that comes next gets the number of the descriptor that was closed."""
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.05)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, address):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             caller, hangs = connect(address), socket.socket(socket.AF_UNIX)
             while not node._callers.connected:
@@ -585,7 +585,7 @@
             node._callers.pause()
             late = connect(address)
             fillers = [os.dup(late.fileno()) for _ in range(20)]  # so that no lower number is free
-            hangs.connect(str(tmp_path / handover.FILE))
+            hangs.connect(str(tmp_path / shared_folder.HANDOVER_SOCKET))
             hangs.setblocking(False)
             while await asyncio.get_running_loop().sock_recv(hangs, 4096):
                 pass
@@ -608,11 +608,11 @@
     gives: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The next one's own listener gets the number of the descriptor that was closed."""
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.1)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         address = free_address()
-        identity = {"node": "n", "listen": text_of(address), "version": str(handover.VERSION)}
+        identity = {"node": "n", "listen": text_of(address), "version": str(messages.PROTOCOL_VERSION)}
         ends = asyncio.Event()
 
         async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -625,7 +625,7 @@
             await ends.wait()
             writer.close()
 
-        server = await asyncio.start_unix_server(hang, str(tmp_path / handover.FILE))
+        server = await asyncio.start_unix_server(hang, str(tmp_path / shared_folder.HANDOVER_SOCKET))
         async with Peer() as peer, running(peer, shared=tmp_path, listen=address) as (node, _):
             sock = connect(address)
             sock.sendall(wire_of(1, extra="Connection: close\r\n"))
@@ -762,7 +762,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             giver = handover.StreamSender(str(tmp_path))
             while len(node._handover._taking) < 2:
@@ -927,7 +927,7 @@
         whys = [facts["why"] for what, facts in noted if what is Occurrence.CALLER_CLOSED]
         states = [facts for what, facts in noted if what is Occurrence.STATE_CHANGED]
         assert sorted(map(str, whys)) == ["bad request", "ended by the caller"]
-        assert [facts["service"] for facts in states if "service" in facts] == ["leading", "serving"]
-        assert [facts["ending"] for facts in states if "ending" in facts][:1] == ["lead"]
+        assert [facts["service"] for facts in states if "service" in facts] == ["not_ready", "serving"]
+        assert [facts["ending"] for facts in states if "ending" in facts][:1] == ["report_not_ready"]
 
     asyncio.run(story())
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -33,7 +33,7 @@
 from notchjunction.net.upstream import AttemptSpec
 from notchjunction.net.upstream_connection import ConnectionLost
 from notchjunction.node.node import Node
-from notchjunction.upgrade import handover, shutdown
+from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
 from tests.test_net import JOB, Dispatches, run
 from tests.test_upgrade import until_yes
@@ -759,7 +759,7 @@
             caller.begin(version=version)
             await caller._reader.readuntil(b"\r\n\r\n")
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
                 while old._callers.connected:  # all its callers are gone, this one among them
@@ -807,7 +807,7 @@
             caller = await Caller().open(address)
             caller.begin()
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
                 while not new.counters.read().get("streams_adopted"):
@@ -836,9 +836,9 @@
             caller = await Caller().open(address)
             caller.begin(left=3000)
             async with running(shared=tmp_path, listen=address, known=False):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
-                (tmp_path / handover.STREAMS).unlink()
+                (tmp_path / shared_folder.STREAMS_SOCKET).unlink()
                 old.stop()
                 await asyncio.sleep(0.3)
                 go_on.set()
@@ -874,7 +874,7 @@
             caller = await Caller().open(address)
             caller.begin(left=3000)
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 monkeypatch.setattr(handover.StreamSender, "__init__", fails_at_first)
                 old.stop()
@@ -899,7 +899,9 @@
     connect, failures = socket.socket.connect, [missing]
 
     def fails_once(sock: socket.socket, place: Any) -> None:
-        if str(place).endswith(handover.STREAMS) and (failure := failures.pop() if failures else None):
+        if str(place).endswith(shared_folder.STREAMS_SOCKET) and (
+            failure := failures.pop() if failures else None
+        ):
             raise OSError(failure, "for now")
         connect(sock, place)
 
@@ -918,16 +920,16 @@
             caller.begin(left=20_000)
             again: dict[str, Any] = {"shared": tmp_path, "listen": address, "known": False}
             follower, _ = await middle.enter_async_context(running(**again))
-            while old._handover is None or not old._handover.followed:
+            while old._handover is None or not old._handover.has_successor:
                 await asyncio.sleep(0.002)
             old.stop()
             while old._callers.mover is None:
                 await asyncio.sleep(0.002)
             async with running(**again) as (last, _):
-                while follower._handover is None or not follower._handover.followed:
+                while follower._handover is None or not follower._handover.has_successor:
                     await asyncio.sleep(0.002)
                 await middle.aclose()
-                while old._handover.others:
+                while old._handover.peer_count:
                     await asyncio.sleep(0.002)
                 monkeypatch.setattr(socket.socket, "connect", fails_once)
                 go_on.set()
@@ -949,9 +951,9 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.002)
-            assert node._handover.giver() is None and len(node._handover._taking) == 1
+            assert node._handover.open_stream_sender() is None and len(node._handover._taking) == 1
 
     run(story())
 
@@ -1006,7 +1008,7 @@
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old.counters.read().get("responses_streamed", 0) < 3:
                     await asyncio.sleep(0.002)
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
                 for caller in opened:
@@ -1145,7 +1147,7 @@
             while not old.counters.read().get(what):
                 await asyncio.sleep(0.002)
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
                 while not new.counters.read().get("uploads_adopted"):
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -21,7 +21,8 @@
 from notchjunction.addresses import Address
 from notchjunction.net.descriptors import OWN, SHORT_PAUSE
 from notchjunction.node.node import Node
-from notchjunction.upgrade import handover, shutdown
+from notchjunction.upgrade import handover, listener_sharing, shared_folder, shutdown
+from notchjunction.upgrade.channel import Channel
 from tests.helpers import (
     OK,
     SILENT,
@@ -37,7 +38,7 @@
 from tests.test_net import run
 from tests.test_operations import ask_ready
 
-FILE = handover.FILE
+FILE = shared_folder.HANDOVER_SOCKET
 
 
 async def until(node: Node, what: str, value: object) -> None:
@@ -46,7 +47,7 @@
 
 
 async def offered(node: Node) -> None:
-    while node._handover is None or node._handover._listener is None:
+    while node._handover is None or not node._handover.is_offered:
         await asyncio.sleep(0.001)
 
 
@@ -85,7 +86,7 @@
                 follower, _ = await new.enter_async_context(
                     running(peer, shared=tmp_path, listen=listen, known=False)
                 )
-                await until(node, "followed", True)
+                await until(node, "has_successor", True)
                 while answered < before + 20:
                     await asyncio.sleep(0.001)
                 await last.aclose()
@@ -108,7 +109,7 @@
         ):
             assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
             async with running(shared=tmp_path, listen=listen, mgmt=mgmt2, known=False) as (new, _):
-                await until(old, "followed", True)
+                await until(old, "has_successor", True)
                 assert await call(mgmt2, "GET", "/control/ready") == 200
                 assert new._decider.banned == {"s0"}
                 # A yes holds in both, whichever was asked; an unknown one is a no.
@@ -136,7 +137,7 @@
             old, listen = await first.enter_async_context(running(a, b, shared=tmp_path))
             assert await old.take_offline("s0") and await old.out_of_service()
             new, _ = await stack.enter_async_context(running(shared=tmp_path, listen=listen, known=False))
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             await first.aclose()
             assert await ask_ready(listen) == 503
             assert await new.in_service() and await ask_ready(listen) == 200
@@ -156,7 +157,7 @@
             client.ask()
             await peer.asked.wait()
             async with running(shared=tmp_path, listen=listen, known=False):
-                await until(old, "followed", True)
+                await until(old, "has_successor", True)
                 ends = asyncio.create_task(first.aclose())
                 assert await idle.closed()
                 peer.go_on.set()
@@ -196,7 +197,7 @@
 def test_whatever_lies_in_the_place_of_a_process_a_node_starts(
     left: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.2)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.2)
 
     async def story() -> None:
         place = tmp_path / FILE
@@ -225,7 +226,7 @@
             assert ("handovers_failed" in node.counters.read()) == (left != "nothing")
             if left != "a folder":  # which can't be replaced: the next process starts without a handover
                 async with running(shared=tmp_path, listen=listen, known=False):
-                    await until(node, "followed", True)
+                    await until(node, "has_successor", True)
         if server is not None:
             server.close()
 
@@ -264,7 +265,7 @@
             running(peer, shared=folder) as (old, listen),
             running(shared=folder, listen=listen, known=False),
         ):
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
 
     run(story())
 
@@ -288,9 +289,9 @@
                         os.close(descriptor)
                 if step == "got":
                     sock.send(b'{"got": true}\n')
-                    await until(node, "others", 1)
-            await until(node, "others", 0)
-            assert not node._handover.followed and node._decider._settings.process_count == 1  # type: ignore[union-attr]
+                    await until(node, "peer_count", 1)
+            await until(node, "peer_count", 0)
+            assert not node._handover.has_successor and node._decider._settings.process_count == 1  # type: ignore[union-attr]
             await served(await Client().open(listen))
             assert await node.take_offline("s0")
 
@@ -300,7 +301,7 @@
 def test_a_follower_that_hangs_is_no_yes_and_delays_no_operator_for_long(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ACKED_WITHIN", 0.05)
+    monkeypatch.setattr("notchjunction.upgrade.channel.ACK_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
@@ -309,7 +310,7 @@
                 await offered(node)
                 await node._loop.sock_connect(sock, str(tmp_path / FILE))
                 sock.send(b'{"got": true}\n')
-                await until(node, "others", 1)
+                await until(node, "peer_count", 1)
                 assert not await node.take_offline("s0") and node._decider.banned == {"s0"}
 
     run(story())
@@ -319,7 +320,7 @@
 def test_a_process_that_goes_as_it_is_told_delays_no_operator_and_is_no_no(
     goes: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(handover, "ACKED_WITHIN", 60.0)
+    monkeypatch.setattr("notchjunction.upgrade.channel.ACK_TIMEOUT_S", 60.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
@@ -328,21 +329,21 @@
                 await offered(node)
                 await node._loop.sock_connect(sock, str(tmp_path / FILE))
                 sock.send(b'{"got": true}\n')
-                await until(node, "others", 1)
+                await until(node, "peer_count", 1)
                 assert node._handover is not None
                 (channel,) = node._handover._channels
-                tell = handover.Channel.tell
+                tell = Channel.send_command
 
-                async def crossed(self: handover.Channel, word: str, value: Any) -> bool:
+                async def crossed(self: Channel, word: str, value: Any) -> bool:
                     sock.close()
                     if goes == "before it is told":
-                        await until(node, "others", 0)
+                        await until(node, "peer_count", 0)
                     return await tell(self, word, value)
 
-                monkeypatch.setattr(handover.Channel, "tell", crossed)
+                monkeypatch.setattr(Channel, "send_command", crossed)
                 async with asyncio.timeout(5):
                     assert await node.take_offline("s0")
-                assert not channel._awaited and node._decider.banned == {"s0"}
+                assert not channel.unacknowledged and node._decider.banned == {"s0"}
 
     run(story())
 
@@ -381,7 +382,7 @@
             follower = start(tmp_path, listen, mgmt3)
             stack.callback(follower.kill)
             await until_yes(mgmt3)
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             peer.go_on.set()
             assert (await holder.answer()).status == 200
             await ends
@@ -407,13 +408,13 @@
                 return running(shared=tmp_path, listen=listen, known=False)
 
             middle, _ = await second.enter_async_context(one_more())
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             ends = asyncio.create_task(first.aclose())
             last, _ = await stack.enter_async_context(one_more())
-            await until(middle, "followed", True)
+            await until(middle, "has_successor", True)
             await second.aclose()
-            await until(old, "others", 0)
-            assert old._handover.followed and old._callers.parting  # type: ignore[union-attr]
+            await until(old, "peer_count", 0)
+            assert old._handover.has_successor and old._callers.parting  # type: ignore[union-attr]
             peer.reply = OK
             await served(await Client().open(listen))
             assert last.counters.read()["requests_received"] == 1
@@ -483,23 +484,23 @@
                 return running(shared=tmp_path, listen=listen, known=False)
 
             middle, _ = await second.enter_async_context(one_more())
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             await stack.enter_async_context(one_more())
-            await until(middle, "followed", True)
+            await until(middle, "has_successor", True)
             place = os.stat(tmp_path / FILE).st_ino
             short = no_way_once if left is None else partial(descriptors_left, left)
-            met = first_in(monkeypatch, "_take_place_again", short)
+            met = first_in(monkeypatch, "_retake_place", short)
             await second.aclose()
             while not met:
                 await asyncio.sleep(0.001)
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             assert os.stat(tmp_path / FILE).st_ino == place
 
     run(story())
 
 
 @pytest.mark.parametrize("left", [0, 1, 2])
-@pytest.mark.parametrize("step", ["offer", "_take_place_again"])
+@pytest.mark.parametrize("step", ["offer", "_retake_place"])
 def test_the_next_process_finds_this_one_though_descriptors_were_short_as_it_took_its_place(
     step: str, left: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -511,12 +512,12 @@
             if step != "offer":
                 await offered(old)
                 async with running(shared=tmp_path, listen=listen, known=False):
-                    await until(old, "followed", True)
+                    await until(old, "has_successor", True)
                     met = first_in(monkeypatch, step, partial(descriptors_left, left))
             while not met or not found(tmp_path):
                 await asyncio.sleep(0.001)
             last, _ = await stack.enter_async_context(running(shared=tmp_path, listen=listen, known=False))
-            await until(old, "followed", True)
+            await until(old, "has_successor", True)
             assert last.counters.read()["handovers_received"] == 1
 
     run(story())
@@ -528,7 +529,7 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while not met:
                 await asyncio.sleep(0.001)
-            assert node._handover is not None and node._handover._again is not None
+            assert node._handover is not None and node._handover._retry is not None
             node._handover.close()
             await asyncio.sleep(2 * SHORT_PAUSE)
             assert not os.listdir(tmp_path)
@@ -614,7 +615,7 @@
             await offered(node)
             assert node._handover is not None
             giver = handover.StreamSender(str(tmp_path))
-            node._handover.take_last()
+            node._handover.accept_last_streams()
             assert accepts == 2  # the giver, and nobody after it
             for _ in range(200):
                 await asyncio.sleep(0)
