--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -35,7 +35,7 @@
 from notchjunction.net.request_intake import RequestIntake
 from notchjunction.node.node import Node
 from notchjunction.telemetry.flight_recorder import Occurrence
-from notchjunction.upgrade import handover, shutdown
+from notchjunction.upgrade import handover, listener_sharing, messages, shared_folder, shutdown
 from tests.helpers import (
     Client,
     Peer,
@@ -170,7 +170,7 @@
     """Its job was turned back early; more of the body comes as the node gives it up."""
     monkeypatch.setattr(request_intake, "BODY_GRACE_S", 0.1 if ends == "stalls" else 60.0)
     monkeypatch.setattr(request_intake, "BODY_MIN_RATE", 10_000_000)
-    monkeypatch.setattr(shutdown, "KILL_AFTER", -1.5)  # the node's end is 0.2 s after it was asked to
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.5)  # the node's end is 0.2 s after it was asked to
 
     async def story() -> None:
         async with running() as (node, address):
@@ -244,7 +244,7 @@
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Connection: close\r\n"))
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
-                while old._handover is None or not old._handover.followed:
+                while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.001)
                 old.stop()
                 while not new.counters.read().get("streams_adopted") or old._client_listener.connected:
@@ -366,7 +366,7 @@
 
         async with Peer() as peer, running(peer, starting=told_to_end_meanwhile):
             assert (await heard(late[0])).startswith(b"HTTP/1.1 200")
-            span = shutdown.KILL_AFTER - shutdown.KILL_MARGIN + 2.0  # s, 2.0 of them the longest abandon time
+            span = shutdown.KILL_AFTER_S - shutdown.KILL_MARGIN_S + 2.0  # s, 2.0 of them the longest deadline
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= (span - 1.0) * 1000
 
     run(story())
@@ -455,7 +455,7 @@
 ) -> None:
     async def story() -> None:
         address = free_address()
-        identity = {"node": "n", "listen": text_of(address), "version": str(handover.VERSION)}
+        identity = {"node": "n", "listen": text_of(address), "version": str(messages.PROTOCOL_VERSION)}
         goes = asyncio.Event()
         (queue,) = bind_sockets(address[1], address[0])
 
@@ -467,15 +467,15 @@
             await goes.wait()
             writer.close()
 
-        server = await asyncio.start_unix_server(give, str(tmp_path / handover.FILE))
+        server = await asyncio.start_unix_server(give, str(tmp_path / shared_folder.HANDOVER_SOCKET))
         async with running(known=False, shared=tmp_path, listen=address) as (node, _):
-            assert node._handover is not None and node._handover.others == 1
+            assert node._handover is not None and node._handover.peer_count == 1
             caller = connect(address)
             caller.sendall(wire_of(1))
             if giver == "has gone":
                 queue.close()
                 goes.set()
-                while node._handover.others:
+                while node._handover.peer_count:
                     await asyncio.sleep(0.001)
             node.stop()
             if giver == "has gone":
@@ -535,7 +535,7 @@
 
     Where descriptors are short in that moment, it is taken a little later.
     """
-    stop, take_last = ClientListener.stop, handover.Handover.take_last
+    stop, take_last = ClientListener.stop, handover.Handover.accept_last_streams
     rest = RequestReader()
     rest.feed(wire_of(1, extra="Content-Length: 100000\r\n").replace(b"GET", b"POST") + b"x" * 70_000)
     assert rest.next() is not None
@@ -550,21 +550,21 @@
         given.close()
 
     def at_first_short(self: handover.Handover) -> None:
-        monkeypatch.setattr(handover.Handover, "take_last", take_last)
+        monkeypatch.setattr(handover.Handover, "accept_last_streams", take_last)
         with no_descriptor_left() if short else nullcontext():
             take_last(self)
 
-    monkeypatch.setattr(handover.Handover, "take_last", at_first_short)
+    monkeypatch.setattr(handover.Handover, "accept_last_streams", at_first_short)
     monkeypatch.setattr(ClientListener, "stop", crossed)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             node.stop()
             while not node.counters.read().get("uploads_adopted"):
                 await asyncio.sleep(0.001)
-            assert gave == [True] and node._ending is not None and not node._ending.over
+            assert gave == [True] and node._ending is not None and not node._ending.finished
             caller.sendall(b"x" * 30_000)
             assert await heard(caller) == b""
         assert node.counters.read()["uploads_adopted"] == 1 and not node.counters.read().get(
@@ -580,11 +580,11 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The caller that comes next gets the number of the descriptor that was closed."""
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.05)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, address):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             caller, hangs = connect(address), socket.socket(socket.AF_UNIX)
             while not node._client_listener.connected:
@@ -592,7 +592,7 @@
             node._client_listener.pause()
             late = connect(address)
             fillers = [os.dup(late.fileno()) for _ in range(20)]  # so that no lower number is free
-            hangs.connect(str(tmp_path / handover.FILE))
+            hangs.connect(str(tmp_path / shared_folder.HANDOVER_SOCKET))
             hangs.setblocking(False)
             while await asyncio.get_running_loop().sock_recv(hangs, 4096):
                 pass
@@ -615,11 +615,11 @@
     gives: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """The next one's own listener gets the number of the descriptor that was closed."""
-    monkeypatch.setattr(handover, "JOINED_WITHIN", 0.1)
+    monkeypatch.setattr(listener_sharing, "JOIN_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         address = free_address()
-        identity = {"node": "n", "listen": text_of(address), "version": str(handover.VERSION)}
+        identity = {"node": "n", "listen": text_of(address), "version": str(messages.PROTOCOL_VERSION)}
         ends = asyncio.Event()
 
         async def hang(reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
@@ -632,7 +632,7 @@
             await ends.wait()
             writer.close()
 
-        server = await asyncio.start_unix_server(hang, str(tmp_path / handover.FILE))
+        server = await asyncio.start_unix_server(hang, str(tmp_path / shared_folder.HANDOVER_SOCKET))
         async with Peer() as peer, running(peer, shared=tmp_path, listen=address) as (node, _):
             sock = connect(address)
             sock.sendall(wire_of(1, extra="Connection: close\r\n"))
@@ -767,7 +767,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
-            while node._handover is None or node._handover._listener is None:
+            while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             giver = handover.StreamSender(str(tmp_path))
             while len(node._handover._taking) < 2:
@@ -824,9 +824,9 @@
             assert node._ending is not None
             while not node._client_listener.queued:
                 await asyncio.sleep(0.001)
-            while not node._ending.over:
+            while not node._ending.finished:
                 await asyncio.sleep(0.001)
-            assert node.now() >= node._ending.end_at
+            assert node.now() >= node._ending.deadline
 
     run(story())
 
@@ -932,7 +932,7 @@
         whys = [facts["why"] for what, facts in noted if what is Occurrence.CALLER_CLOSED]
         states = [facts for what, facts in noted if what is Occurrence.STATE_CHANGED]
         assert sorted(map(str, whys)) == ["bad request", "ended by the client"]
-        assert [facts["service"] for facts in states if "service" in facts] == ["leading", "serving"]
-        assert [facts["ending"] for facts in states if "ending" in facts][:1] == ["lead"]
+        assert [facts["service"] for facts in states if "service" in facts] == ["not_ready", "serving"]
+        assert [facts["ending"] for facts in states if "ending" in facts][:1] == ["report_not_ready"]
 
     asyncio.run(story())
