--- a/notchjunction/addresses.py
+++ b/notchjunction/addresses.py
@@ -3,14 +3,18 @@
 from __future__ import annotations
 
 Address = tuple[str, int]
+MAX_PORT = 65535
 
 
 def address_of(text: str) -> Address:
-    """The address that `host:port` names; an IPv6 host may stand in brackets. ValueError for no port."""
+    """Returns the address that `host:port` names; an IPv6 host may stand in brackets.
+
+    Raises ValueError for a port that is missing or no number.
+    """
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
 
 
 def text_of(address: Address) -> str:
-    """The address as `host:port`."""
+    """Returns the address as `host:port`."""
     return f"{address[0]}:{address[1]}"
--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -45,7 +45,7 @@
 )
 from notchjunction.balancing.throughput import ServedRate, ThroughputEstimate
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.discovery.watch_state import renewal_pause
+from notchjunction.discovery.watch_state import poll_backoff
 
 # Constants: unit, and why this size.
 RETRY_SHARE = 0.2  # retries per first send; the design's upper bound, rounded down, no floor
@@ -309,7 +309,7 @@
             self._failures += 1
             # Guards against all nodes asking a troubled list service again at the same moment.
             most = self._terms.poll_interval / 4 or math.inf
-            self._after(renewal_pause(self._failures, self._random, most), self._host.poll_list)
+            self._after(poll_backoff(self._failures, self._random, most), self._host.poll_list)
             return
         self._failures = 0
         if news is not ListUpdate.CHANGES:
--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -15,7 +15,7 @@
 from notchjunction.balancing.engine import SettingNames
 from notchjunction.balancing.interface import BalancerSettings
 from notchjunction.config import settings, validation
-from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailable, read_list
+from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
 
 LOOP_TICK = 0.01  # s by which timers of a loop on a shared core come late; 12 ms was the most seen
 SOCKETS = 1024  # descriptors where no limit is told
@@ -180,7 +180,7 @@
     """
     try:
         known = read_list(told)
-    except ListUnavailable:
+    except ListUnavailableError:
         rows = told.get("endpoints") if isinstance(told, Mapping) else None
         sound = [row for row in rows if _readable(row)] if isinstance(rows, list) else []
         known = read_list({"index": 0, "snapshot": False, "endpoints": sound})
@@ -190,6 +190,6 @@
 def _readable(row: Any) -> bool:
     try:
         read_list({"index": 0, "snapshot": False, "endpoints": [row]})
-    except ListUnavailable:
+    except ListUnavailableError:
         return False
     return True
--- a/notchjunction/discovery/endpoint_list.py
+++ b/notchjunction/discovery/endpoint_list.py
@@ -1,4 +1,4 @@
-"""The list as discovery tells it: rows of JSON as typed values, and back."""
+"""The endpoint list as discovery sends it: JSON documents to typed values, and back."""
 
 from __future__ import annotations
 
@@ -7,85 +7,94 @@
 from dataclasses import dataclass, replace
 from typing import Any
 
-from notchjunction.addresses import Address, address_of
+from notchjunction.addresses import MAX_PORT, Address, address_of
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.discovery.watch_state import WatchEvent
 
-PORT_MOST = 65535
-PRESENCES = {"active": EndpointState.ACTIVE, "leaving": EndpointState.DRAINING, "left": EndpointState.REMOVED}
-STATUSES = {presence: status for status, presence in PRESENCES.items()}
+# The protocol's words for an endpoint's state.
+STATE_BY_STATUS = {
+    "active": EndpointState.ACTIVE,
+    "leaving": EndpointState.DRAINING,
+    "left": EndpointState.REMOVED,
+}
+STATUS_BY_STATE = {state: status for status, state in STATE_BY_STATUS.items()}
 
 
-class ListUnavailable(Exception):
-    """The call failed, or its answer is no list; `event`: how, to what follows the list."""
+class ListUnavailableError(Exception):
+    """A poll failed, or its response is no endpoint list; `event` says how, for the watch's state machine."""
 
-    def __init__(self, why: str, event: WatchEvent = WatchEvent.CONNECTION_LOST) -> None:
-        super().__init__(why)
+    def __init__(self, reason: str, event: WatchEvent = WatchEvent.CONNECTION_LOST) -> None:
+        super().__init__(reason)
         self.event = event
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
+    """A version of the endpoint list: whole (`is_snapshot`), or as changes since an earlier one."""
+
     version: int
     is_snapshot: bool
     endpoints: tuple[ListedEndpoint, ...]
-    addresses: Mapping[str, Address]
-    is_stale: bool = False  # than the last one heard: counted anew, or from a place that lags
+    addresses: Mapping[str, Address]  # by endpoint name; without those where no connection can be tried
+    is_stale: bool = False  # older than the last one: its versions start anew, or its source lags
 
-    def closures(self) -> EndpointList:
-        """What it says of servers that may get nothing new; as changes, whatever else it says."""
-        closed = tuple(server for server in self.endpoints if server.state is not EndpointState.ACTIVE)
-        return replace(self, is_snapshot=False, endpoints=closed, addresses={})
+    def drains_and_removals(self) -> EndpointList:
+        """Returns only what it says of endpoints that may get no new requests, as changes."""
+        closing = tuple(endpoint for endpoint in self.endpoints if endpoint.state is not EndpointState.ACTIVE)
+        return replace(self, is_snapshot=False, endpoints=closing, addresses={})
 
 
-def read_list(value: Any) -> EndpointList:
+def read_list(document: Any) -> EndpointList:
+    """Returns the list that a decoded JSON document holds; raises ListUnavailableError if it holds none."""
     try:
-        # Guards against two words on one server in one list: the last one holds, for all who read it.
-        rows = list({str(row["name"]): row for row in value["endpoints"]}.values())
-        addresses = {str(row["name"]): _address(row["address"]) for row in rows if row.get("address")}
+        # Guards against two rows for one endpoint in one list: every reader goes by the last one.
+        rows = list({str(row["name"]): row for row in document["endpoints"]}.values())
+        addresses = {str(row["name"]): _parse_address(row["address"]) for row in rows if row.get("address")}
         unreachable = {name for name, address in addresses.items() if address is None}
         return EndpointList(
-            version=int(value["index"]),
-            is_snapshot=bool(value["snapshot"]),
-            endpoints=tuple(_listed(row, str(row["name"]) not in unreachable) for row in rows),
+            version=int(document["index"]),
+            is_snapshot=bool(document["snapshot"]),
+            endpoints=tuple(_parse_row(row, str(row["name"]) not in unreachable) for row in rows),
             addresses={name: address for name, address in addresses.items() if address is not None},
         )
     except (KeyError, TypeError, ValueError, AttributeError, OverflowError) as error:
-        raise ListUnavailable(f"malformed list: {error!r}") from error
+        raise ListUnavailableError(f"malformed list: {error!r}") from error
 
 
-def _address(text: Any) -> Address | None:
-    """None where there can be nobody: no connection can be tried there, and it must not fail in the node."""
+def _parse_address(text: Any) -> Address | None:
+    """Returns None for a port that cannot exist: a connection there must not fail inside the node."""
     address = address_of(text)
-    return address if 0 < address[1] <= PORT_MOST else None
+    return address if 0 < address[1] <= MAX_PORT else None
 
 
-def _listed(row: Mapping[str, Any], reachable: bool = True) -> ListedEndpoint:
-    since = float(row.get("since_ms") or 0)
-    if not math.isfinite(since):
+def _parse_row(row: Mapping[str, Any], reachable: bool) -> ListedEndpoint:
+    """Returns the endpoint of one row of the JSON document; raises ValueError for a start that is no time."""
+    started_at_ms = float(row.get("since_ms") or 0)
+    if not math.isfinite(started_at_ms):
         raise ValueError("since_ms is no time")
     return ListedEndpoint(
         name=str(row["name"]),
-        # Guards against sending to a server in a state this node does not know, or at no address.
-        state=_presence(row["status"], reachable),
-        started_at=since / 1000,
+        # Guards against requests to an endpoint in a state that this node does not know, or at no address.
+        state=_parse_state(row["status"], reachable),
+        started_at=started_at_ms / 1000,
         zone=str(row.get("zone") or ""),
         deduplication_group=None if row.get("group") is None else int(row["group"]),
     )
 
 
-def _presence(status: Any, reachable: bool) -> EndpointState:
-    found = PRESENCES.get(status, EndpointState.DRAINING)
-    return found if reachable or found is not EndpointState.ACTIVE else EndpointState.DRAINING
+def _parse_state(status: Any, reachable: bool) -> EndpointState:
+    """Returns the state for a status; an unknown status, and an unreachable endpoint, count as draining."""
+    state = STATE_BY_STATUS.get(status, EndpointState.DRAINING)
+    return state if reachable or state is not EndpointState.ACTIVE else EndpointState.DRAINING
 
 
-def row(server: ListedEndpoint, address: str | None) -> dict[str, object]:
-    """A server in the list's own form."""
+def format_row(endpoint: ListedEndpoint, address: str | None) -> dict[str, object]:
+    """Returns an endpoint as a row of the JSON document."""
     return {
-        "name": server.name,
+        "name": endpoint.name,
         "address": address,
-        "zone": server.zone,
-        "group": server.deduplication_group,
-        "status": STATUSES[server.state],
-        "since_ms": server.started_at * 1000,
+        "zone": endpoint.zone,
+        "group": endpoint.deduplication_group,
+        "status": STATUS_BY_STATE[endpoint.state],
+        "since_ms": endpoint.started_at * 1000,
     }
--- a/notchjunction/discovery/endpoints.py
+++ b/notchjunction/discovery/endpoints.py
@@ -1,4 +1,4 @@
-"""What the list says of an endpoint."""
+"""An endpoint as the endpoint list describes it."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class EndpointState(Enum):
-    """What the list says of a server."""
+    """Whether an endpoint may get new requests, by the endpoint list."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """A server in the list; a cell that is not given is shared with no other server."""
+    """An endpoint in the list.
+
+    `started_at` is in s of Unix time, 0 where the list gives none. An endpoint without a deduplication group
+    shares its group with no other.
+    """
 
     name: str
     state: EndpointState
--- a/notchjunction/discovery/known_endpoints.py
+++ b/notchjunction/discovery/known_endpoints.py
@@ -1,4 +1,4 @@
-"""The servers that this node knows of, as the list and its changes have told them so far. No sockets."""
+"""The endpoints that this node knows, from the endpoint list and its changes so far. No I/O."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 from dataclasses import replace
 
 from notchjunction.addresses import Address, text_of
-from notchjunction.discovery.endpoint_list import EndpointList, row
+from notchjunction.discovery.endpoint_list import EndpointList, format_row
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 
 
 class KnownEndpoints:
-    """Servers by name, and their addresses; one that the list says is gone is not kept."""
+    """Endpoints by name, and their addresses; removed ones are dropped."""
 
     def __init__(self) -> None:
         self._endpoints: dict[str, ListedEndpoint] = {}
@@ -20,68 +20,70 @@
     def __len__(self) -> int:
         return len(self._endpoints)
 
-    def apply(self, news: EndpointList) -> EndpointList:
-        """Takes in a list or changes; what of it is new, as changes wherever anything was known before."""
-        if news.is_stale:
-            news = replace(news, endpoints=tuple(self._still_drained(server) for server in news.endpoints))
-        if news.is_snapshot and self._endpoints:
-            # Guards against a whole list of thousands that holds up the node: most of it is known.
-            news = self._differences(news)
-        self._addresses.update(news.addresses)
-        self._endpoints.update({server.name: server for server in news.endpoints})
-        for server in news.endpoints:
-            if server.state is EndpointState.REMOVED:
-                self._addresses.pop(server.name, None)
-                self._endpoints.pop(server.name, None)
-        return news
+    def apply(self, update: EndpointList) -> EndpointList:
+        """Applies an update; returns what of it is new, as changes if any endpoint was known before."""
+        if update.is_stale:
+            update = replace(
+                update, endpoints=tuple(self._keep_draining(endpoint) for endpoint in update.endpoints)
+            )
+        if update.is_snapshot and self._endpoints:
+            # Guards against a snapshot of thousands of endpoints that holds up the node: most are known.
+            update = self._differences(update)
+        self._addresses.update(update.addresses)
+        self._endpoints.update({endpoint.name: endpoint for endpoint in update.endpoints})
+        for endpoint in update.endpoints:
+            if endpoint.state is EndpointState.REMOVED:
+                self._addresses.pop(endpoint.name, None)
+                self._endpoints.pop(endpoint.name, None)
+        return update
 
-    def active(self, barred: Collection[str]) -> dict[str, Address]:
-        """Who may get anything new, and where: by the list, and by the operators who barred some."""
+    def active(self, banned: Collection[str]) -> dict[str, Address]:
+        """Returns the addresses of endpoints that may get new requests: active and not `banned`."""
         return {
             name: self._addresses[name]
-            for name, server in self._endpoints.items()
-            if server.state is EndpointState.ACTIVE and name in self._addresses and name not in barred
+            for name, endpoint in self._endpoints.items()
+            if endpoint.state is EndpointState.ACTIVE and name in self._addresses and name not in banned
         }
 
     def rows(self) -> list[dict[str, object]]:
-        """All of them in the list's own form."""
+        """Returns all endpoints as rows of the list's JSON document."""
         return [
-            row(server, text_of(self._addresses[name]) if name in self._addresses else None)
-            for name, server in self._endpoints.items()
+            format_row(endpoint, text_of(self._addresses[name]) if name in self._addresses else None)
+            for name, endpoint in self._endpoints.items()
         ]
 
-    def _differences(self, whole: EndpointList) -> EndpointList:
-        """A whole list as changes to what is known: what it doesn't name is gone."""
-        named = {server.name for server in whole.endpoints}
-        changed = [server for server in whole.endpoints if self._has_changed(server, whole)]
-        gone = [
-            replace(server, state=EndpointState.REMOVED)
-            for name, server in self._endpoints.items()
-            if name not in named
+    def _differences(self, snapshot: EndpointList) -> EndpointList:
+        """Returns a snapshot as changes to what is known; what it does not name is removed."""
+        listed = {endpoint.name for endpoint in snapshot.endpoints}
+        changed = [endpoint for endpoint in snapshot.endpoints if self._has_changed(endpoint, snapshot)]
+        removed = [
+            replace(endpoint, state=EndpointState.REMOVED)
+            for name, endpoint in self._endpoints.items()
+            if name not in listed
         ]
-        for server in changed:
-            self._addresses.pop(server.name, None)
+        for endpoint in changed:
+            self._addresses.pop(endpoint.name, None)
         addresses = {
-            server.name: whole.addresses[server.name] for server in changed if server.name in whole.addresses
+            endpoint.name: snapshot.addresses[endpoint.name]
+            for endpoint in changed
+            if endpoint.name in snapshot.addresses
         }
-        return replace(whole, is_snapshot=False, endpoints=(*changed, *gone), addresses=addresses)
+        return replace(snapshot, is_snapshot=False, endpoints=(*changed, *removed), addresses=addresses)
 
-    def _has_changed(self, server: ListedEndpoint, whole: EndpointList) -> bool:
-        name = server.name
-        return self._endpoints.get(name) != server or self._addresses.get(name) != whole.addresses.get(name)
+    def _has_changed(self, endpoint: ListedEndpoint, snapshot: EndpointList) -> bool:
+        name = endpoint.name
+        return self._endpoints.get(name) != endpoint or self._addresses.get(name) != snapshot.addresses.get(
+            name
+        )
 
-    def _still_drained(self, server: ListedEndpoint) -> ListedEndpoint:
-        """Guards against taking a server's drain back on older word; only another start does.
+    def _keep_draining(self, endpoint: ListedEndpoint) -> ListedEndpoint:
+        """Guards against a stale list that ends an endpoint's drain; only another start of it does.
 
-        Another, and not a later one: the wall clock that tells of starts may have been stepped back.
+        Another start, not a later one: the wall clock that starts are given by may have been stepped back.
         """
-        known = self._endpoints.get(server.name)
-        if (
-            known is None
-            or known.state is not EndpointState.DRAINING
-            or server.started_at != known.started_at
-        ):
-            return server
-        return (
-            replace(server, state=EndpointState.DRAINING) if server.state is EndpointState.ACTIVE else server
-        )
+        known = self._endpoints.get(endpoint.name)
+        if known is None or known.state is not EndpointState.DRAINING:
+            return endpoint
+        if endpoint.started_at != known.started_at or endpoint.state is not EndpointState.ACTIVE:
+            return endpoint
+        return replace(endpoint, state=EndpointState.DRAINING)
--- a/notchjunction/discovery/start_times.py
+++ b/notchjunction/discovery/start_times.py
@@ -1,8 +1,8 @@
-"""When servers started, on this node's own clock, whatever becomes of the wall clock.
+"""When endpoints started, on this node's own clock, whatever becomes of the wall clock.
 
-The list tells a server's start as the wall clock's time. That clock may be stepped, by up to an hour,
-between the server's start, the list's news of it, and this node's own start. A server that has just started
-would then pass for a warm one, or stay cold for an hour. Pure.
+The list gives an endpoint's start as wall-clock time. That clock may be stepped, by up to an hour, between
+the endpoint's start, the update that lists it, and this node's own start. An endpoint that has just started
+would then pass for a warm one, or stay in slow start for an hour. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -10,80 +10,96 @@
 from collections import OrderedDict
 from collections.abc import Mapping, Sequence
 from dataclasses import dataclass
+from typing import NamedTuple
 
-LISTED_LATE = 3.0  # s that a list may be late with a start; an older one that is news is not believed
-STEP_MOST = 3600.0  # s by which the wall clock may have been stepped before this process began
-SAME_WITHIN = 0.001  # s by which two words of one start may differ; the list has milliseconds
-KEPT_MOST = 8192  # names of servers remembered, also of those that left; over twice the largest fleet
+# The list may give a start this late; a start that is new and older than that is not believed.
+MAX_LISTING_DELAY_S = 3.0
+# The wall clock may have been stepped by this much before this process started.
+MAX_CLOCK_STEP_S = 3600.0
+# Two listed times of one start may differ by less than this; the list has milliseconds.
+LISTED_TIME_TOLERANCE_S = 0.001
+# Endpoints remembered, also those that were removed; over twice the largest fleet.
+MAX_TRACKED_ENDPOINTS = 8192
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointStart:
-    """One start of a server: as the list tells it, and on the node's clock (s)."""
+    """One start of an endpoint: as listed (s of Unix time), and on the node's clock (s)."""
 
     listed_at: float
     started_at: float
 
 
+class EndpointAge(NamedTuple):
+    """One start of an endpoint: as listed (s of Unix time), and its age (s); in JSON a pair."""
+
+    listed_at: float
+    age: float
+
+
 class StartTimes:
-    """The starts of all servers that were heard of lately."""
+    """The starts of all endpoints that were listed lately."""
 
     def __init__(self, now: float) -> None:
-        """`now` is the node's clock (s) as this process begins."""
+        """`now` is the node's clock (s) as this process starts."""
         self._process_started_at = now
         self._starts: OrderedDict[str, EndpointStart] = OrderedDict()
         self._list_received_at: float | None = None
 
-    def started_at(self, name: str, told: float, now: float, wall: float) -> float:
-        """The start of a server on the node's clock (s), by the list's word `told`; 0: long ago.
+    def started_at(self, name: str, listed_at: float, now: float, wall_time: float) -> float:
+        """Returns an endpoint's start on the node's clock (s); 0: long before.
 
-        `now` is the node's clock and `wall` the wall clock, both as the word came.
+        Args:
+            name: the endpoint.
+            listed_at: its start as the list gives it (s of Unix time); 0: none given.
+            now: the node's clock (s) as the update came.
+            wall_time: the wall clock (s of Unix time) as the update came.
         """
         known = self._starts.get(name)
-        if known is not None and abs(known.listed_at - told) < SAME_WITHIN:
+        if known is not None and abs(known.listed_at - listed_at) < LISTED_TIME_TOLERANCE_S:
             self._starts.move_to_end(name)
             return known.started_at
-        start = EndpointStart(told, now - self._age(told, now, wall) if told > 0 else 0.0)
-        self._keep(name, start)
-        return start.started_at
+        started_at = now - self._estimate_age(listed_at, now, wall_time) if listed_at > 0 else 0.0
+        self._store(name, EndpointStart(listed_at, started_at))
+        return started_at
 
-    def ages(self, now: float) -> Mapping[str, tuple[float, float]]:
-        """By server, a start as the list tells it and its age (s), of those that a clock may hide.
+    def ages(self, now: float) -> Mapping[str, EndpointAge]:
+        """Returns the starts whose age a clock step may hide, by endpoint.
 
-        For another process of this node, which can't tell how old they are.
+        For another process of this node, which has no other way to know how old they are.
         """
         return {
-            name: (start.listed_at, now - start.started_at)
+            name: EndpointAge(start.listed_at, now - start.started_at)
             for name, start in self._starts.items()
-            if start.started_at > 0 and now - start.started_at < 2 * STEP_MOST
+            if start.started_at > 0 and now - start.started_at < 2 * MAX_CLOCK_STEP_S
         }
 
     def restore(self, ages: Mapping[str, Sequence[float]], now: float) -> None:
-        """Takes what another process of this node knows; TypeError, ValueError or AttributeError if unfit."""
-        for name, (told, age) in ages.items():
-            self._keep(name, EndpointStart(float(told), now - float(age)))
+        """Restores another process's `ages`; raises TypeError, ValueError or AttributeError if malformed."""
+        for name, (listed_at, age) in ages.items():
+            self._store(name, EndpointStart(float(listed_at), now - float(age)))
 
-    def _keep(self, name: str, start: EndpointStart) -> None:
+    def _store(self, name: str, start: EndpointStart) -> None:
         self._starts[name] = start
         self._starts.move_to_end(name)
-        if len(self._starts) > KEPT_MOST:
+        if len(self._starts) > MAX_TRACKED_ENDPOINTS:
             self._starts.popitem(last=False)
 
     def list_received(self, now: float) -> None:
-        """Discovery's word has been taken in whole: what it did not name had not started by then."""
+        """Notes that an update has been taken in whole: what it did not list had not started by then."""
         self._list_received_at = now
 
-    def _age(self, told: float, now: float, wall: float) -> float:
-        """s since a start that is news: the least that it can be."""
-        by_wall = wall - told
+    def _estimate_age(self, listed_at: float, now: float, wall_time: float) -> float:
+        """Returns the smallest age (s) that a start which was not known can have."""
+        wall_age = wall_time - listed_at
         if self._list_received_at is None:
-            # In the first word from discovery it may lie before this process: then it is as old as the wall
-            # clock says, less any step of that clock since. One taken for older is pushed as it warms up.
-            if by_wall > now - self._process_started_at:
-                return max(0.0, by_wall - STEP_MOST)
-        elif by_wall > now - self._list_received_at + LISTED_LATE:
+            # In the first update it may lie before this process: then it is as old as the wall clock says,
+            # less any step of that clock since. One taken for older would be overloaded as it warms up.
+            if wall_age > now - self._process_started_at:
+                return max(0.0, wall_age - MAX_CLOCK_STEP_S)
+        elif wall_age > now - self._list_received_at + MAX_LISTING_DELAY_S:
             return 0.0
         # The node's own clock was set by the wall clock once, and never stepped: a step of the wall clock in
         # either direction makes one of the two ages too great.
-        by_own = now - told
-        return max(0.0, min(by_wall, by_own) if by_own >= 0 else by_wall)
+        own_age = now - listed_at
+        return max(0.0, min(wall_age, own_age) if own_age >= 0 else wall_age)
--- a/notchjunction/discovery/watch_state.py
+++ b/notchjunction/discovery/watch_state.py
@@ -1,16 +1,18 @@
-"""One clock for the list of servers: what follows from each end of a call for it, and what counts as told.
-
-A change counts as told so long after discovery had it and could be reached, whatever became of the call that
-was to bring it. A watch may be dead without a sign, so none waits longer than leaves time to find out and to
-ask again. A call that stays silent is broken, not refused: it is made again at once, on a new connection, and
-may not wait. A refused one, or one whose connection broke, is made again after a pause, so that nodes do not
-keep one another out.
-
-A call that discovery refuses because it has waited costs it as much as one that it answers. Nodes that come
-again too soon are then refused for ever, all of them, long after what caused the crowd is over. So who has
-met such a crowd, or is one of many nodes, spreads its tries over 5 s, also where discovery is merely down;
-and who is refused for having waited comes again after a span that doubles. A place that is down may refuse
-calls in the same way: then neither holds until a new call was refused at once, or many were not. Pure.
+"""The state machine of one node's watch on the endpoint list: when to poll, and from when changes count.
+
+A change counts from `CHANGE_EFFECTIVE_AFTER_S` after discovery had it and was reachable, whatever became of
+the poll that should have delivered it. A watch may be dead without a sign, so no poll waits longer than
+leaves time to detect that and to poll again. A poll that times out is retried at once, on a new connection
+and without waiting. A poll that is rejected, or whose connection breaks, is retried after a backoff, so
+that nodes do not keep one another out.
+
+A poll that discovery rejects after queueing costs it as much as one that it answers. Nodes that retry too
+soon would therefore be rejected forever, long after the cause of the overload is over. So a node that has
+met such an overload, or is one of many nodes, spreads its retries over 5 s, also where discovery is merely
+down, and after a rejection from the queue it backs off exponentially. A discovery that is down may reject
+polls in the same way; so neither rule applies before a new poll was rejected immediately, or many were not.
+
+Pure: no I/O and no clock. All moments are seconds on the node's clock.
 """
 
 from __future__ import annotations
@@ -18,220 +20,270 @@
 import math
 from enum import Enum, auto
 from random import Random
-from typing import NamedTuple
-
-TOLD_AFTER = 6.0  # s after discovery had a change and could be reached from which it counts; the protocol's
-SILENT_AFTER = 0.5  # s past its wait, or without a further byte, after which a watch is broken
-DRIP_MOST = 4.0  # s past that in which a list that has begun to come is whole; the last of it counts in time
-BUSY_MOST = 1.5  # s in which a call that may not wait is answered; what waits for a second is refused
-BUSY_SPREAD = 0.3  # of that, at random, that it is shorter, as many nodes may have fallen silent together
-WAIT_MOST = TOLD_AFTER - SILENT_AFTER - BUSY_MOST  # s that a call waits: a silent one is made again in time
-WAIT_SHARE = 0.75  # of the time within which the list must be asked for, where that is shorter
-WAIT_SPREAD = 0.3  # of a wait, at random, that it is shorter, so that nodes' watches do not end together
-SILENT_MOST = 6.0  # s in which it is answered however many stayed silent before it; each has twice the time
-RENEW_LEAST = 0.25  # s before the list is asked for again after a failed call
-RENEW_MORE = 0.9  # s more for each failure, evenly at random from none, so that crowds come apart
-RENEW_STEPS = 3  # failures that count for it: tries 3 s apart at most, half of what a change may be late
-RENEW_SPREAD = 4.75  # s more, likewise, of a crowd: tries begin 5 s apart at most, and a second to answer
-CROWD_NODES = 16  # nodes of a tier from which on they may be a crowd: fewer are answered in a moment
-CROWDED_AFTER = 0.25  # s after which a call that is refused has waited; one at a place that is down has not
-CROWDED_WITHIN = 2.5  # s; what was refused later had come through the queue, and was held as a watch
-CROWD_DOUBTED = 6  # such refusals in a row that may as well come of a place that is down and slow to say so
-CROWD_PAUSE = 2.0  # s before a call that waited in vain is made again, and twice that after each further one
-CROWD_SPREAD = 3.0  # s more, evenly at random from none, and twice that likewise
-CROWD_MOST = 12.0  # s of either; over the time in which discovery can answer any fleet once
-MOVE_SPREAD = 2.5  # s over which many nodes go to a new place; what it has counts 4 s after the signal
-AGENT_PAUSE = 0.1  # s, and as much again at random, before an agent that pushes lists is asked again
-FIRST_WITHIN = (
-    3.0  # s that a new process waits for the agent's word; then the remembered list is all there is
-)
+
+from notchjunction.state_table import StateTable, Transition
+
+# A change counts this long after discovery had it and was reachable; set by the protocol.
+CHANGE_EFFECTIVE_AFTER_S = 6.0
+# A watch is broken this long after the end of its wait, or after the last byte of its response.
+RESPONSE_GRACE_S = 0.5
+# A response that has begun is complete this long after that; so the last of it still comes in time.
+MAX_TRANSFER_S = 4.0
+# A poll without a wait is answered in this time; discovery rejects what has queued for a second.
+IMMEDIATE_POLL_TIMEOUT_S = 1.5
+# Share of that timeout by which it is shortened at random, as many nodes may have timed out together.
+IMMEDIATE_POLL_JITTER = 0.3
+# Upper bound of that timeout, which doubles with each poll in a row that times out.
+MAX_IMMEDIATE_POLL_TIMEOUT_S = 6.0
+# A poll waits at most this long: one that times out is retried before what it missed counts.
+MAX_POLL_WAIT_S = CHANGE_EFFECTIVE_AFTER_S - RESPONSE_GRACE_S - IMMEDIATE_POLL_TIMEOUT_S
+# Share of the poll interval that a poll waits, where that is shorter.
+POLL_WAIT_SHARE = 0.75
+# Share of a wait by which it is shortened at random, so that the nodes' watches do not end together.
+POLL_WAIT_JITTER = 0.3
+# Shortest backoff after a failed poll.
+MIN_BACKOFF_S = 0.25
+# Added for each failure, drawn evenly from 0, so that polls of many nodes spread out.
+BACKOFF_STEP_S = 0.9
+# Failures that count for that: retries are at most 3 s apart, half of what a change may be late.
+MAX_BACKOFF_STEPS = 3
+# Added instead where nodes may overload discovery: retries start at most 5 s apart, and 1 s for a response.
+OVERLOAD_RETRY_SPREAD_S = 4.75
+# Nodes of a tier that may overload discovery; fewer are answered in a moment.
+OVERLOAD_NODE_COUNT = 16
+# A poll that is rejected after less than this has not queued: discovery is down.
+MIN_QUEUED_S = 0.25
+# A poll that is rejected after more than this had passed the queue, and was waiting as a watch.
+MAX_QUEUED_S = 2.5
+# Rejections from the queue in a row that may as well come from a discovery that is down and slow to reject.
+DOUBTED_RATE_LIMITS = 6
+# Backoff after a rejection from the queue; it doubles with each further one.
+OVERLOAD_BACKOFF_S = 2.0
+# Added to that, drawn evenly from 0; it doubles likewise.
+OVERLOAD_BACKOFF_SPREAD_S = 3.0
+# Upper bound of either; longer than discovery needs to answer a fleet of any size once.
+MAX_OVERLOAD_BACKOFF_S = 12.0
+# Many nodes move to a new address over this time; what it has counts 4 s after the signal.
+ADDRESS_CHANGE_SPREAD_S = 2.5
+# Backoff before an agent that pushes lists is polled again, and as much again at random.
+AGENT_BACKOFF_S = 0.1
+# A new process waits this long for the agent's first response; then only the cached list is left.
+AGENT_INITIAL_WAIT_S = 3.0
 
 
 class WatchState(Enum):
-    NEW = auto()  # nothing was answered yet
-    WATCHING = auto()  # the last call was answered, and the next one is out
-    UNRESPONSIVE = auto()  # the last call ended without a word
-    REJECTED = auto()  # discovery has more callers than it answers
-    DOWN = auto()  # its connection broke, or never came up
+    """What the last poll says of discovery."""
+
+    NEW = auto()  # no poll has been answered yet
+    WATCHING = auto()  # the last poll was answered, and the next one is under way
+    UNRESPONSIVE = auto()  # the last poll ended without a response
+    REJECTED = auto()  # discovery has more clients than it answers
+    DOWN = auto()  # the connection broke, or could not be opened
 
 
 class WatchEvent(Enum):
+    """How a poll ended."""
+
     ANSWERED = auto()
     TIMED_OUT = auto()
     REJECTED = auto()
-    RATE_LIMITED = auto()  # refused because it has waited too long
+    RATE_LIMITED = auto()  # rejected because it has queued too long
     CONNECTION_LOST = auto()
-    ADDRESS_CHANGED = auto()  # the configuration names another place
+    ADDRESS_CHANGED = auto()  # the configuration names another address of discovery
 
 
 class PollAction(Enum):
-    CONTINUE = auto()  # the next call, at once
-    RETRY_NOW = auto()  # the same, on a new connection, and it may not wait
-    BACK_OFF = auto()  # the same after a pause
-    RESUME = auto()  # the next call, at once; there was trouble, and it is over
+    """What follows the end of a poll."""
 
-
-class Transition(NamedTuple):
-    state: WatchState
-    event: WatchEvent
-    next_state: WatchState
-    action: PollAction
+    CONTINUE = auto()  # poll at once
+    RETRY_NOW = auto()  # poll at once, on a new connection and without a wait
+    BACK_OFF = auto()  # poll after a backoff
+    RESUME = auto()  # poll at once; discovery has recovered
 
 
 S, E, Do = WatchState, WatchEvent, PollAction
-TABLE = (
-    Transition(S.NEW, E.ANSWERED, S.WATCHING, Do.CONTINUE),
-    Transition(S.NEW, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.NEW, E.REJECTED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.NEW, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.NEW, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
-    Transition(S.NEW, E.ADDRESS_CHANGED, S.NEW, Do.CONTINUE),
-    Transition(S.WATCHING, E.ANSWERED, S.WATCHING, Do.CONTINUE),
-    # Guards against news that is missed while a silent call's successor waits its turn.
-    Transition(S.WATCHING, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.WATCHING, E.REJECTED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.WATCHING, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.WATCHING, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
-    Transition(S.WATCHING, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
-    Transition(S.UNRESPONSIVE, E.ANSWERED, S.WATCHING, Do.RESUME),
-    Transition(S.UNRESPONSIVE, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.UNRESPONSIVE, E.REJECTED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.UNRESPONSIVE, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.UNRESPONSIVE, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
-    Transition(S.UNRESPONSIVE, E.ADDRESS_CHANGED, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.REJECTED, E.ANSWERED, S.WATCHING, Do.RESUME),
-    Transition(S.REJECTED, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.REJECTED, E.REJECTED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.REJECTED, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.REJECTED, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
-    Transition(S.REJECTED, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
-    Transition(S.DOWN, E.ANSWERED, S.WATCHING, Do.RESUME),
-    Transition(S.DOWN, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
-    Transition(S.DOWN, E.REJECTED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.DOWN, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
-    Transition(S.DOWN, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
-    Transition(S.DOWN, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+TABLE = StateTable[WatchState, WatchEvent, PollAction](
+    (
+        Transition(S.NEW, E.ANSWERED, S.WATCHING, Do.CONTINUE),
+        Transition(S.NEW, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.NEW, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.NEW, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.NEW, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+        Transition(S.NEW, E.ADDRESS_CHANGED, S.NEW, Do.CONTINUE),
+        Transition(S.WATCHING, E.ANSWERED, S.WATCHING, Do.CONTINUE),
+        # Guards against missing changes while the poll after a timed-out one waits its turn.
+        Transition(S.WATCHING, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.WATCHING, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.WATCHING, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.WATCHING, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+        Transition(S.WATCHING, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+        Transition(S.UNRESPONSIVE, E.ANSWERED, S.WATCHING, Do.RESUME),
+        Transition(S.UNRESPONSIVE, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.UNRESPONSIVE, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.UNRESPONSIVE, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.UNRESPONSIVE, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+        Transition(S.UNRESPONSIVE, E.ADDRESS_CHANGED, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.REJECTED, E.ANSWERED, S.WATCHING, Do.RESUME),
+        Transition(S.REJECTED, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.REJECTED, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.REJECTED, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.REJECTED, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+        Transition(S.REJECTED, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+        Transition(S.DOWN, E.ANSWERED, S.WATCHING, Do.RESUME),
+        Transition(S.DOWN, E.TIMED_OUT, S.UNRESPONSIVE, Do.RETRY_NOW),
+        Transition(S.DOWN, E.REJECTED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.DOWN, E.RATE_LIMITED, S.REJECTED, Do.BACK_OFF),
+        Transition(S.DOWN, E.CONNECTION_LOST, S.DOWN, Do.BACK_OFF),
+        Transition(S.DOWN, E.ADDRESS_CHANGED, S.WATCHING, Do.CONTINUE),
+    )
 )
-ROWS = {(row.state, row.event): row for row in TABLE}
 
 
-def renewal_pause(failures: int, random: Random, most: float = math.inf) -> float:
-    """s before the list is asked for again after so many failed calls; spread over at most so many s."""
-    more = min(RENEW_MORE * min(failures, RENEW_STEPS), most)
-    return RENEW_LEAST + more * random.random()
+def poll_backoff(failures: int, random: Random, max_spread: float = math.inf) -> float:
+    """Returns the time (s) before the list is polled again after `failures` failed polls in a row.
+
+    Args:
+        failures: polls in a row that failed.
+        random: the source of the backoff's random part, one draw.
+        max_spread: upper bound (s) of the random part.
+    """
+    spread = min(BACKOFF_STEP_S * min(failures, MAX_BACKOFF_STEPS), max_spread)
+    return MIN_BACKOFF_S + spread * random.random()
 
 
 class ListWatch:
-    """One node's calls for the list, of so many nodes of its tier.
+    """One node's watch on the endpoint list: timing of its polls, and what may be outdated."""
 
-    `ask_within` in s, 0: none stated; `pushed`: an agent has the list.
-    """
+    def __init__(self, poll_interval: float, pushed: bool = False, seed: int = 0, nodes: int = 1) -> None:
+        """Starts without an answered poll.
 
-    def __init__(self, ask_within: float, pushed: bool = False, seed: int = 0, nodes: int = 1) -> None:
+        Args:
+            poll_interval: time (s) within which the list must be polled; 0: none given.
+            pushed: an agent beside the node pushes the list.
+            seed: seed of the random parts of waits and backoffs.
+            nodes: nodes of this node's tier.
+        """
         self._pushed = pushed
         self._random = Random(f"list {seed}")
-        self._wait_most = min(WAIT_MOST, ask_within * WAIT_SHARE) if ask_within > 0 else WAIT_MOST
-        self._ask_within = ask_within
-        self._began = -math.inf
-        self._failures = 0  # calls in a row that were refused or broke
-        self._crowds = 0  # of those, the last ones that had waited
-        self._silences = 0  # calls in a row that ended without a word
-        self._failed_at_once = False  # since the last answer: a place that is down is quick to say so
-        self._waited = 0.0  # s that the last call that failed was out
-        self._may_be_crowd = nodes >= CROWD_NODES
-        self._moved = False
-        self._missed_since = math.inf
+        self._max_wait = (
+            min(MAX_POLL_WAIT_S, poll_interval * POLL_WAIT_SHARE) if poll_interval > 0 else MAX_POLL_WAIT_S
+        )
+        self._poll_interval = poll_interval
+        self._poll_started_at = -math.inf
+        self._failures = 0  # polls in a row that were rejected or whose connection broke
+        self._rate_limits = 0  # the latest of those in a row that were rejected from the queue
+        self._timeouts = 0  # polls in a row that timed out
+        self._failed_immediately = False  # since the last response: a discovery that is down is quick to fail
+        self._failed_poll_duration = 0.0  # s that the last failed poll was under way
+        self._may_overload = nodes >= OVERLOAD_NODE_COUNT
+        self._address_changed = False  # and the new address has not answered yet
+        self._possibly_outdated_since = math.inf
         self.state = WatchState.NEW
 
     def next_wait(self, known: bool) -> float:
-        """s that the next call may wait; `known`: there is a version to watch from.
+        """Returns the time (s) that the next poll may wait at discovery for a change.
 
-        Never longer, also where calls are refused: a watch that goes on is no new call to discovery.
+        It does not grow where polls are rejected: a watch that is renewed is no new poll to discovery.
+
+        Args:
+            known: there is a version to watch from.
         """
-        if not known or self._moved or self.state is WatchState.UNRESPONSIVE:
-            return 0.0  # an answer at once tells what was missed; the watch goes on from it
-        return self._wait_most * (1 - WAIT_SPREAD * self._random.random())
+        if not known or self._address_changed or self.state is WatchState.UNRESPONSIVE:
+            return 0.0  # a response at once brings what was missed; the watch goes on from there
+        return self._max_wait * (1 - POLL_WAIT_JITTER * self._random.random())
 
     def poll_started(self, now: float, wait: float) -> float:
-        """A call goes out; s from now at which it is silent, if no byte of its answer has come."""
-        self._began = now
+        """Starts a poll that waits `wait` s; returns its timeout (s) if no byte of a response comes."""
+        self._poll_started_at = now
         if wait > 0:
-            return wait + SILENT_AFTER
-        # Guards against a busy discovery that works through calls which were given up a moment before.
-        patience: float = BUSY_MOST * 2 ** max(0, self._silences - 1)
-        return min(patience, SILENT_MOST) * (1 - BUSY_SPREAD * self._random.random())
+            return wait + RESPONSE_GRACE_S
+        # Guards against a busy discovery that works through polls which have timed out a moment before.
+        timeout: float = IMMEDIATE_POLL_TIMEOUT_S * 2 ** max(0, self._timeouts - 1)
+        jitter = 1 - IMMEDIATE_POLL_JITTER * self._random.random()
+        return min(timeout, MAX_IMMEDIATE_POLL_TIMEOUT_S) * jitter
 
     def classify_rejection(self, now: float) -> WatchEvent:
-        """What a refusal of the call that is out means: a place that is down, or too many callers."""
-        waited = now - self._began
-        # A watch that goes on is in no queue: it ends as discovery goes down.
-        in_queue = self.state is not WatchState.WATCHING and CROWDED_AFTER <= waited <= CROWDED_WITHIN
-        return WatchEvent.RATE_LIMITED if in_queue else WatchEvent.REJECTED
+        """Tells whether a rejection of the current poll means an outage or an overload of discovery."""
+        duration = now - self._poll_started_at
+        # A watch that is renewed is in no queue: it ends as discovery goes down.
+        was_queued = self.state is not WatchState.WATCHING and MIN_QUEUED_S <= duration <= MAX_QUEUED_S
+        return WatchEvent.RATE_LIMITED if was_queued else WatchEvent.REJECTED
 
     def poll_ended(self, event: WatchEvent, now: float) -> PollAction:
-        """How the last call ended."""
-        # Guards against a new place that is silent: what it has counts soon after the move.
-        self._moved = event is WatchEvent.ADDRESS_CHANGED or (
-            self._moved and event is not WatchEvent.ANSWERED
+        """Takes in how the last poll ended; returns what follows."""
+        # Guards against a new address that is unresponsive: what it has counts soon after the change.
+        self._address_changed = event is WatchEvent.ADDRESS_CHANGED or (
+            self._address_changed and event is not WatchEvent.ANSWERED
         )
-        self._count(event, now)
+        self._count_poll(event, now)
         if event is WatchEvent.ANSWERED:
-            self._missed_since = math.inf
+            self._possibly_outdated_since = math.inf
         elif event is not WatchEvent.ADDRESS_CHANGED:
-            # A silent call may have missed what came right after it began; the first one's clock runs on,
-            # whatever becomes of its successors.
-            self._missed_since = min(
-                self._missed_since, self._began if event is WatchEvent.TIMED_OUT else now
+            # A timed-out poll may have missed what came right after it started; the clock of the first one
+            # runs on, whatever becomes of its successors.
+            self._possibly_outdated_since = min(
+                self._possibly_outdated_since, self._poll_started_at if event is WatchEvent.TIMED_OUT else now
             )
-        row = ROWS[self.state, event]
-        self.state = row.next_state
-        return row.action
+        transition = TABLE[self.state, event]
+        self.state = transition.next_state
+        return transition.action
 
-    def _count(self, event: WatchEvent, now: float) -> None:
+    def _count_poll(self, event: WatchEvent, now: float) -> None:
+        """Counts failures in a row, and whether they look like an outage or an overload."""
         if event is WatchEvent.ANSWERED:
-            self._failures = self._crowds = self._silences = 0
-            self._failed_at_once = False
+            self._failures = self._rate_limits = self._timeouts = 0
+            self._failed_immediately = False
         elif event is WatchEvent.TIMED_OUT:
-            self._silences += 1
+            self._timeouts += 1
         elif event is not WatchEvent.ADDRESS_CHANGED:
             self._failures += 1
-            self._silences = 0
-            self._crowds = self._crowds + 1 if event is WatchEvent.RATE_LIMITED else 0
-            # A watch that goes on ends as discovery goes down; that says nothing of new calls.
+            self._timeouts = 0
+            self._rate_limits = self._rate_limits + 1 if event is WatchEvent.RATE_LIMITED else 0
+            # A watch that is renewed ends as discovery goes down; that says nothing of new polls.
             is_new = self.state is not WatchState.WATCHING
-            self._waited = now - self._began if is_new else 0.0
-            self._failed_at_once = self._failed_at_once or (is_new and self._waited < CROWDED_AFTER)
-            self._may_be_crowd = self._may_be_crowd or event is WatchEvent.RATE_LIMITED
+            self._failed_poll_duration = now - self._poll_started_at if is_new else 0.0
+            self._failed_immediately = self._failed_immediately or (
+                is_new and self._failed_poll_duration < MIN_QUEUED_S
+            )
+            self._may_overload = self._may_overload or event is WatchEvent.RATE_LIMITED
 
     def backoff(self) -> float:
-        """s before the list is asked for again after a call that was refused or broke."""
-        chance = self._random.random()
+        """Returns the time (s) before the next poll after one that was rejected or lost its connection."""
+        jitter = self._random.random()
         if self._pushed:
-            # Guards against a pause that grows without bound while what the agent has counts already.
-            return AGENT_PAUSE * (1 + chance)
-        # Guards against long pauses at a place that is down, and refuses each call only after a while.
-        crowds = self._crowds if self._failed_at_once else self._crowds - CROWD_DOUBTED
-        if crowds > 0:
-            times: float = 2 ** (crowds - 1)
-            return min(CROWD_PAUSE * times, CROWD_MOST) + min(CROWD_SPREAD * times, CROWD_MOST) * chance
-        if self._may_be_crowd and self._failed_at_once:
-            # From one try's beginning to the next: what came back meanwhile counts soon after.
-            return RENEW_LEAST + max(RENEW_MORE, RENEW_SPREAD - self._waited) * chance
-        return renewal_pause(self._failures, self._random, self._ask_within / 4 or math.inf)
+            # Guards against a backoff that grows without bound while what the agent has counts already.
+            return AGENT_BACKOFF_S * (1 + jitter)
+        # Guards against long backoffs where discovery is down, and rejects each poll only after a while.
+        rate_limits = (
+            self._rate_limits if self._failed_immediately else self._rate_limits - DOUBTED_RATE_LIMITS
+        )
+        if rate_limits > 0:
+            factor: float = 2 ** (rate_limits - 1)
+            spread = min(OVERLOAD_BACKOFF_SPREAD_S * factor, MAX_OVERLOAD_BACKOFF_S)
+            return min(OVERLOAD_BACKOFF_S * factor, MAX_OVERLOAD_BACKOFF_S) + spread * jitter
+        if self._may_overload and self._failed_immediately:
+            # From one poll's start to the next: what has come back meanwhile counts soon after.
+            spread = max(BACKOFF_STEP_S, OVERLOAD_RETRY_SPREAD_S - self._failed_poll_duration)
+            return MIN_BACKOFF_S + spread * jitter
+        return poll_backoff(self._failures, self._random, self._poll_interval / 4 or math.inf)
 
     def address_change_delay(self) -> float:
-        """s for which a node that is told of a new place goes on at the old one."""
-        # Guards against all nodes at the new place in one moment: most would be refused there.
-        return MOVE_SPREAD * self._random.random() if self._may_be_crowd and not self._pushed else 0.0
+        """Returns the time (s) for which a node keeps polling the old address after a change of it."""
+        # Guards against all nodes at the new address in one moment: most would be rejected there.
+        return (
+            ADDRESS_CHANGE_SPREAD_S * self._random.random()
+            if self._may_overload and not self._pushed
+            else 0.0
+        )
 
     def initial_wait(self) -> float:
-        """s that a new process waits for its first answer before it serves by the list that it remembers."""
-        # Guards against sends by a remembered list, where what the agent has counts from the first moment.
-        return FIRST_WITHIN if self._pushed else 0.0
+        """Returns how long (s) a new process waits for a first response before it uses a cached list."""
+        # Guards against attempts by a cached list where what the agent has counts from the first moment.
+        return AGENT_INITIAL_WAIT_S if self._pushed else 0.0
 
     def notified_by(self) -> float:
-        """The moment from which what this node may have missed counts as told; inf while all is told.
+        """Returns the moment from which what this node may have missed counts; inf while it is up to date.
 
-        As if discovery could be reached all along: what a node can't tell from a silent call.
+        As if discovery had been reachable all along, which a node cannot tell from a poll without a response.
         """
-        return self._missed_since + (0.0 if self._pushed else TOLD_AFTER)
+        return self._possibly_outdated_since + (0.0 if self._pushed else CHANGE_EFFECTIVE_AFTER_S)
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""Asks discovery for the list and follows it from the last version on."""
+"""The client of discovery: polls the endpoint list, and watches it from the last version on."""
 
 from __future__ import annotations
 
@@ -6,13 +6,19 @@
 import json
 import logging
 from collections.abc import Callable
-from dataclasses import replace
+from dataclasses import dataclass, replace
 from typing import Any
 
 from notchjunction import protocol
 from notchjunction.addresses import Address, text_of
-from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailable, read_list
-from notchjunction.discovery.watch_state import DRIP_MOST, SILENT_AFTER, ListWatch, PollAction, WatchEvent
+from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
+from notchjunction.discovery.watch_state import (
+    MAX_TRANSFER_S,
+    RESPONSE_GRACE_S,
+    ListWatch,
+    PollAction,
+    WatchEvent,
+)
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import AnswerReader
 from notchjunction.net.upstream_connection import (
@@ -26,139 +32,185 @@
 
 log = logging.getLogger(__name__)
 
-LIST_MOST = 8 * 1024 * 1024  # bytes of a list; tens of thousands of servers, and far under the memory limit
+# Bytes of a list: tens of thousands of endpoints, and far under the node's memory limit.
+MAX_LIST_BYTES = 8 * 1024 * 1024
+
+
+@dataclass(frozen=True, slots=True)
+class _Poll:
+    """A poll under way: when it started (s on the node's clock), and how long it may wait (s)."""
+
+    started_at: float
+    wait: float
 
 
 class DiscoveryClient:
+    """Polls discovery for the endpoint list, one poll at a time, over one connection that is kept.
+
+    `version` is the last version received, None before the first; `previous_version` the one before it;
+    `timeouts` counts polls that ended without a response.
+    """
+
     def __init__(
         self,
         address: Address,
-        following: ListWatch,
+        watch: ListWatch,
         clock: Callable[[], float],
-        spare_one: Callable[[], bool] = lambda: False,
+        free_descriptor: Callable[[], bool] = lambda: False,
         recorder: FlightRecorder | None = None,
     ) -> None:
+        """Prepares polls, without one yet.
+
+        Args:
+            address: where discovery listens.
+            watch: when to poll, and what follows from how a poll ended.
+            clock: the node's clock (s).
+            free_descriptor: closes something where descriptors run out; returns whether it did.
+            recorder: where ended polls are recorded.
+        """
         self._address = address
         self._recorder = recorder or FlightRecorder(clock)
-        self._spare_one = spare_one
-        self.watch = following
+        self._free_descriptor = free_descriptor
+        self.watch = watch
         self._clock = clock
         self._connection: UpstreamConnection | None = None
         self.version: int | None = None
-        self.version_before: int | None = None  # as the last news came
-        self._moved = False  # since the last call began
-        self._began = 0.0  # when the last call did
-        self._wait = 0.0  # s that it may wait
-        self.silences = 0  # calls that ended without a word
+        self.previous_version: int | None = None
+        self._address_changed = False  # since the last poll started
+        self._last_poll = _Poll(started_at=0.0, wait=0.0)
+        self.timeouts = 0
 
-    def remember(self, version: int) -> None:
+    def resume_from(self, version: int) -> None:
+        """Watches from a version that this node already has."""
         self.version = version
 
     def change_address(self, address: Address) -> None:
-        """Asks there from now on, from the last version on; the call that is out at the old place ends."""
+        """Polls another address from now on, from the last version on; ends a poll of the old address."""
         self._address = address
-        self._moved = True
+        self._address_changed = True
         self.close()
 
     async def next_update(self) -> EndpointList:
-        """The next news; asks anew whenever a call stays silent, and is Unusable where one fails."""
+        """Returns the next update, polling anew after each timeout.
+
+        Raises ListUnavailableError for any other failure of a poll.
+        """
         while True:
-            if self._moved:
-                # A call was ended by the move, or none was out (in a failed one's pause): no failure.
-                self._moved = False
+            if self._address_changed:
+                # The change ended a poll, or none was under way (during a backoff): that is no failure.
+                self._address_changed = False
                 self.watch.poll_ended(WatchEvent.ADDRESS_CHANGED, self._clock())
             try:
-                found = await self._ask()
-                event = WatchEvent.ANSWERED
-            except ListUnavailable as error:
-                event, failed = error.event, error
-            self._note_end(event)
-            if self._moved:
-                # Guards against a late answer from the old place, which no longer speaks for the list; but
-                # what it says of servers that close has been told.
-                if event is WatchEvent.ANSWERED and found.closures().endpoints:
-                    self.version_before = self.version
-                    return found.closures()
-                continue
-            match self.watch.poll_ended(event, self._clock()):
-                case PollAction.BACK_OFF:
-                    raise failed
-                case PollAction.RETRY_NOW:
-                    self.silences += 1
-                    log.warning("list poll timed out", extra=pairs(notified_in=round(self.notified_in(), 1)))
+                polled = await self._poll()
+            except ListUnavailableError as error:
+                self._record_poll(error.event)
+                if self._address_changed:
                     continue
-            if self.version is not None and found.version < self.version and not found.is_snapshot:
-                # Guards against a list that is counted anew: its changes would miss all that went before.
-                self.version = self.version_before = None
-                if found.closures().endpoints:
-                    return found.closures()
+                if self._poll_failed(error.event) is PollAction.BACK_OFF:
+                    raise
                 continue
-            older = self.version is not None and found.version < self.version
-            self.version_before, self.version = self.version, found.version
-            return replace(found, is_stale=older)
-
-    def _note_end(self, event: WatchEvent) -> None:
+            self._record_poll(WatchEvent.ANSWERED)
+            update = self._accept(polled)
+            if update is not None:
+                return update
+
+    def _poll_failed(self, event: WatchEvent) -> PollAction:
+        action = self.watch.poll_ended(event, self._clock())
+        if action is PollAction.RETRY_NOW:
+            self.timeouts += 1
+            log.warning("list poll timed out", extra=pairs(notified_in=round(self.notified_in(), 1)))
+        return action
+
+    def _accept(self, polled: EndpointList) -> EndpointList | None:
+        """Returns what of a response holds, and notes its version; None where nothing of it does."""
+        if self._address_changed:
+            # Guards against a late response from the old address, whose list counts no more; but its drains
+            # and removals have been announced.
+            update = polled.drains_and_removals()
+            if not update.endpoints:
+                return None
+            self.previous_version = self.version
+            return update
+        self.watch.poll_ended(WatchEvent.ANSWERED, self._clock())
+        is_older = self.version is not None and polled.version < self.version
+        if is_older and not polled.is_snapshot:
+            # Guards against a list whose versions start anew: its changes would lack all that went before.
+            self.version = self.previous_version = None
+            update = polled.drains_and_removals()
+            return update if update.endpoints else None
+        self.previous_version, self.version = self.version, polled.version
+        return replace(polled, is_stale=is_older)
+
+    def _record_poll(self, event: WatchEvent) -> None:
         self._recorder.note(
             Occurrence.LIST_CALL_ENDED,
             how=event.name.lower(),
-            after=round(self._clock() - self._began, 3),
-            waits=round(self._wait, 3),
+            after=round(self._clock() - self._last_poll.started_at, 3),
+            waits=round(self._last_poll.wait, 3),
             state=self.watch.state.name.lower(),
         )
 
     def notified_in(self) -> float:
-        """s until what may have been missed counts as told; under 0 where it does already."""
+        """Returns the time (s) until what may have been missed counts; negative where it does already."""
         return self.watch.notified_by() - self._clock()
 
-    async def _ask(self) -> EndpointList:
+    async def _poll(self) -> EndpointList:
+        """Polls once; raises ListUnavailableError with how the poll ended, and closes the connection then."""
         target = protocol.LIST
         wait = self.watch.next_wait(known=self.version is not None)
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={int(wait * 1000)}"
-        self._began, self._wait = self._clock(), wait
+        self._last_poll = _Poll(self._clock(), wait)
         loop = asyncio.get_running_loop()
-        silent_at = loop.time() + self.watch.poll_started(self._clock(), wait)
+        times_out_at = loop.time() + self.watch.poll_started(self._clock(), wait)
 
-        def heard() -> None:
-            # Guards against giving up a long list that is on its way: only silence is, or one that drips.
-            limit.reschedule(min(max(silent_at, loop.time() + SILENT_AFTER), silent_at + DRIP_MOST))
+        def bytes_received() -> None:
+            # Guards against a timeout while a long list is on its way: only a stalled one times out, or one
+            # that trickles in.
+            limit.reschedule(
+                min(max(times_out_at, loop.time() + RESPONSE_GRACE_S), times_out_at + MAX_TRANSFER_S)
+            )
 
         try:
-            async with asyncio.timeout_at(silent_at) as limit:
-                answer = await self._call(target, heard)
+            async with asyncio.timeout_at(times_out_at) as limit:
+                answer = await self._fetch(target, bytes_received)
             if answer.status != 200:
-                raise ListUnavailable(f"status {answer.status}", self.watch.classify_rejection(self._clock()))
-            return read_list(_parsed(answer.body))
+                event = self.watch.classify_rejection(self._clock())
+                raise ListUnavailableError(f"status {answer.status}", event)
+            return read_list(_decode(answer.body))
         except TimeoutError as error:
             self.close()
-            raise ListUnavailable("silent", WatchEvent.TIMED_OUT) from error
+            raise ListUnavailableError("silent", WatchEvent.TIMED_OUT) from error
         except (RequestNotSent, ConnectionLost, Malformed) as error:
             self.close()
-            # A place with too many callers may also end a call by its connection.
-            event = (
-                self.watch.classify_rejection(self._clock())
-                if isinstance(error, ConnectionLost)
-                else WatchEvent.CONNECTION_LOST
-            )
-            event = WatchEvent.CONNECTION_LOST if event is WatchEvent.REJECTED else event
-            raise ListUnavailable(str(error) or type(error).__name__, event) from error
+            raise ListUnavailableError(str(error) or type(error).__name__, self._event_of(error)) from error
         except BaseException:
             self.close()
             raise
 
+    def _event_of(self, error: Exception) -> WatchEvent:
+        """Returns how a poll ended that its connection failed; an overloaded discovery may end one so too."""
+        is_lost = isinstance(error, ConnectionLost)
+        if is_lost and self.watch.classify_rejection(self._clock()) is WatchEvent.RATE_LIMITED:
+            return WatchEvent.RATE_LIMITED
+        return WatchEvent.CONNECTION_LOST
+
     def close(self) -> None:
+        """Closes the connection; a poll under way fails."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    async def _call(self, target: str, heard: Callable[[], None]) -> Answer:
+    async def _fetch(self, target: str, bytes_received: Callable[[], None]) -> Answer:
         connection = self._connection
         if connection is None or not connection.fit():
             self.close()
-            connection = self._connection = connection_to(self._address, self._spare_one)
+            connection = self._connection = connection_to(self._address, self._free_descriptor)
             await connection.open()
         request = Request("GET", target, {"host": text_of(self._address)})
-        answer = await connection.exchange(request, AnswerReader(LIST_MOST, LIST_MOST), heard=heard)
+        answer = await connection.exchange(
+            request, AnswerReader(MAX_LIST_BYTES, MAX_LIST_BYTES), heard=bytes_received
+        )
         if answer.keep:
             connection.rest(0.0)
         else:
@@ -166,8 +218,9 @@
         return answer
 
 
-def _parsed(body: bytes) -> Any:
+def _decode(body: bytes) -> Any:
+    """Returns the body's JSON value; raises ListUnavailableError if it is none."""
     try:
         return json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ListUnavailable("no JSON") from error
+        raise ListUnavailableError("no JSON") from error
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -26,7 +26,7 @@
 from notchjunction.config import node_config
 from notchjunction.config.node_config import NodeConfig
 from notchjunction.config.validation import InvalidConfiguration
-from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailable, read_list
+from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
 from notchjunction.discovery.known_endpoints import KnownEndpoints
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.errors import NotchjunctionError
@@ -133,7 +133,7 @@
         counters.gauge("requests_tracked", lambda: self._decider.tracked)
         counters.gauge("streams_open", lambda: streams.open)
         counters.gauge("descriptors_in_use", lambda: descriptors.held)
-        counters.gauge("list_polls_timed_out", lambda: self._discovery.silences)
+        counters.gauge("list_polls_timed_out", lambda: self._discovery.timeouts)
         counters.gauge("list_stale_seconds", lambda: max(0.0, -self._discovery.notified_in()))
         counters.gauge("loop_lag_max", lambda: max(self._decider.timer_lags, default=0.0))
 
@@ -195,7 +195,7 @@
     def _go_by(self, known: EndpointList) -> None:
         """Serves by the remembered list, and asks for what came after it; for all, where it is not whole."""
         if known.is_snapshot:
-            self._discovery.remember(known.version)
+            self._discovery.resume_from(known.version)
         self._hear(known, ListUpdate.CACHED)
 
     async def _go_by_late(self, known: EndpointList, after: float) -> None:
@@ -236,10 +236,10 @@
             self._decider.restore_start_times(state.get("starts", {}))
         except (TypeError, ValueError, AttributeError) as error:
             log.warning("start times not restored", extra=pairs(why=repr(error)))
-        with suppress(ListUnavailable):
+        with suppress(ListUnavailableError):
             known = read_list(state.get("list"))
             if known.endpoints:
-                self._discovery.remember(known.version)
+                self._discovery.resume_from(known.version)
                 self._hear(known, ListUpdate.CACHED)
         try:
             self._decider.restore_state(state["lessons"])
@@ -577,7 +577,7 @@
                         self._hear(news, ListUpdate.SNAPSHOT if news.is_snapshot else ListUpdate.CHANGES)
                     except Exception:
                         # Guards against changes lost for good where the node's own code fails at them.
-                        self._discovery.version = self._discovery.version_before
+                        self._discovery.version = self._discovery.previous_version
                         raise
                     self.counters.add("list_polls")
                     if self._list_fails:
@@ -595,7 +595,7 @@
         if not self._list_fails:
             log.warning("list poll failed", extra=pairs(why=error))
         self._list_fails = True
-        if not isinstance(error, ListUnavailable):
+        if not isinstance(error, ListUnavailableError):
             # Guards against a node that never asks for the list again after one failure of its own.
             self.counters.add_failure("list update failed", error)
 
--- a/notchjunction/testbed/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -9,7 +9,7 @@
 
 from notchjunction.addresses import Address, text_of
 from notchjunction.balancing.interface import EndpointEntry
-from notchjunction.discovery.endpoint_list import row
+from notchjunction.discovery.endpoint_list import format_row
 from notchjunction.discovery.endpoints import ListedEndpoint
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.discovery import Discovery
@@ -42,7 +42,7 @@
             zone_name(entry.zone),
             entry.deduplication_group,
         )
-        rows.append(row(listed, text_of(address_of(entry.number))))
+        rows.append(format_row(listed, text_of(address_of(entry.number))))
     return json.dumps({"index": version, "snapshot": whole, "endpoints": rows}).encode()
 
 
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -17,7 +17,7 @@
 )
 from notchjunction.config.settings import read_settings
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.discovery.watch_state import TOLD_AFTER
+from notchjunction.discovery.watch_state import CHANGE_EFFECTIVE_AFTER_S
 from notchjunction.emulator.world import GRACE
 from tests.helpers import PLAIN, FakeHost, profile
 
@@ -275,7 +275,7 @@
         for host in hosts:
             host.advance(step)
         now += step
-        assert now < back + TOLD_AFTER + GRACE
+        assert now < back + CHANGE_EFFECTIVE_AFTER_S + GRACE
 
 
 def test_probes_go_out_with_and_without_jobs() -> None:
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -421,7 +421,7 @@
 def test_a_node_with_a_remembered_list_is_ready_and_serves_whatever_discovery_does(
     how: str, pushed: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(watch_state, "AGENT_INITIAL_WAIT_S", 0.1)
     found = DISCOVERIES[how]
 
     async def story() -> None:
@@ -457,7 +457,7 @@
 def test_a_process_before_that_hangs_delays_no_start_for_long(
     pushed: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.1)
+    monkeypatch.setattr(watch_state, "AGENT_INITIAL_WAIT_S", 0.1)
     monkeypatch.setattr(handover, "JOINED_WITHIN", 0.1)
 
     async def story() -> None:
@@ -477,7 +477,7 @@
 
 
 def test_the_waits_of_a_start_leave_half_of_its_10_s() -> None:
-    assert handover.JOINED_WITHIN + watch_state.FIRST_WITHIN < 5.0
+    assert handover.JOINED_WITHIN + watch_state.AGENT_INITIAL_WAIT_S < 5.0
 
 
 def test_without_any_list_a_node_says_so_and_is_ready_with_the_first_one() -> None:
--- a/tests/test_known_endpoints.py
+++ b/tests/test_known_endpoints.py
@@ -72,7 +72,7 @@
 
 
 def test_what_a_list_says_of_servers_that_close_can_be_told_from_the_rest() -> None:
-    closings = listed(row("a"), row("b", "leaving"), row("c", "left")).closures()
+    closings = listed(row("a"), row("b", "leaving"), row("c", "left")).drains_and_removals()
     assert [server.name for server in closings.endpoints] == ["b", "c"] and not closings.is_snapshot
     servers = known(row("a"), row("b"), row("c"))
     servers.apply(closings)
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -24,9 +24,9 @@
 from notchjunction.balancing.interface import AttemptResult
 from notchjunction.config import node_config
 from notchjunction.discovery import watch_state
-from notchjunction.discovery.endpoint_list import ListUnavailable, read_list
+from notchjunction.discovery.endpoint_list import ListUnavailableError, read_list
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.discovery.watch_state import RENEW_LEAST, ListWatch
+from notchjunction.discovery.watch_state import MIN_BACKOFF_S, ListWatch
 from notchjunction.http1.messages import Answer, Request
 from notchjunction.http1.parser import AnswerReader
 from notchjunction.net import client_connection as caller_module
@@ -771,7 +771,7 @@
 def test_where_lists_are_pushed_a_new_process_serves_by_the_agents_word_or_late_by_what_it_remembers(
     says: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_state, "FIRST_WITHIN", 0.2)
+    monkeypatch.setattr(watch_state, "AGENT_INITIAL_WAIT_S", 0.2)
 
     async def story() -> None:
         async with Peer() as drained, Peer() as sound:
@@ -798,7 +798,7 @@
             began = time.monotonic()
             while len(agent.requests) < 8:
                 await asyncio.sleep(0.001)
-            assert time.monotonic() - began < 8 * 2.5 * watch_state.AGENT_PAUSE
+            assert time.monotonic() - began < 8 * 2.5 * watch_state.AGENT_BACKOFF_S
 
     run(story())
 
@@ -911,7 +911,7 @@
     async def story() -> None:
         async with Peer(reply) as teller:
             asked = follower(teller)
-            with pytest.raises(ListUnavailable):
+            with pytest.raises(ListUnavailableError):
                 await asked.next_update()
             teller.reply = news(3, [])
             assert (await asked.next_update()).version == 3
@@ -927,16 +927,16 @@
 def test_a_silent_watch_is_asked_again_at_once_on_a_new_connection_and_need_not_wait(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(watch_state, "WAIT_MOST", 0.05)
-    monkeypatch.setattr(watch_state, "SILENT_AFTER", 0.05)
+    monkeypatch.setattr(watch_state, "MAX_POLL_WAIT_S", 0.05)
+    monkeypatch.setattr(watch_state, "RESPONSE_GRACE_S", 0.05)
 
     async def story() -> None:
         reply = lambda request: news(4, [], False) if "wait_ms=0" in request.target else SILENT  # noqa: E731
         async with Peer(reply) as teller:
             asked = follower(teller)
-            asked.remember(3)
+            asked.resume_from(3)
             assert (await asked.next_update()).version == 4
-            assert (len(teller.requests), teller.connections, asked.silences) == (2, 2, 1)
+            assert (len(teller.requests), teller.connections, asked.timeouts) == (2, 2, 1)
             assert asked.notified_in() == math.inf  # all is told again
             asked.close()
 
@@ -947,9 +947,9 @@
 def test_a_list_that_comes_slowly_is_not_silent_but_one_that_drips_is(
     pieces: int, silences: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(watch_state, "BUSY_MOST", 0.1)
-    monkeypatch.setattr(discovery_client, "SILENT_AFTER", 0.1)
-    monkeypatch.setattr(discovery_client, "DRIP_MOST", 0.5)
+    monkeypatch.setattr(watch_state, "IMMEDIATE_POLL_TIMEOUT_S", 0.1)
+    monkeypatch.setattr(discovery_client, "RESPONSE_GRACE_S", 0.1)
+    monkeypatch.setattr(discovery_client, "MAX_TRANSFER_S", 0.5)
     text = news(2, [])[0]
 
     calls = 0
@@ -965,7 +965,7 @@
     async def story() -> None:
         server = await asyncio.start_server(serve, "127.0.0.1", 0)
         asked = DiscoveryClient(server.sockets[0].getsockname(), ListWatch(0.0), time.monotonic)
-        assert ((await asked.next_update()).version, asked.silences) == (2, silences)
+        assert ((await asked.next_update()).version, asked.timeouts) == (2, silences)
         asked.close()
         server.close()
 
@@ -973,14 +973,14 @@
 
 
 def test_calls_wait_no_longer_however_many_were_refused(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(watch_state, "WAIT_SPREAD", 0.0)
+    monkeypatch.setattr(watch_state, "POLL_WAIT_JITTER", 0.0)
 
     async def story() -> None:
         async with Peer((answer(b"503 Busy"), "keep")) as teller:
             asked = follower(teller, 10.0)
-            asked.remember(1)
+            asked.resume_from(1)
             for _ in range(8):
-                with pytest.raises(ListUnavailable):
+                with pytest.raises(ListUnavailableError):
                     await asked.next_update()
             teller.reply = news(2, [])
             for _ in range(9):
@@ -997,7 +997,7 @@
         reply = lambda request: news(4, [], False) if "after=" in request.target else news(4, [])  # noqa: E731
         async with Peer(reply) as teller:
             asked = follower(teller)
-            asked.remember(41)
+            asked.resume_from(41)
             found = await asked.next_update()
             assert (found.version, found.is_snapshot, len(teller.requests)) == (4, True, 2)
             asked.close()
@@ -1180,7 +1180,7 @@
             began = node.now()
             node.read_again()
             await new.asked.wait()
-            assert node.now() - began < RENEW_LEAST
+            assert node.now() - began < MIN_BACKOFF_S
             # It may be silent: one that waits would find that out only after what it has counts.
             assert new.requests[0].target.endswith("&wait_ms=0")
             for _ in range(2):
--- a/tests/test_start_times.py
+++ b/tests/test_start_times.py
@@ -17,7 +17,7 @@
 )
 from notchjunction.balancing.interface import BalancerSettings, Idempotency, ListUpdate, RequestClass
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
-from notchjunction.discovery.start_times import KEPT_MOST, LISTED_LATE, StartTimes
+from notchjunction.discovery.start_times import MAX_LISTING_DELAY_S, MAX_TRACKED_ENDPOINTS, StartTimes
 
 HOUR = 3600.0
 NOW = 1_000_000.0  # s on the node's clock, which was set by the wall clock as the node started
@@ -65,7 +65,7 @@
     assert starts.started_at("young", NOW - 500.0, NOW, NOW) == NOW
     assert starts.started_at("always", 0.0, NOW, NOW) == 0.0
     starts.list_received(NOW)
-    late = NOW + 1.0 - (1.0 + LISTED_LATE) + 0.1
+    late = NOW + 1.0 - (1.0 + MAX_LISTING_DELAY_S) + 0.1
     assert starts.started_at("late", late, NOW + 1.0, NOW + 1.0) == pytest.approx(late)
     assert starts.started_at("later", late - 0.2, NOW + 1.0, NOW + 1.0) == NOW + 1.0
 
@@ -97,9 +97,9 @@
 
 def test_names_are_not_kept_for_ever() -> None:
     starts = StartTimes(NOW)
-    for number in range(KEPT_MOST + 10):
+    for number in range(MAX_TRACKED_ENDPOINTS + 10):
         starts.started_at(f"s{number}", 0.0, NOW, NOW)
-    assert len(starts._starts) == KEPT_MOST
+    assert len(starts._starts) == MAX_TRACKED_ENDPOINTS
 
 
 @pytest.mark.parametrize("step", [-HOUR, HOUR])
@@ -142,4 +142,4 @@
 def test_a_node_that_starts_with_a_stepped_clock_takes_no_cold_server_for_a_warm_one() -> None:
     """Its clock is ahead by an hour; a server in its first list started a second ago."""
     starts = StartTimes(NOW)
-    assert starts.started_at("s", NOW - HOUR - 1.0, NOW, NOW) >= NOW - LISTED_LATE
+    assert starts.started_at("s", NOW - HOUR - 1.0, NOW, NOW) >= NOW - MAX_LISTING_DELAY_S
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -344,7 +344,7 @@
 
 
 def test_words_of_lists_and_results_on_sockets_and_at_the_simulator() -> None:
-    assert set(endpoint_list.PRESENCES) == {"active", "leaving", "left"}
+    assert set(endpoint_list.STATE_BY_STATUS) == {"active", "leaving", "left"}
     assert set(vocabulary.PRESENCES) == {"on", "fading", "off"}
     assert set(vocabulary.NEWS) == {"patch", "whole", "stale_copy", "broken"}
     assert set(vocabulary.RESULTS) == {
@@ -360,7 +360,7 @@
 
 
 def test_a_server_in_the_lists_own_form() -> None:
-    row = endpoint_list.row(ListedEndpoint("s0", EndpointState.DRAINING, 1.5, "a", 3), "10.0.0.1:80")
+    row = endpoint_list.format_row(ListedEndpoint("s0", EndpointState.DRAINING, 1.5, "a", 3), "10.0.0.1:80")
     assert json.dumps(row) == (
         '{"name": "s0", "address": "10.0.0.1:80", "zone": "a", "group": 3, "status": "leaving", '
         '"since_ms": 1500.0}'
