--- a/notchjunction/net/request_handler.py
+++ b/notchjunction/net/request_handler.py
@@ -29,7 +29,7 @@
 from notchjunction.net.upstream import AttemptSpec, ExchangeResult, UpstreamPool
 from notchjunction.net.upstream_connection import ConnectionLost
 from notchjunction.safety.invariants import RequestLedger, Violation
-from notchjunction.safety.preconditions import HELD_UP
+from notchjunction.safety.preconditions import MAX_PROCESS_DELAY_S
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 
@@ -38,7 +38,7 @@
 HINT_MOST = 8  # digits of microseconds: over a minute and a half is no work of one job
 # s past the abandon time; a job unanswered by then was lost by a failure of the node's own. Over the time
 # that a process may be held up: its last order may be due in the same late turn of the loop.
-LOST_AFTER = HELD_UP + 0.05
+LOST_AFTER = MAX_PROCESS_DELAY_S + 0.05
 UNANSWERED = (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED, AttemptResult.UNKNOWN)
 WRITTEN_OFF = Answer(502)
 OWN_FAILURE = Answer(500)
--- a/notchjunction/safety/invariants.py
+++ b/notchjunction/safety/invariants.py
@@ -1,7 +1,7 @@
-"""What must never happen to one request, checked at run time from what was done, whoever decided it.
+"""Run-time invariants of one request, checked on what was done to it, whichever code decided so.
 
-The checks share no code with the decisions: each act is told here after it was done, and what breaks a rule
-is returned, to be counted and logged. Pure.
+The checks share no code with the decisions: each act is recorded here after it was done, and the invariants
+that it violates are returned, to be counted and logged. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -11,21 +11,23 @@
 
 from notchjunction.balancing.interface import AttemptResult, Idempotency
 
-# s by which a server may be told more than is left: the operators', for a process that is held up between its
-# clock and its act.
-TOLD_SLACK = 0.15
-LATE_ANSWER = 0.5  # s past its deadline from which an answer counts as lost; the operators'
+# The deadline sent to an endpoint may exceed the time left by this much; set by the operators, for a process
+# that is delayed between its clock and its act.
+SENT_DEADLINE_TOLERANCE_S = 0.15
+# A response this long past its request's deadline counts as lost; set by the operators.
+MAX_RESPONSE_DELAY_S = 0.5
+# Results of attempts that the endpoint did not run.
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
 
 
 class Violation(Enum):
-    """What was broken; the values name counters."""
+    """An invariant that was violated; the values name counters."""
 
     SENT_AFTER_END = "sent_after_end"
     SENT_TO_UNLISTED = "sent_to_unlisted"
-    TOLD_TOO_LONG = "told_too_long"
+    DEADLINE_TOO_LONG = "told_too_long"
     MAY_RUN_TWICE = "may_run_twice"
-    REFUSED_AFTER_RUN = "refused_after_run"
+    REJECTED_AFTER_RUN = "refused_after_run"
     ANSWERED_TWICE = "answered_twice"
     ANSWERED_LATE = "answered_late"
     CLOSED_UNANSWERED = "closed_unanswered"
@@ -33,49 +35,65 @@
 
 @dataclass(slots=True)
 class RequestLedger:
-    """What was done about one request; moments in s on the node's clock."""
+    """What was done to one request; moments are seconds on the node's clock."""
 
     idempotency: Idempotency
-    deadline_at: float  # the earliest that it can be, as it is not known when its bytes came
+    deadline_at: float  # the earliest possible, as it is not known when its bytes arrived
     arrived_at: float = 0.0
-    may_have_run: dict[int, bool] = field(default_factory=dict)  # by attempt, those that were written
+    may_have_run: dict[int, bool] = field(
+        default_factory=dict
+    )  # by the number of each attempt that was written
     answered: bool = False
     client_gone: bool = False
 
-    def attempt_written(self, attempt: int, now: float, told: float, listed: bool) -> list[Violation]:
-        """An attempt has been written; `told` in s."""
-        found = []
+    def attempt_written(
+        self, attempt: int, now: float, sent_deadline: float, listed: bool
+    ) -> list[Violation]:
+        """Records that an attempt was written; returns the invariants that this violates.
+
+        Args:
+            attempt: its number.
+            now: the node's clock (s) at the write.
+            sent_deadline: the deadline (s from now) sent with it.
+            listed: the list had its endpoint as active, at the address written to.
+        """
+        violations = []
         if self.answered or self.client_gone:
-            found.append(Violation.SENT_AFTER_END)
+            violations.append(Violation.SENT_AFTER_END)
         if not listed:
-            found.append(Violation.SENT_TO_UNLISTED)
-        if now + told > self.deadline_at + TOLD_SLACK:
-            found.append(Violation.TOLD_TOO_LONG)
+            violations.append(Violation.SENT_TO_UNLISTED)
+        if now + sent_deadline > self.deadline_at + SENT_DEADLINE_TOLERANCE_S:
+            violations.append(Violation.DEADLINE_TOO_LONG)
         if self.idempotency is Idempotency.NON_IDEMPOTENT and any(self.may_have_run.values()):
-            found.append(Violation.MAY_RUN_TWICE)
+            violations.append(Violation.MAY_RUN_TWICE)
         self.may_have_run[attempt] = True
-        return found
+        return violations
 
     def attempt_ended(self, attempt: int, result: AttemptResult) -> None:
-        """How an attempt that was written has ended."""
+        """Records how an attempt ended; one that was never written is ignored."""
         if attempt in self.may_have_run:
             self.may_have_run[attempt] = result not in NEVER_RAN
 
-    def response_sent(self, now: float, refused: bool) -> list[Violation]:
-        """The caller is given its final answer; `refused`: one that says that nothing was done."""
-        found = []
+    def response_sent(self, now: float, rejected: bool) -> list[Violation]:
+        """Records the final response to the client; returns the invariants that this violates.
+
+        Args:
+            now: the node's clock (s).
+            rejected: the response says that nothing was done.
+        """
+        violations = []
         if self.answered:
-            found.append(Violation.ANSWERED_TWICE)
-        # One that was late already as it was read is answered at once.
-        if now > max(self.deadline_at, self.arrived_at) + LATE_ANSWER:
-            found.append(Violation.ANSWERED_LATE)
-        if refused and self.idempotency is Idempotency.NON_IDEMPOTENT and any(self.may_have_run.values()):
-            found.append(Violation.REFUSED_AFTER_RUN)
+            violations.append(Violation.ANSWERED_TWICE)
+        # A request that was past its deadline as it was read is answered at once.
+        if now > max(self.deadline_at, self.arrived_at) + MAX_RESPONSE_DELAY_S:
+            violations.append(Violation.ANSWERED_LATE)
+        if rejected and self.idempotency is Idempotency.NON_IDEMPOTENT and any(self.may_have_run.values()):
+            violations.append(Violation.REJECTED_AFTER_RUN)
         self.answered = True
-        return found
+        return violations
 
     def connection_closed(self) -> list[Violation]:
-        """The node closes the caller's connection, or loses it."""
+        """Records that the node closed the client's connection; returns the invariants that this violates."""
         if self.answered or self.client_gone:
             return []
         return [Violation.CLOSED_UNANSWERED]
--- a/notchjunction/safety/preconditions.py
+++ b/notchjunction/safety/preconditions.py
@@ -1,9 +1,9 @@
-"""The one place that decides whether something may be sent, repeated, closed or started at this moment.
+"""Preconditions of writing an attempt, closing a connection and starting a request, checked as it is done.
 
-A decision rests on facts: the list of servers, the time left, whether the caller is there, what earlier
-attempts may have done. Between the decision and its act a connection comes up, a peer takes its bytes, or the
-process is held up, and the facts change. So whoever acts gathers the facts anew in the moment of the act, and
-asks here. Nothing may run between the answer and the act. Pure: no I/O and no clock.
+A decision rests on facts: the endpoint list, the time left, whether the client is connected, what earlier
+attempts may have done. Between a decision and its execution a connection is opened, a peer reads its bytes,
+or the process is delayed, and the facts change. So the code that acts gathers the facts anew at that
+moment, and checks them here. Nothing may run between the check and the act. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -12,41 +12,45 @@
 from dataclasses import dataclass
 from enum import Enum
 
-HELD_UP = 0.15  # s that a process may be held up between its clock and its act; the operators'
-WAY_MOST = 0.02  # s kept of what is left for the ways from the caller and to the server; nobody measures them
-WAY_SHARE = 0.1  # of what is left that is kept for them at most: a request with little time needs it
-TOLD_LEAST = 0.001  # s that a server can be told at least; the protocol counts whole milliseconds
+# A process may be delayed by this much between its clock and its act; set by the operators.
+MAX_PROCESS_DELAY_S = 0.15
+# Kept of the time left for the network from the client and to the endpoint, which nobody measures.
+MAX_NETWORK_MARGIN_S = 0.02
+# Share of the time left that is kept for it at most: a request with little time needs the rest.
+NETWORK_MARGIN_SHARE = 0.1
+# The smallest deadline that can be sent; the protocol counts whole milliseconds.
+MIN_SENT_DEADLINE_S = 0.001
 
 
 class Refusal(Enum):
-    """Why something may not be done now."""
+    """Why something may not be done now; the values name counters."""
 
-    REQUEST_ENDED = "request ended"  # it has its final answer, or the attempt was recalled
+    REQUEST_ENDED = "request ended"  # it has its final response, or the attempt was cancelled
     CLIENT_GONE = "client gone"
-    NOT_LISTED = "not listed"  # the server drains, has left, is barred, or has moved
+    NOT_LISTED = "not listed"  # the endpoint drains, was removed, is banned, or has another address
     DEADLINE_PASSED = "deadline passed"
     MAY_HAVE_RUN = "an earlier attempt may have run"
-    DUPLICATE_REQUEST = "duplicate request"  # another request of that id is under way here
+    DUPLICATE_REQUEST = "duplicate request"  # another request with that id is in flight here
     NO_QUOTA = "no quota"  # under a limit of the whole fleet
-    CONNECTION_CLOSING = "connection closing"  # its sending has ended: no answer could be given
-    REQUEST_PENDING = "request pending"  # one has been read, or has begun to come, and is not answered
-    BYTES_UNREAD = "bytes unread"  # a close over them is a reset, and they may be a request
+    CONNECTION_CLOSING = "connection closing"  # its sending side is closed: no response could be sent
+    REQUEST_PENDING = "request pending"  # one has been read, or part of it, and has no response
+    BYTES_UNREAD = "bytes unread"  # closing over them resets the connection, and they may be a request
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """What decides whether an attempt may be written, as it is in the moment of the writing."""
+    """What decides whether an attempt may be written, gathered at the moment of the write."""
 
-    now: float  # s
-    expires_at: float  # s; the end of the time that the attempt was given
-    is_wanted: bool  # its job has no answer, and the attempt was not recalled
+    now: float  # s on the node's clock
+    expires_at: float  # s on the same clock; the attempt's deadline
+    is_wanted: bool  # its request has no response, and the attempt was not cancelled
     client_connected: bool
-    listed: bool  # the list has the server ready, and at the address of this connection
-    repeatable_until: float = math.inf  # s; until when it cannot make an effect happen twice; -inf: never
+    listed: bool  # the list has the endpoint as active, and at this connection's address
+    repeatable_until: float = math.inf  # s; until when it cannot run twice; -inf: never
 
 
 def may_write(facts: AttemptFacts) -> Refusal | None:
-    """Whether an attempt, first or further, may be written now."""
+    """Returns why an attempt, the first or a retry, may not be written now; None if it may."""
     if not facts.is_wanted:
         return Refusal.REQUEST_ENDED
     if not facts.client_connected:
@@ -55,29 +59,35 @@
         return Refusal.NOT_LISTED
     if facts.now >= facts.expires_at:
         return Refusal.DEADLINE_PASSED
-    if facts.now + HELD_UP >= facts.repeatable_until:
+    if facts.now + MAX_PROCESS_DELAY_S >= facts.repeatable_until:
         return Refusal.MAY_HAVE_RUN
     return None
 
 
 def deadline_to_send(now: float, expires_at: float) -> float:
-    """s that a server is told it has: what is left in the moment of the writing, less the way, never more."""
-    left = expires_at - now
-    return max(TOLD_LEAST, left - min(WAY_MOST, WAY_SHARE * left))
+    """Returns the deadline (s from now) to send to an endpoint: the time left, less a margin for the network.
+
+    Args:
+        now: the node's clock (s) at the moment of the write.
+        expires_at: the attempt's deadline on that clock (s).
+    """
+    time_left = expires_at - now
+    margin = min(MAX_NETWORK_MARGIN_S, NETWORK_MARGIN_SHARE * time_left)
+    return max(MIN_SENT_DEADLINE_S, time_left - margin)
 
 
 @dataclass(frozen=True, slots=True)
 class ConnectionFacts:
-    """What decides whether a caller's connection may be closed, as it is in that moment."""
+    """What decides whether a client's connection may be closed, gathered at that moment."""
 
-    response_pending: bool  # a request on it has been taken and has no whole answer yet
-    request_started: bool  # part of a further request has been read
-    has_unread_bytes: bool  # bytes or an end have come that nobody has read
-    closing: bool = False  # its sending has ended
+    response_pending: bool  # a request on it was accepted and has no complete response yet
+    request_started: bool  # part of a next request has been read
+    has_unread_bytes: bool  # bytes, or the end of the stream, have arrived unread
+    closing: bool = False  # its sending side is closed
 
 
 def may_close(facts: ConnectionFacts) -> Refusal | None:
-    """Whether a caller's connection may be closed now though its caller has not asked for it."""
+    """Returns why the node may not close a client's connection on its own now; None if it may."""
     if facts.closing:
         return Refusal.CONNECTION_CLOSING
     if facts.response_pending or facts.request_started:
@@ -89,14 +99,14 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionFacts:
-    """What decides whether a request that has been read becomes a job."""
+    """What decides whether a request that has been read is accepted."""
 
-    closing: bool  # the connection's sending has ended
-    is_duplicate: bool  # one of the same id is under way
+    closing: bool  # the connection's sending side is closed
+    is_duplicate: bool  # one with the same id is in flight
 
 
 def may_start(facts: AdmissionFacts) -> Refusal | None:
-    """Whether a request that has just been read may become a job."""
+    """Returns why a request that has just been read may not be accepted; None if it may."""
     if facts.closing:
         return Refusal.CONNECTION_CLOSING
     return Refusal.DUPLICATE_REQUEST if facts.is_duplicate else None
--- a/tests/test_preconditions.py
+++ b/tests/test_preconditions.py
@@ -1,4 +1,4 @@
-"""What may be done in the moment of the act, and what is checked of it afterwards."""
+"""Preconditions at the moment of an act, and the invariants that are checked after it."""
 
 from __future__ import annotations
 
@@ -13,12 +13,17 @@
 from notchjunction import protocol
 from notchjunction.balancing.interface import AttemptResult, Idempotency
 from notchjunction.net.event_loop import ObservedLoop
-from notchjunction.safety.invariants import LATE_ANSWER, TOLD_SLACK, RequestLedger, Violation
+from notchjunction.safety.invariants import (
+    MAX_RESPONSE_DELAY_S,
+    SENT_DEADLINE_TOLERANCE_S,
+    RequestLedger,
+    Violation,
+)
 from notchjunction.safety.preconditions import (
-    HELD_UP,
-    TOLD_LEAST,
-    WAY_MOST,
-    WAY_SHARE,
+    MAX_NETWORK_MARGIN_S,
+    MAX_PROCESS_DELAY_S,
+    MIN_SENT_DEADLINE_S,
+    NETWORK_MARGIN_SHARE,
     AdmissionFacts,
     AttemptFacts,
     ConnectionFacts,
@@ -36,7 +41,7 @@
 
 def test_an_attempt_whose_facts_all_hold_may_be_written() -> None:
     assert may_write(SOUND) is None
-    assert may_write(replace(SOUND, repeatable_until=10.0 + HELD_UP + 0.01)) is None
+    assert may_write(replace(SOUND, repeatable_until=10.0 + MAX_PROCESS_DELAY_S + 0.01)) is None
 
 
 @pytest.mark.parametrize(
@@ -48,20 +53,20 @@
         ({"now": 11.0}, Refusal.DEADLINE_PASSED),
         ({"repeatable_until": -math.inf}, Refusal.MAY_HAVE_RUN),
         ({"repeatable_until": 10.0}, Refusal.MAY_HAVE_RUN),
-        # It may be held up between its clock and the writing.
-        ({"repeatable_until": 10.0 + HELD_UP}, Refusal.MAY_HAVE_RUN),
+        # The process may be delayed between its clock and the write.
+        ({"repeatable_until": 10.0 + MAX_PROCESS_DELAY_S}, Refusal.MAY_HAVE_RUN),
     ],
 )
-def test_one_fact_that_does_not_hold_is_enough_to_withhold_it(
+def test_one_fact_that_does_not_hold_is_enough_to_withhold_an_attempt(
     changed: dict[str, Any], refusal: Refusal
 ) -> None:
     assert may_write(replace(SOUND, **changed)) is refusal
 
 
-def test_a_server_is_never_told_more_than_what_is_left() -> None:
-    assert deadline_to_send(10.0, 11.5) == pytest.approx(1.5 - WAY_MOST)
-    assert deadline_to_send(10.0, 10.1) == pytest.approx(0.1 * (1 - WAY_SHARE))
-    assert deadline_to_send(10.0, 9.0) == TOLD_LEAST
+def test_an_endpoint_is_never_sent_more_than_the_time_left() -> None:
+    assert deadline_to_send(10.0, 11.5) == pytest.approx(1.5 - MAX_NETWORK_MARGIN_S)
+    assert deadline_to_send(10.0, 10.1) == pytest.approx(0.1 * (1 - NETWORK_MARGIN_SHARE))
+    assert deadline_to_send(10.0, 9.0) == MIN_SENT_DEADLINE_S
 
 
 @pytest.mark.parametrize(
@@ -74,7 +79,7 @@
         (ConnectionFacts(False, False, False, closing=True), Refusal.CONNECTION_CLOSING),
     ],
 )
-def test_a_connection_is_closed_only_where_nothing_is_owed_on_it(
+def test_a_connection_is_closed_only_where_no_response_is_pending_on_it(
     facts: ConnectionFacts, refusal: Refusal | None
 ) -> None:
     assert may_close(facts) is refusal
@@ -86,24 +91,24 @@
     assert may_start(AdmissionFacts(closing=False, is_duplicate=True)) is Refusal.DUPLICATE_REQUEST
 
 
-def ledger(effect: Idempotency = Idempotency.NON_IDEMPOTENT) -> RequestLedger:
-    return RequestLedger(effect, deadline_at=10.0)
+def ledger(idempotency: Idempotency = Idempotency.NON_IDEMPOTENT) -> RequestLedger:
+    return RequestLedger(idempotency, deadline_at=10.0)
 
 
-def test_what_was_done_soundly_breaks_nothing() -> None:
+def test_what_was_done_soundly_violates_no_invariant() -> None:
     sound = ledger()
     assert sound.attempt_written(0, 8.0, 2.0, listed=True) == []
     sound.attempt_ended(0, AttemptResult.REJECTED)
     assert sound.attempt_written(1, 9.0, 1.0, listed=True) == []
     sound.attempt_ended(1, AttemptResult.SUCCEEDED)
-    assert sound.response_sent(9.5, refused=False) == []
+    assert sound.response_sent(9.5, rejected=False) == []
     assert sound.connection_closed() == []
 
 
 @pytest.mark.parametrize(
     "result", [AttemptResult.RESET, AttemptResult.TIMED_OUT, AttemptResult.ERROR, AttemptResult.UNKNOWN]
 )
-def test_an_attempt_after_one_that_may_have_run_is_seen(result: AttemptResult) -> None:
+def test_an_attempt_after_one_that_may_have_run_is_detected(result: AttemptResult) -> None:
     again = ledger()
     again.attempt_written(0, 8.0, 2.0, listed=True)
     again.attempt_ended(0, result)
@@ -114,17 +119,21 @@
     assert harmless.attempt_written(1, 8.5, 1.5, listed=True) == []
 
 
-def test_each_broken_rule_is_seen() -> None:
+def test_each_violation_is_detected() -> None:
     assert ledger().attempt_written(0, 8.0, 2.0, listed=False) == [Violation.SENT_TO_UNLISTED]
-    assert ledger().attempt_written(0, 8.0, 2.0 + 2 * TOLD_SLACK, listed=True) == [Violation.TOLD_TOO_LONG]
+    assert ledger().attempt_written(0, 8.0, 2.0 + 2 * SENT_DEADLINE_TOLERANCE_S, listed=True) == [
+        Violation.DEADLINE_TOO_LONG
+    ]
     ended = ledger()
-    assert ended.response_sent(9.0, refused=True) == []
+    assert ended.response_sent(9.0, rejected=True) == []
     assert ended.attempt_written(0, 9.0, 0.5, listed=True) == [Violation.SENT_AFTER_END]
-    assert ended.response_sent(9.1, refused=True) == [Violation.ANSWERED_TWICE, Violation.REFUSED_AFTER_RUN]
-    assert ledger().response_sent(10.0 + 2 * LATE_ANSWER, refused=False) == [Violation.ANSWERED_LATE]
+    assert ended.response_sent(9.1, rejected=True) == [Violation.ANSWERED_TWICE, Violation.REJECTED_AFTER_RUN]
+    assert ledger().response_sent(10.0 + 2 * MAX_RESPONSE_DELAY_S, rejected=False) == [
+        Violation.ANSWERED_LATE
+    ]
     read_late = RequestLedger(Idempotency.NON_IDEMPOTENT, deadline_at=10.0, arrived_at=11.0)
-    assert read_late.response_sent(11.1, refused=True) == []
-    assert replace(read_late, answered=False).response_sent(11.6, refused=True) == [Violation.ANSWERED_LATE]
+    assert read_late.response_sent(11.1, rejected=True) == []
+    assert replace(read_late, answered=False).response_sent(11.6, rejected=True) == [Violation.ANSWERED_LATE]
     assert ledger().connection_closed() == [Violation.CLOSED_UNANSWERED]
     left = ledger()
     left.client_gone = True
