--- a/notchjunction/__main__.py
+++ b/notchjunction/__main__.py
@@ -61,7 +61,7 @@
     parser.add_argument("--log-level", default="INFO", help="of the standard error log (default: INFO)")
     parser.add_argument("--check", metavar="FILE", help="say what is wrong with a configuration, and end")
     asked = parser.parse_args()
-    logs.start(asked.log_level.upper())
+    logs.configure_logging(asked.log_level.upper())
     if asked.check is not None:
         return check(asked.check)
     try:
--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -148,7 +148,7 @@
         key_header=str(told.get("key_header", "")).lower(),
         fleet=told.get("fleet"),
         list_is_pushed=paths.get("registry_mode") == PUSHED,
-        load_path=protocol.LOAD if settings.word_list(paths, "report.fields") else protocol.HEALTH,
+        load_path=protocol.LOAD_PATH if settings.word_list(paths, "report.fields") else protocol.HEALTH_PATH,
         document=told,
     )
 
--- a/notchjunction/errors.py
+++ b/notchjunction/errors.py
@@ -1,13 +1,16 @@
-"""What can go wrong between processes, and what an operator can do about it: one small hierarchy.
+"""Errors between processes, each with what an operator can do about it.
 
-Logs and the operators' listener print all three parts of each.
+Logs and the admin API print all three parts of each.
 """
 
 from __future__ import annotations
 
 
 class NotchjunctionError(Exception):
-    """`what` happened, `where` (a place in the file, a node, a limit), and `remedy`, a sentence to act on."""
+    """An error that an operator can act on.
+
+    `what` happened, `where` (a place in the file, a node, a limit), and `remedy`, what to do about it.
+    """
 
     def __init__(self, what: str, where: str, remedy: str) -> None:
         super().__init__(what, where, remedy)
@@ -20,4 +23,4 @@
 
 
 class FleetError(NotchjunctionError):
-    """Between the nodes of a fleet."""
+    """An error between the nodes of a fleet."""
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -160,7 +160,9 @@
     def _note_answer(self, request: Request, job: RequestHandler | None, answer: Answer | Download) -> None:
         status = answer.beginning.status if isinstance(answer, Download) else answer.status
         recorder = self._callers.counters.recorder
-        recorder.note(Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.JOB_ID, ""), status=status)
+        recorder.note(
+            Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.REQUEST_ID, ""), status=status
+        )
         if job is not None:
             refused = status in REFUSALS
             job.check(job.ledger.response_sent(self._callers.clock(), refused), status=status)
@@ -169,7 +171,7 @@
         """The one place where a caller's descriptor is given back."""
         if self._open:
             self._open = False
-            self._callers.counters.recorder.note(Occurrence.CALLER_CLOSED, why=self._why_closed())
+            self._callers.counters.recorder.note(Occurrence.CLIENT_CONNECTION_CLOSED, why=self._why_closed())
             if self._job is not None:
                 self._job.check(self._job.ledger.connection_closed())
             self._stream.close()
@@ -301,9 +303,9 @@
         return now >= self._due
 
     def _misplaced(self, request: Request) -> Answer | None:
-        if request.path == protocol.READY and request.method == "GET":
+        if request.path == protocol.READY_PATH and request.method == "GET":
             return Answer(200 if self._callers.ready() and not self._callers.draining else 503)
-        if request.path != protocol.JOBS and not request.path.startswith(protocol.JOBS + "/"):
+        if request.path != protocol.REQUEST_PATH and not request.path.startswith(protocol.REQUEST_PATH + "/"):
             return self._bad(404)
         return self._bad(405) if request.method not in ("GET", "POST") else None
 
@@ -313,7 +315,7 @@
         ask = request_spec_of(request, waited, self._callers.profiles)
         if ask is None:
             return None, self._bad(400)
-        job_id = request.headers[protocol.JOB_ID]
+        job_id = request.headers[protocol.REQUEST_ID]
         refusal = may_start(AdmissionFacts(self._parted, is_duplicate=job_id in self._callers.ids))
         if refusal is Refusal.CONNECTION_CLOSING:
             # Guards against a request that crosses the end of its connection: no answer could be given.
@@ -323,7 +325,7 @@
             return None, self._bad(409)
         self._callers.counters.add("requests_received")
         self._callers.counters.recorder.note(
-            Occurrence.REQUEST_TAKEN, job_id, left=round(ask.time_left, 3), waited=round(waited, 4)
+            Occurrence.REQUEST_ACCEPTED, job_id, left=round(ask.time_left, 3), waited=round(waited, 4)
         )
         if self._full:
             self._callers.counters.add("responses_rejected")
@@ -412,7 +414,7 @@
     def _left(self, job: RequestHandler) -> None:
         """The caller has gone: nothing is owed, and nothing more is sent for it."""
         job.ledger.client_gone = True
-        self._callers.counters.recorder.note(Occurrence.CALLER_LEFT, job.name)
+        self._callers.counters.recorder.note(Occurrence.CLIENT_GONE, job.name)
         job.withdraw()
 
     async def _pass_on(self, request: Request, job: RequestHandler, download: Download, keep: bool) -> bool:
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -143,7 +143,7 @@
 
     def _record_poll(self, event: WatchEvent) -> None:
         self._recorder.note(
-            Occurrence.LIST_CALL_ENDED,
+            Occurrence.LIST_POLL_ENDED,
             how=event.name.lower(),
             after=round(self._clock() - self._last_poll.started_at, 3),
             waits=round(self._last_poll.wait, 3),
@@ -156,7 +156,7 @@
 
     async def _poll(self) -> EndpointList:
         """Polls once; raises ListUnavailableError with how the poll ended, and closes the connection then."""
-        target = protocol.LIST
+        target = protocol.LIST_PATH
         wait = self.watch.next_wait(known=self.version is not None)
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={int(wait * 1000)}"
--- a/notchjunction/net/request_handler.py
+++ b/notchjunction/net/request_handler.py
@@ -52,7 +52,9 @@
 
 def forwarded_response(answer: Answer) -> Answer:
     """Guards against a server's oddities: its body and what that is are the caller's alone."""
-    back = {name: value for name, value in answer.headers.items() if name in protocol.BACK}
+    back = {
+        name: value for name, value in answer.headers.items() if name in protocol.FORWARDED_RESPONSE_HEADERS
+    }
     return replace(answer, headers=back, keep=True)
 
 
@@ -100,7 +102,7 @@
         self._answers: dict[int, Answer] = {}
         self._broken = False
         self._answer_within = max(0.0, ask.time_left) + LOST_AFTER
-        self.name = request.headers.get(protocol.JOB_ID, "")
+        self.name = request.headers.get(protocol.REQUEST_ID, "")
         deadline = decider.now() + ask.time_left if ask.complete else math.inf
         self._whole_until = math.inf  # s; the end of its time, once the last byte of a large body has come
         self.ledger = RequestLedger(ask.idempotency, deadline, decider.now())
@@ -265,24 +267,24 @@
 def request_spec_of(request: Request, waited: float, profiles: Collection[str]) -> RequestSpec | None:
     """The job that a request states; None where its id, number, profile or time is missing or absurd."""
     headers = request.headers
-    if not WORD.fullmatch(headers.get(protocol.JOB_ID, "")) or not WORD.fullmatch(
-        headers.get(protocol.NUMBER, "-")
+    if not WORD.fullmatch(headers.get(protocol.REQUEST_ID, "")) or not WORD.fullmatch(
+        headers.get(protocol.IDEMPOTENCY_KEY, "-")
     ):
         return None
-    if profiles and headers.get(protocol.PROFILE, "") not in profiles:
+    if profiles and headers.get(protocol.REQUEST_CLASS, "") not in profiles:
         # Guards against work that no server knows: each would only refuse it, at the cost of sound jobs.
         return None
-    left = _whole(headers.get(protocol.TIME_LEFT, ""))
+    left = _whole(headers.get(protocol.DEADLINE_MS, ""))
     hint = _whole(headers.get(protocol.WORK_HINT, ""), HINT_MOST)
     if left is None:
         return None
     return RequestSpec(
-        request_class=headers.get(protocol.PROFILE, ""),
+        request_class=headers.get(protocol.REQUEST_CLASS, ""),
         time_left=left / 1000 - waited,
         complete=not request.more,
-        idempotency=idempotency_of(request.method, protocol.NUMBER in headers),
-        tenant=headers.get(protocol.OPERATOR, ""),
-        is_client_retry=headers.get(protocol.REPEAT) == "1",
+        idempotency=idempotency_of(request.method, protocol.IDEMPOTENCY_KEY in headers),
+        tenant=headers.get(protocol.TENANT, ""),
+        is_client_retry=headers.get(protocol.CLIENT_RETRY) == "1",
         work_hint=None if hint is None else hint / 1e6,  # microseconds on sockets
     )
 
--- a/notchjunction/net/upstream.py
+++ b/notchjunction/net/upstream.py
@@ -150,7 +150,7 @@
         headers = {
             name: value
             for name, value in request.headers.items()
-            if name in protocol.ONWARD and value.isascii()
+            if name in protocol.FORWARDED_REQUEST_HEADERS and value.isascii()
         }
         exchanged = await self._exchange(attempt, replace(request, headers=headers))
         return replace(
@@ -165,7 +165,7 @@
         if (
             exchanged.outcome.result is AttemptResult.SUCCEEDED
             and answer is not None
-            and self._load_path == protocol.LOAD
+            and self._load_path == protocol.LOAD_PATH
         ):
             return ExchangeOutcome(AttemptResult.SUCCEEDED, exchanged.outcome.seconds, read_load(answer.body))
         return exchanged.outcome
@@ -242,10 +242,10 @@
         finally:
             if connection is not None:
                 self._give_back(server, connection, keep)
-        report = answer.headers.get(protocol.SERVER_LOAD) if answer is not None else None
+        report = answer.headers.get(protocol.ENDPOINT_LOAD) if answer is not None else None
         self._recorder.note(
             Occurrence.ATTEMPT_ENDED,
-            request.headers.get(protocol.JOB_ID, ""),
+            request.headers.get(protocol.REQUEST_ID, ""),
             endpoint=server,
             result=result.value,
             after=round(self._clock() - began, 4),
@@ -265,7 +265,7 @@
         what became of earlier attempts.
         """
         now = self._clock()
-        is_probe = protocol.JOB_ID not in request.headers
+        is_probe = protocol.REQUEST_ID not in request.headers
         facts = AttemptFacts(
             now=now,
             # The time of a request whose body still comes counts from its last byte.
@@ -284,7 +284,7 @@
         if is_probe:
             return request
         attempt.written(told)
-        job_id = request.headers[protocol.JOB_ID]
+        job_id = request.headers[protocol.REQUEST_ID]
         self._recorder.note(
             Occurrence.ATTEMPT_WRITTEN,
             job_id,
@@ -293,12 +293,12 @@
             kept=str(connection.kept),
         )
         told_ms = str(max(1, int(told * 1000)))
-        return replace(request, headers={**request.headers, protocol.TIME_LEFT: told_ms})
+        return replace(request, headers={**request.headers, protocol.DEADLINE_MS: told_ms})
 
     def _withhold(self, attempt: AttemptSpec, request: Request, refusal: Refusal) -> NoReturn:
         """What may not be written is not, and it is counted why."""
         self._counters.add(f"attempts_withheld_{refusal.name.lower()}")
-        job_id = request.headers.get(protocol.JOB_ID, "")
+        job_id = request.headers.get(protocol.REQUEST_ID, "")
         self._recorder.note(Occurrence.ATTEMPT_WITHHELD, job_id, endpoint=attempt.endpoint, why=refusal.value)
         if refusal is Refusal.NOT_LISTED:
             raise RequestNotSent(refusal.value)
--- a/notchjunction/protocol.py
+++ b/notchjunction/protocol.py
@@ -1,26 +1,42 @@
-"""The words that callers, servers and discovery use on sockets."""
+"""The words that clients, endpoints and discovery use on sockets: paths and names of headers."""
 
 from __future__ import annotations
 
-JOBS = "/api"
-READY = "/ready"
-HEALTH = "/health"
-LOAD = "/status/load"
-LIST = "/v1/endpoints"
+# Paths of an endpoint, and of the node towards its clients.
+REQUEST_PATH = "/api"
+READY_PATH = "/ready"
+HEALTH_PATH = "/health"
+LOAD_PATH = "/status/load"
+# The path of discovery's endpoint list.
+LIST_PATH = "/v1/endpoints"
 
-JOB_ID = "req-id"
-PROFILE = "req-kind"
-TIME_LEFT = "req-deadline-ms"
-REPEAT = "req-retry"
-OPERATOR = "req-owner"
+# Headers of a request.
+REQUEST_ID = "req-id"
+REQUEST_CLASS = "req-kind"
+DEADLINE_MS = "req-deadline-ms"  # from now on
+CLIENT_RETRY = "req-retry"
+TENANT = "req-owner"
 WORK_HINT = "req-cost"
-NUMBER = "idempotency-key"
-FIGURES = "req-extra"
-SERVER_LOAD = "srv-load"
+IDEMPOTENCY_KEY = "idempotency-key"
+EXTRA = "req-extra"
+# Headers of an endpoint's response.
+ENDPOINT_LOAD = "srv-load"
 DECLINED = "srv-declined"
 
-# What a job's request takes with it to a server, and an answer to its caller; anything else stays here.
-ONWARD = frozenset(
-    (JOB_ID, PROFILE, REPEAT, OPERATOR, WORK_HINT, NUMBER, FIGURES, "host", "accept", "content-type")
+# Headers that a client's request takes with it to an endpoint; all others stay at the node.
+FORWARDED_REQUEST_HEADERS = frozenset(
+    (
+        REQUEST_ID,
+        REQUEST_CLASS,
+        CLIENT_RETRY,
+        TENANT,
+        WORK_HINT,
+        IDEMPOTENCY_KEY,
+        EXTRA,
+        "host",
+        "accept",
+        "content-type",
+    )
 )
-BACK = frozenset(("content-type",))
+# Headers that an endpoint's response takes with it to the client.
+FORWARDED_RESPONSE_HEADERS = frozenset(("content-type",))
--- a/notchjunction/soak/backend.py
+++ b/notchjunction/soak/backend.py
@@ -87,7 +87,7 @@
         zone: str,
         journal: Journal,
         random: Random,
-        request_of: Callable[[Request], str] = lambda request: request.headers.get(protocol.JOB_ID, ""),
+        request_of: Callable[[Request], str] = lambda request: request.headers.get(protocol.REQUEST_ID, ""),
     ) -> None:
         self.name = name
         self.zone = zone
@@ -208,7 +208,7 @@
     def _came(self, request: Request, now: float) -> None:
         first_byte_at, self._first_byte_at = self._first_byte_at or now, None
         backend = self._backend
-        if not request.path.startswith(protocol.JOBS):
+        if not request.path.startswith(protocol.REQUEST_PATH):
             if not backend.behaviour.hangs:
                 self._write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
                 self._rest()
@@ -222,7 +222,7 @@
         if trouble is not Trouble.DECLINED and not backend.serves_one_more(now):
             trouble = Trouble.DECLINED
         name = backend.request_of(request)
-        told_seconds = int(request.headers.get(protocol.TIME_LEFT, "0")) / 1000
+        told_seconds = int(request.headers.get(protocol.DEADLINE_MS, "0")) / 1000
         disposition = Disposition.DECLINED if trouble is Trouble.DECLINED else Disposition.EXECUTED
         backend.journal.attempts.append(
             Attempt(first_byte_at, now, backend.name, backend.zone, name, told_seconds, disposition)
--- a/notchjunction/state_table.py
+++ b/notchjunction/state_table.py
@@ -1,4 +1,4 @@
-"""State machines as tables: one row a transition, looked up by state and event. Pure."""
+"""State machines as tables of transitions, looked up by state and event. Pure: no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition(Generic[State, Event, Action]):
-    """What one event does in one state: the state that follows, and what is done."""
+    """What one event leads to in one state: the next state, and an action."""
 
     state: State
     event: Event
@@ -22,9 +22,10 @@
 
 
 class StateTable(Generic[State, Event, Action]):
-    """A state machine's transitions, at most one for a state and an event; ValueError for a second one."""
+    """A state machine's transitions, at most one for each state and event."""
 
     def __init__(self, rows: Iterable[Transition[State, Event, Action]]) -> None:
+        """Takes the transitions in order; raises ValueError for two with one state and event."""
         transitions: dict[tuple[State, Event], Transition[State, Event, Action]] = {}
         for row in rows:
             if (row.state, row.event) in transitions:
@@ -33,13 +34,13 @@
         self._transitions: Mapping[tuple[State, Event], Transition[State, Event, Action]] = transitions
 
     def __iter__(self) -> Iterator[Transition[State, Event, Action]]:
-        """All transitions, in the order of the table."""
+        """Iterates over all transitions, in the order of the table."""
         return iter(self._transitions.values())
 
     def find(self, state: State, event: Event) -> Transition[State, Event, Action] | None:
-        """The transition for an event in a state; None where nothing follows from it."""
+        """Returns the transition for an event in a state; None if there is none."""
         return self._transitions.get((state, event))
 
     def __getitem__(self, key: tuple[State, Event]) -> Transition[State, Event, Action]:
-        """The transition for a state and an event; KeyError where there is none."""
+        """Returns the transition for a state and an event; raises KeyError if there is none."""
         return self._transitions[key]
--- a/notchjunction/telemetry/counters.py
+++ b/notchjunction/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""What the node takes in, sends and answers, counted; and figures that are read when asked for."""
+"""Counters of what the node receives, sends and answers, and gauges that are read on demand."""
 
 from __future__ import annotations
 
@@ -14,26 +14,31 @@
 
 
 class Counters:
+    """The node's counters and gauges by name, and its flight recorder; `clock` gives the node's time in s."""
+
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.recorder = FlightRecorder(clock)
         self._counts: Counter[str] = Counter()
         self._gauges: dict[str, Callable[[], float]] = {}
 
-    def add(self, name: str, more: int = 1) -> None:
-        self._counts[name] += more
+    def add(self, name: str, count: int = 1) -> None:
+        """Adds to a counter."""
+        self._counts[name] += count
 
     def add_result(self, kind: str, result: AttemptResult) -> None:
+        """Counts one result of an attempt or a probe; `kind` is the start of the counter's name."""
         self.add(f"{kind}_{result.value.replace(' ', '_')}")
 
     def add_failure(self, event: str, error: BaseException) -> None:
-        """A failure of the node's own: counted, and logged with its trace."""
+        """Counts a failure of the node itself, and logs it with its traceback."""
         self.add("internal_errors")
         log.error(event, exc_info=error)
 
-    def gauge(self, name: str, figure: Callable[[], float]) -> None:
-        self._gauges[name] = figure
+    def gauge(self, name: str, read_value: Callable[[], float]) -> None:
+        """Registers a gauge; `read_value` is called whenever the figures are read."""
+        self._gauges[name] = read_value
 
     def read(self) -> dict[str, float]:
-        """All figures by name, in order: the one way out, for a log line or a collector."""
-        figures = {**self._counts, **{name: figure() for name, figure in self._gauges.items()}}
-        return dict(sorted(figures.items()))
+        """Returns all counters and gauges by name, sorted; the only way to read them."""
+        gauges = {name: read_value() for name, read_value in self._gauges.items()}
+        return dict(sorted({**self._counts, **gauges}.items()))
--- a/notchjunction/telemetry/flight_recorder.py
+++ b/notchjunction/telemetry/flight_recorder.py
@@ -1,8 +1,8 @@
-"""The last things that happened in this process, kept in memory and logged where something went wrong.
+"""The latest events of this process, kept in memory and logged where something went wrong.
 
 Each entry names what happened, the request that it concerns, if any, and the facts that decided it: the
-reason of each close, retry, refusal and change of state. At the log level DEBUG each is a log line at once;
-else an entry costs a few hundred bytes until newer ones take its place.
+reason of each close, retry, rejection and change of state. At log level DEBUG each is also a log line at
+once; otherwise an entry takes a few hundred bytes until newer ones replace it.
 """
 
 from __future__ import annotations
@@ -17,24 +17,27 @@
 
 log = logging.getLogger(__name__)
 
-ENTRIES_MOST = 2048  # kept; a few seconds of a busy node, a minute of a quiet one
-LOGGED_MOST = 24  # entries of one request that are logged; a request rarely has more
-REPORTS_SPAN = 10.0  # s
-REPORTS_MOST = 8  # anomalies that are logged in that span; a storm of them says the same again and again
+# Entries kept: a few seconds of a busy node, a minute of a quiet one.
+MAX_ENTRIES = 2048
+# Entries of one request that are logged; a request rarely has more.
+MAX_LOGGED_ENTRIES = 24
+# Anomalies logged in REPORT_WINDOW_S; many of them repeat the same one.
+MAX_REPORTS = 8
+REPORT_WINDOW_S = 10.0
 
 
 class Occurrence(Enum):
-    """What happened."""
+    """What happened; the values are the events of log lines."""
 
-    REQUEST_TAKEN = "request taken"
+    REQUEST_ACCEPTED = "request taken"
     REQUEST_ANSWERED = "request answered"
-    CALLER_LEFT = "client gone"
-    CALLER_CLOSED = "client connection closed"
+    CLIENT_GONE = "client gone"
+    CLIENT_CONNECTION_CLOSED = "client connection closed"
     ATTEMPT_ORDERED = "attempt ordered"
     ATTEMPT_WRITTEN = "attempt written"
     ATTEMPT_WITHHELD = "attempt withheld"
     ATTEMPT_ENDED = "attempt ended"
-    LIST_CALL_ENDED = "list poll ended"
+    LIST_POLL_ENDED = "list poll ended"
     LIST_APPLIED = "list update applied"
     STATE_CHANGED = "state changed"
     INVARIANT_BROKEN = "invariant broken"
@@ -45,7 +48,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One thing that happened; `at` in s on the node's clock, `request` is empty where it concerns none."""
+    """One event; `at` in s on the node's clock, `request` is empty where it concerns none."""
 
     at: float
     what: Occurrence
@@ -58,30 +61,30 @@
 
     def __init__(self, clock: Callable[[], float]) -> None:
         self._clock = clock
-        self._entries: deque[Entry] = deque(maxlen=ENTRIES_MOST)
-        self._reported: deque[float] = deque(maxlen=REPORTS_MOST)
+        self._entries: deque[Entry] = deque(maxlen=MAX_ENTRIES)
+        self._reported: deque[float] = deque(maxlen=MAX_REPORTS)
 
     def note(self, what: Occurrence, request: str = "", **facts: Fact) -> None:
-        """Something happened."""
+        """Records an event, with the facts that decided it."""
         entry = Entry(self._clock(), what, request, facts)
         self._entries.append(entry)
         if log.isEnabledFor(logging.DEBUG):
             self._write(logging.DEBUG, entry)
 
     def about(self, request: str) -> list[Entry]:
-        """What is kept of one request, oldest first."""
+        """Returns the entries kept of one request, oldest first."""
         return [entry for entry in self._entries if entry.request == request]
 
     def report(self, why: str, request: str = "", **facts: Fact) -> None:
-        """Something went wrong: it is logged, with all that is kept of its request."""
+        """Records and logs that something went wrong, with the entries kept of its request."""
         now = self._clock()
         self.note(Occurrence.INVARIANT_BROKEN, request, why=why, **facts)
-        if len(self._reported) == REPORTS_MOST and now - self._reported[0] < REPORTS_SPAN:
+        if len(self._reported) == MAX_REPORTS and now - self._reported[0] < REPORT_WINDOW_S:
             return
         self._reported.append(now)
         log.error("anomaly", extra=pairs(why=why, request=request or None, **facts))
         if request:
-            for entry in self.about(request)[-LOGGED_MOST:]:
+            for entry in self.about(request)[-MAX_LOGGED_ENTRIES:]:
                 self._write(logging.WARNING, entry, ago=round(now - entry.at, 3))
 
     def _write(self, level: int, entry: Entry, **more: Fact) -> None:
--- a/notchjunction/telemetry/logs.py
+++ b/notchjunction/telemetry/logs.py
@@ -8,7 +8,7 @@
 
 
 def quoted(value: object) -> str:
-    """A value as it stands, or in quotes where a reader would not see its end."""
+    """Returns a value as text, in quotes where a reader could not tell where it ends."""
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     if text and all(char.isprintable() and char not in ' ="\\' for char in text):
         return text
@@ -17,7 +17,10 @@
 
 
 class KeyValueFormatter(logging.Formatter):
+    """Formats a record as one line: time, level, event, then the record's own pairs."""
+
     def format(self, record: logging.LogRecord) -> str:
+        """Returns the record's line, without a line end."""
         pairs: dict[str, Any] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -30,11 +33,12 @@
 
 
 def pairs(**values: object) -> dict[str, dict[str, object]]:
-    """For the `extra` of a log call."""
+    """Returns key=value pairs as the `extra` argument of a log call."""
     return {"pairs": values}
 
 
-def start(level: str) -> None:
+def configure_logging(level: str) -> None:
+    """Writes all log records from `level` up to standard error, as lines of pairs."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -80,7 +80,7 @@
                 while (request := requests.next()) is not None:
                     if self.silent:
                         continue
-                    if request.path == protocol.JOBS:
+                    if request.path == protocol.REQUEST_PATH:
                         if not held:
                             self.say(writer, ANSWERS[AttemptResult.REJECTED])
                             continue
@@ -116,7 +116,7 @@
 
 def time_left(request: Request) -> float:
     """Seconds that its sender waits."""
-    return int(request.headers.get(protocol.TIME_LEFT, "1000")) / 1000
+    return int(request.headers.get(protocol.DEADLINE_MS, "1000")) / 1000
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
@@ -179,12 +179,12 @@
         headers = request.headers
         query = parse_qs(urlsplit(request.target).query)
         call = Call(
-            name=(door.node, headers.get(protocol.JOB_ID, ""), 0),
-            profile=int(headers.get(protocol.PROFILE, "p0")[1:]),
+            name=(door.node, headers.get(protocol.REQUEST_ID, ""), 0),
+            profile=int(headers.get(protocol.REQUEST_CLASS, "p0")[1:]),
             seconds=float(query.get(WORK, [str(WORK_LEAST)])[0]),
             until=self._clock.now + time_left(request),
             answer=lambda result: door.end(writer, call, result),
-            number=headers.get(protocol.NUMBER),
+            number=headers.get(protocol.IDEMPOTENCY_KEY),
             knowing=self._came(door.node, request),
         )
         self._out[call] = request
@@ -204,6 +204,6 @@
         sound = self.server.presence is EndpointState.ACTIVE
         load = self.server.report()
         report = {word: getattr(load, held) for held, word in REPORTED.items()}
-        body = json.dumps(report).encode() if request.path == protocol.LOAD else b""
+        body = json.dumps(report).encode() if request.path == protocol.LOAD_PATH else b""
         answer = Answer(200 if sound else 503, body=body)
         self._clock.after(seconds, lambda: door.say(writer, answer))
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -301,15 +301,15 @@
         effect = self.scenario.profiles[profile].idempotency
         headers = {
             "host": "app",
-            protocol.JOB_ID: name,
-            protocol.PROFILE: f"p{profile}",
-            protocol.TIME_LEFT: str(max(1, int(left * 1000))),
-            **({protocol.REPEAT: "1"} if repeat else {}),
-            **({protocol.NUMBER: name} if effect is Idempotency.KEYED else {}),
-            **({protocol.OPERATOR: f"o{operator}"} if self.scenario.quotas else {}),
+            protocol.REQUEST_ID: name,
+            protocol.REQUEST_CLASS: f"p{profile}",
+            protocol.DEADLINE_MS: str(max(1, int(left * 1000))),
+            **({protocol.CLIENT_RETRY: "1"} if repeat else {}),
+            **({protocol.IDEMPOTENCY_KEY: name} if effect is Idempotency.KEYED else {}),
+            **({protocol.TENANT: f"o{operator}"} if self.scenario.quotas else {}),
         }
         method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
-        request = Request(method, f"{protocol.JOBS}?{WORK}={work:.5f}", headers)
+        request = Request(method, f"{protocol.REQUEST_PATH}?{WORK}={work:.5f}", headers)
         self.rows.append(Taken(self.clock.now, node, job, profile, self.clock.now + left, first))
         try:
             place = self._places[node].process.listen
@@ -342,7 +342,7 @@
 
     def _came(self, server: Server, node: int, request: Request) -> bool:
         """A dispatch has been read; whether its node had been told of the server's last start."""
-        name = request.headers.get(protocol.JOB_ID, "")
+        name = request.headers.get(protocol.REQUEST_ID, "")
         number = self._dispatches.get((node, name), 0)
         self._dispatches[node, name] = number + 1
         job = self._jobs.get((node, name), 0)
--- a/tests/test_incident_replay.py
+++ b/tests/test_incident_replay.py
@@ -65,8 +65,8 @@
         while piece := await asyncio.get_running_loop().sock_recv(opened, 65536):
             requests.feed(piece)
             while (request := requests.next()) is not None:
-                if request.path.startswith(protocol.JOBS):
-                    came.put_nowait((time.monotonic(), int(request.headers[protocol.TIME_LEFT]) / 1000))
+                if request.path.startswith(protocol.REQUEST_PATH):
+                    came.put_nowait((time.monotonic(), int(request.headers[protocol.DEADLINE_MS]) / 1000))
         opened.close()
 
     def close(self) -> None:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1329,7 +1329,7 @@
     before = signal.getsignal(signal.SIGUSR1)
     monkeypatch.setattr("sys.argv", ["notchjunction"])
     monkeypatch.setattr("os.environ", {})
-    monkeypatch.setattr("notchjunction.telemetry.logs.start", lambda _: None)
+    monkeypatch.setattr("notchjunction.telemetry.logs.configure_logging", lambda _: None)
     monkeypatch.setattr(node_config, "load_config", early)
     try:
         assert main() == 2
--- a/tests/test_preconditions.py
+++ b/tests/test_preconditions.py
@@ -33,7 +33,7 @@
     may_start,
     may_write,
 )
-from notchjunction.telemetry.flight_recorder import ENTRIES_MOST, REPORTS_MOST, FlightRecorder, Occurrence
+from notchjunction.telemetry.flight_recorder import MAX_ENTRIES, MAX_REPORTS, FlightRecorder, Occurrence
 from tests.helpers import Peer, RawClient, running
 
 SOUND = AttemptFacts(now=10.0, expires_at=11.0, is_wanted=True, client_connected=True, listed=True)
@@ -146,20 +146,20 @@
 ) -> None:
     clock = [0.0]
     recorder = FlightRecorder(lambda: clock[0])
-    for number in range(ENTRIES_MOST + 5):
-        recorder.note(Occurrence.REQUEST_TAKEN, f"r{number}", left=1.0)
+    for number in range(MAX_ENTRIES + 5):
+        recorder.note(Occurrence.REQUEST_ACCEPTED, f"r{number}", left=1.0)
     assert recorder.about("r0") == [] and len(recorder.about("r5")) == 1
     recorder.note(Occurrence.ATTEMPT_WRITTEN, "r9", server="s1", told=0.5)
     recorder.report("told_too_long", "r9", attempt=0)
     said = [record.getMessage() for record in caplog.records]
     assert said == ["anomaly", "request taken", "attempt written", "invariant broken"]
     caplog.clear()
-    for _ in range(3 * REPORTS_MOST):
+    for _ in range(3 * MAX_REPORTS):
         recorder.report("told_too_long")
-    assert len(caplog.records) == REPORTS_MOST - 1  # a storm of them says no more
+    assert len(caplog.records) == MAX_REPORTS - 1  # a storm of them says no more
     clock[0] += 60.0
     recorder.report("told_too_long")
-    assert len(caplog.records) == REPORTS_MOST
+    assert len(caplog.records) == MAX_REPORTS
 
 
 class LateLoop(ObservedLoop):
@@ -192,7 +192,7 @@
             async with asyncio.timeout(2):
                 while len(peer.requests) < 1 + kept:
                     await asyncio.sleep(0.01)
-            told = int(peer.requests[-1].headers[protocol.TIME_LEFT]) / 1000
+            told = int(peer.requests[-1].headers[protocol.DEADLINE_MS]) / 1000
             assert 1.3 < told <= 1.6 + 0.01  # of 2 s
 
     with asyncio.Runner(loop_factory=LateLoop) as runner:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -49,8 +49,13 @@
     standin.close()
 
 
-def job(work: float = 0.01, path: str = protocol.JOBS) -> Request:
-    headers = {"host": "a", protocol.JOB_ID: "j", protocol.PROFILE: "p0", protocol.TIME_LEFT: "2000"}
+def job(work: float = 0.01, path: str = protocol.REQUEST_PATH) -> Request:
+    headers = {
+        "host": "a",
+        protocol.REQUEST_ID: "j",
+        protocol.REQUEST_CLASS: "p0",
+        protocol.DEADLINE_MS: "2000",
+    }
     return Request("GET", f"{path}?work={work}", headers)
 
 
