--- a/notchjunction/__main__.py
+++ b/notchjunction/__main__.py
@@ -44,7 +44,7 @@
     """Whether a node in service would take the file at SIGHUP, as far as the file alone tells."""
     try:
         validation.validate(validation.parse(Path(file).read_text(encoding="utf-8")))
-    except validation.InvalidConfiguration as unfit:
+    except validation.InvalidConfigurationError as unfit:
         for error in unfit.errors:
             print(f"{file}: {error}")
         return 1
@@ -66,7 +66,7 @@
         return check(asked.check)
     try:
         told = node_config.load_config(os.environ)
-    except validation.InvalidConfiguration as unfit:
+    except validation.InvalidConfigurationError as unfit:
         for each in unfit.errors:
             log.error("invalid configuration", extra=logs.pairs(why=each))
         return 2
--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -55,7 +55,7 @@
     told = _object(file) if file else {}
     if mixed := validation.mixed_deployment_errors(told):
         # Guards against half of one shape and half of the other: it would serve, and lose jobs.
-        raise validation.InvalidConfiguration(mixed)
+        raise validation.InvalidConfigurationError(mixed)
     given = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
     try:
         return _started({**told, **given}, told, environment)
@@ -87,13 +87,13 @@
 def reload_config(told: NodeConfig) -> NodeConfig:
     """The same node with the discovery and the settings of its file now; Unfit with all that is wrong."""
     if told.file is None:
-        raise validation.InvalidConfiguration(["no file to read"])
+        raise validation.InvalidConfigurationError(["no file to read"])
     found = validation.parse(Path(told.file).read_text(encoding="utf-8"))
     validation.validate(found, told.document)
     settled = _settled(found)
     shape = _shape_changed(told.balancer, settled.balancer) + _fleet_changed(told.fleet, settled.fleet)
     if shape:
-        raise validation.InvalidConfiguration([f"{key}: changes with a start only" for key in shape])
+        raise validation.InvalidConfigurationError([f"{key}: changes with a start only" for key in shape])
     return replace(
         settled,
         name=told.name,
@@ -143,7 +143,8 @@
         ),
         cached_list=None,
         max_descriptors=SOCKETS,
-        connect_timeout=settings.number(paths, "limits.connect_timeout", settings.CONNECT_WITHIN) / 1000,
+        connect_timeout=settings.number(paths, "limits.connect_timeout", settings.DEFAULT_CONNECT_TIMEOUT_MS)
+        / 1000,
         connection_idle_timeout=settings.number(paths, "limits.conn_idle", IDLE) / 1000,
         key_header=str(told.get("key_header", "")).lower(),
         fleet=told.get("fleet"),
--- a/notchjunction/config/settings.py
+++ b/notchjunction/config/settings.py
@@ -1,6 +1,6 @@
-"""The one reader of the settings: flat `path=value` names, whichever wire or file they came by.
+"""The only reader of the settings: flat `path=value` pairs from any wire or file, as types.
 
-A value that is missing or unreadable gets the safest reading. No decision is taken here.
+A value that is missing or unreadable gets the safest one. No decision is made here.
 """
 
 from __future__ import annotations
@@ -16,7 +16,7 @@
     RequestClass,
 )
 
-FlatSettings = Mapping[str, str]
+FlatSettings = Mapping[str, str]  # values by dotted path
 
 IDEMPOTENCY = {
     "repeatable": Idempotency.IDEMPOTENT,
@@ -28,9 +28,11 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.GROUP,
 }
-CONNECT_WITHIN = 250.0  # ms where no connect time-out is told
-BESIDE_CLIENTS = "mesh"  # the kind of deployment in which each client process has a node of its own
-# What a load report's figures are called in the settings and, on sockets, in the report itself.
+# Where the settings give no connect timeout.
+DEFAULT_CONNECT_TIMEOUT_MS = 250.0
+# The kind of deployment in which each client process has a node of its own.
+SIDECAR_FAMILY = "mesh"
+# Figures of a load report: names in the settings and, on sockets, in the report; fields of LoadReport.
 LOAD_REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "queued",
@@ -42,7 +44,10 @@
 
 
 def flatten(value: object, path: str = "") -> dict[str, str]:
-    """Nested JSON as flat names: a list of objects gives `.count`, `.0`, `.1`, ..., others are joined."""
+    """Returns nested JSON as flat settings.
+
+    A list of objects gives `.count`, `.0`, `.1`, ...; other lists are joined by commas; null gives nothing.
+    """
     stem = path + "." if path else ""
     flat: dict[str, str] = {}
     if isinstance(value, Mapping):
@@ -62,6 +67,7 @@
 
 
 def number(paths: FlatSettings, path: str, default: float) -> float:
+    """Returns the number at a path; `default` where it is missing or no number."""
     try:
         return float(paths[path])
     except (KeyError, ValueError):
@@ -69,17 +75,17 @@
 
 
 def word_list(paths: FlatSettings, path: str) -> list[str]:
-    """A list of simple values."""
-    return [word for word in paths.get(path, "").split(",") if word]
+    """Returns the values of a list of simple values."""
+    return [value for value in paths.get(path, "").split(",") if value]
 
 
 def names_of(paths: FlatSettings, stem: str) -> list[str]:
-    """The names in a list of objects."""
+    """Returns the names in a list of objects."""
     return [paths.get(item + "name", "") for item in _items(paths, stem)]
 
 
 def _items(paths: FlatSettings, stem: str) -> list[str]:
-    """The stems of the objects in a list."""
+    """Returns the stems of the paths of the objects in a list."""
     return [f"{stem}.{i}." for i in range(int(number(paths, f"{stem}.count", 0)))]
 
 
@@ -87,11 +93,11 @@
     return paths.get(path, "true" if default else "false") in ("true", "1")
 
 
-def _profile(paths: FlatSettings, stem: str) -> RequestClass:
-    abandon = number(paths, stem + "abandon_time", 1000.0) / 1000
+def _read_request_class(paths: FlatSettings, stem: str) -> RequestClass:
+    deadline = number(paths, stem + "abandon_time", 1000.0) / 1000
     return RequestClass(
-        latency_objective=number(paths, stem + "contract_time", abandon * 1000) / 1000,
-        deadline=abandon,
+        latency_objective=number(paths, stem + "contract_time", deadline * 1000) / 1000,
+        deadline=deadline,
         priority_weight=number(paths, stem + "revenue", 1.0),
         late_weight=number(paths, stem + "tardy_revenue", 0.0),
         idempotency=IDEMPOTENCY.get(paths.get(stem + "effect", ""), Idempotency.NON_IDEMPOTENT),
@@ -103,35 +109,36 @@
 
 
 def read_settings(seed: int, paths: FlatSettings) -> BalancerSettings:
-    layers = word_list(paths, "layers")
-    layer = int(number(paths, "layer", -1))
-    advised = _flag(paths, "limits.retry_after", False)
+    """Returns the balancer's settings; `seed` is that of its random generator."""
+    tiers = word_list(paths, "layers")
+    tier = int(number(paths, "layer", -1))
+    advises_retry = _flag(paths, "limits.retry_after", False)
     return BalancerSettings(
         seed=seed,
-        request_classes=[_profile(paths, item) for item in _items(paths, "profiles")],
+        request_classes=[_read_request_class(paths, item) for item in _items(paths, "profiles")],
         tenant_quotas=[number(paths, item + "quota_rps", 0.0) for item in _items(paths, "tenants")],
         over_quota_weight=number(paths, "overage_revenue", 1.0),
         node_count=max(1, int(number(paths, "group_size", 1))),
-        tier=layer if 0 <= layer < len(layers) else None,
-        tier_count=len(layers),
+        tier=tier if 0 <= tier < len(tiers) else None,
+        tier_count=len(tiers),
         zone=int(number(paths, "zone", 0)),
         polls_list=paths.get("registry_mode") == "subscribe",
         probes=_flag(paths, "limits.probes", False),
         cancellation=_flag(paths, "limits.cancel", False),
         hedging=_flag(paths, "limits.second_copies", False),
-        retry_after_max=number(paths, "limits.max_retry_after", 0.0) / 1000 if advised else 0.0,
+        retry_after_max=number(paths, "limits.max_retry_after", 0.0) / 1000 if advises_retry else 0.0,
         max_attempts=int(number(paths, "limits.max_dispatches", 1)),
         poll_interval=number(paths, "invariants.ask_within", 0.0) / 1000,
         tick=number(paths, "tick", 5.0) / 1000,
         cross_zone_cost=number(paths, "prices.cross_zone", 0.0),
         connection_cost=number(paths, "prices.connection", 0.0) + number(paths, "prices.handshake", 0.0),
         connection_idle_timeout=number(paths, "limits.conn_idle", 0.0) / 1000,
-        connect_timeout=number(paths, "limits.connect_timeout", CONNECT_WITHIN) / 1000,
+        connect_timeout=number(paths, "limits.connect_timeout", DEFAULT_CONNECT_TIMEOUT_MS) / 1000,
         streams_per_connection=int(number(paths, "limits.max_streams", 1)),
         slow_start_share=number(paths, "invariants.start_capacity", 1.0),
         slow_start_time=number(paths, "invariants.cold", 0.0) / 1000,
         overload_multiple=number(paths, "invariants.tip_multiple", 1.0),
-        sidecar=paths.get("family") == BESIDE_CLIENTS,
+        sidecar=paths.get("family") == SIDECAR_FAMILY,
         gossips=_flag(paths, "limits.may_tell", False),
         node_index=int(number(paths, "me", 0)),
         key_affinity=_flag(paths, "extra.warm_keys", False),
@@ -139,7 +146,10 @@
 
 
 def read_load_report(report: Mapping[str, object]) -> LoadReport | None:
-    """A load report by the settings' names; a figure that is missing or unreadable stays unknown."""
+    """Returns a load report by the names of its figures; None for an empty one.
+
+    A figure that is missing or unreadable stays unknown.
+    """
     figures: dict[str, float] = {}
     for name, value in report.items():
         if name in LOAD_REPORT_FIELDS and isinstance(value, str | int | float) and value != "":
@@ -147,7 +157,7 @@
                 figure = float(value) / (1000 if name.endswith("_ms") else 1)
             except (ValueError, OverflowError):
                 continue
-            # Guards against a server that reports no number: a comparison with it would hold neither way.
+            # Guards against an endpoint that reports NaN: any comparison with it would be false.
             if math.isfinite(figure) and figure >= 0:
                 figures[LOAD_REPORT_FIELDS[name]] = figure
     return LoadReport(**figures) if report else None
--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -24,21 +24,21 @@
     Any as AnyOf,
 )
 
+from notchjunction.addresses import MAX_PORT
 from notchjunction.config.settings import (
-    BESIDE_CLIENTS,
     DEDUPLICATION_SCOPES,
     IDEMPOTENCY,
+    SIDECAR_FAMILY,
     FlatSettings,
     flatten,
 )
 
 ERRORS_MOST = 20  # named at once; a file with more is another kind of file
-PORT_MOST = 65535
 DRIFT_MOST = 0.2  # part by which clocks may be said to run off; past it rights are mostly waited for
 NAME_MOST = 64  # bytes of a node's name that go into each message between nodes
 
 
-class InvalidConfiguration(Exception):
+class InvalidConfigurationError(Exception):
     """A configuration that is not taken; `errors` says why, each with its place."""
 
     def __init__(self, errors: list[str]) -> None:
@@ -62,8 +62,8 @@
     host, _, port = str(value).rpartition(":")
     if not isinstance(value, str) or not host or not port.isascii() or not port.isdigit():
         raise Invalid("expected HOST:PORT")
-    if not 0 < int(port) <= PORT_MOST:
-        raise Invalid(f"expected a port from 1 to {PORT_MOST}")
+    if not 0 < int(port) <= MAX_PORT:
+        raise Invalid(f"expected a port from 1 to {MAX_PORT}")
     return value
 
 
@@ -140,7 +140,7 @@
         Optional("limits"): [FLEET_LIMIT],
     }
 )
-FAMILIES = ("chain", BESIDE_CLIENTS)  # tiers behind a pool of nodes, or a node beside each client
+FAMILIES = ("chain", SIDECAR_FAMILY)  # tiers behind a pool of nodes, or a node beside each client
 SCHEMA = Schema(
     {
         Required("name"): WORD,
@@ -181,13 +181,13 @@
         found = json.loads(text)
     except json.JSONDecodeError as error:
         place = f"line {error.lineno}, column {error.colno}"
-        raise InvalidConfiguration(
+        raise InvalidConfigurationError(
             [f"{place}: {error.msg}" if text.strip() else "the file is empty"]
         ) from error
     except RecursionError as error:
-        raise InvalidConfiguration(["nested too deeply"]) from error
+        raise InvalidConfigurationError(["nested too deeply"]) from error
     if not isinstance(found, dict):
-        raise InvalidConfiguration(["no JSON object in the file"])
+        raise InvalidConfigurationError(["no JSON object in the file"])
     return found
 
 
@@ -207,8 +207,8 @@
     def on(path: str) -> bool:
         return paths.get(path) == "true"
 
-    beside = paths.get("family") == BESIDE_CLIENTS
-    shape = f"settings.family {BESIDE_CLIENTS}"
+    beside = paths.get("family") == SIDECAR_FAMILY
+    shape = f"settings.family {SIDECAR_FAMILY}"
     tells, warm = on("limits.may_tell"), on("extra.warm_keys")
     rows = [
         (beside and on("limits.second_copies"), f"settings.limits.second_copies: not with {shape}"),
@@ -291,7 +291,7 @@
         if not any(error.startswith(place(missing) + ":") for error in errors):
             errors.append(line)
     if errors:
-        raise InvalidConfiguration(errors[:ERRORS_MOST])
+        raise InvalidConfigurationError(errors[:ERRORS_MOST])
 
 
 def _lasting(found: Mapping[str, Any]) -> dict[str, Any]:
--- a/notchjunction/experiments/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -30,7 +30,7 @@
 from notchjunction.testbed.stage import breaches as stage_breaches
 
 
-def refuse(file: Path, unfit: validation.InvalidConfiguration) -> click.ClickException:
+def refuse(file: Path, unfit: validation.InvalidConfigurationError) -> click.ClickException:
     """All errors at once, each with file and place; exit code 1."""
     return click.ClickException("\n".join(f"{file}: {error}" for error in unfit.errors))
 
@@ -48,7 +48,7 @@
 def experiment_in(file: Path) -> Experiment:
     try:
         return read_experiment(file)
-    except validation.InvalidConfiguration as unfit:
+    except validation.InvalidConfigurationError as unfit:
         raise refuse(file, unfit) from unfit
 
 
@@ -87,7 +87,7 @@
             read_trace(file)
         else:
             validation.validate(validation.parse(file.read_text(encoding="utf-8")))
-    except validation.InvalidConfiguration as unfit:
+    except validation.InvalidConfigurationError as unfit:
         raise refuse(file, unfit) from unfit
     click.echo(f"{file}: sound")
 
@@ -277,7 +277,7 @@
     if trace is not None:
         try:
             sends = read_trace(trace)
-        except validation.InvalidConfiguration as unfit:
+        except validation.InvalidConfigurationError as unfit:
             raise refuse(trace, unfit) from unfit
     else:
         shapes = [Shape(rate, seconds, rate_end), *([Shape(flush, 1.0)] if flush else [])]
--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -16,7 +16,7 @@
     DRIFT_MOST,
     FROM_0,
     WORD,
-    InvalidConfiguration,
+    InvalidConfigurationError,
     errors_of,
     whole_number,
 )
@@ -136,9 +136,9 @@
     try:
         told = tomllib.loads(file.read_text(encoding="utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
-        raise InvalidConfiguration([str(error)]) from error
+        raise InvalidConfigurationError([str(error)]) from error
     if malformed := errors_of(EXPERIMENT, told):
-        raise InvalidConfiguration(malformed)
+        raise InvalidConfigurationError(malformed)
     errors = [
         error for i, row in enumerate(told["scenarios"]) for error in _contradictions(f"scenarios.{i}", row)
     ]
@@ -151,7 +151,7 @@
     if len(names) * len(told["seeds"]) * len(told["variants"]) > RUNS_MOST:
         errors.append(f"seeds: more than {RUNS_MOST} runs")
     if errors:
-        raise InvalidConfiguration(errors)
+        raise InvalidConfigurationError(errors)
     scenarios = tuple(_scenario(row) for row in told["scenarios"])
     fleets = {row["name"]: _fleet(row["fleet"]) for row in told["scenarios"] if "fleet" in row}
     return Experiment(told["name"], tuple(told["seeds"]), tuple(told["variants"]), scenarios, fleets)
--- a/notchjunction/experiments/load.py
+++ b/notchjunction/experiments/load.py
@@ -15,7 +15,7 @@
 from voluptuous import Invalid
 
 from notchjunction.addresses import Address
-from notchjunction.config.validation import InvalidConfiguration
+from notchjunction.config.validation import InvalidConfigurationError
 from notchjunction.http1.messages import Request
 from notchjunction.testbed.client import Callers
 
@@ -78,7 +78,7 @@
         errors.append("the last line has no end: the file is torn")
     rows = csv.DictReader(text.splitlines())
     if tuple(rows.fieldnames or ()) != TRACE:
-        raise InvalidConfiguration([f"line 1: expected the columns {','.join(TRACE)}"])
+        raise InvalidConfigurationError([f"line 1: expected the columns {','.join(TRACE)}"])
     for row in rows:
         try:
             found.append(_sent(row, names))
@@ -86,9 +86,9 @@
             errors.append(f"line {rows.line_num}: {error}")
         names.add(row["id"])
     if errors:
-        raise InvalidConfiguration(errors)
+        raise InvalidConfigurationError(errors)
     if any(later.at < earlier.at for earlier, later in pairwise(found)):
-        raise InvalidConfiguration(["the rows are not in order of time"])
+        raise InvalidConfigurationError(["the rows are not in order of time"])
     return found
 
 
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -25,7 +25,7 @@
 from notchjunction.balancing.interface import ListUpdate
 from notchjunction.config import node_config
 from notchjunction.config.node_config import NodeConfig
-from notchjunction.config.validation import InvalidConfiguration
+from notchjunction.config.validation import InvalidConfigurationError
 from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
 from notchjunction.discovery.known_endpoints import KnownEndpoints
 from notchjunction.discovery.watch_state import ListWatch
@@ -381,9 +381,9 @@
         """Takes the file's discovery and settings, whole; where anything is wrong, all stays as it was."""
         try:
             told = node_config.reload_config(self._told)
-        except (InvalidConfiguration, OSError, UnicodeDecodeError) as error:
+        except (InvalidConfigurationError, OSError, UnicodeDecodeError) as error:
             self.counters.add("reloads_failed")
-            for each in error.errors if isinstance(error, InvalidConfiguration) else [str(error)]:
+            for each in error.errors if isinstance(error, InvalidConfigurationError) else [str(error)]:
                 log.error("configuration invalid", extra=pairs(why=each))
             return
         self.counters.add("reloads")
--- a/tests/test_experiments.py
+++ b/tests/test_experiments.py
@@ -63,7 +63,7 @@
     old: str, new: str, place: str, tmp_path: Path
 ) -> None:
     file = changed(tmp_path, old, new)
-    with pytest.raises(validation.InvalidConfiguration) as refused:
+    with pytest.raises(validation.InvalidConfigurationError) as refused:
         read_experiment(file)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
     asked = CliRunner().invoke(main, ["check", str(file)])
@@ -87,7 +87,7 @@
     kept = HERE / "fleet.toml"
     file = tmp_path / "changed.toml"
     file.write_text(kept.read_text().replace(old, new, 1))
-    with pytest.raises(validation.InvalidConfiguration) as refused:
+    with pytest.raises(validation.InvalidConfigurationError) as refused:
         read_experiment(file)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
     for asked in (["emulate", str(kept)], ["experiment", str(kept), "--into", str(tmp_path)]):
@@ -101,7 +101,7 @@
         file.write_text(text[:end])
         try:
             found = read_experiment(file)
-        except validation.InvalidConfiguration:
+        except validation.InvalidConfigurationError:
             continue
         assert found.scenarios  # cut between two scenarios or faults, a file may be whole
 
@@ -302,7 +302,7 @@
         (["0.5,a,a,p,1,reissuable", "0.1,b,b,p,1,reissuable"], "\n", "the rows are not in order"),
         (["0.0,a,a,p,1.0,reissuable"], "", "the last line has no end"),
     ):
-        with pytest.raises(validation.InvalidConfiguration) as refused:
+        with pytest.raises(validation.InvalidConfigurationError) as refused:
             read_trace(trace(tmp_path, *lines, end=end))
         assert refused.value.errors[0].startswith(place)
     (tmp_path / "trace.csv").write_text("when,who\n")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -67,7 +67,7 @@
     more: Mapping[str, Any], key: str, tmp_path: Path
 ) -> None:
     found = {**configuration(), "fleet": section(**more)}
-    with pytest.raises(validation.InvalidConfiguration) as unfit:
+    with pytest.raises(validation.InvalidConfigurationError) as unfit:
         validation.validate(found)
     assert any(error.startswith(key) for error in unfit.value.errors), unfit.value.errors
     file = tmp_path / "told.json"
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -93,7 +93,7 @@
     before = configuration()
     found = copy.deepcopy(before)
     change(found)
-    with pytest.raises(validation.InvalidConfiguration) as refused:
+    with pytest.raises(validation.InvalidConfigurationError) as refused:
         validation.validate(found, before)
     assert [error.partition(":")[0] for error in refused.value.errors] == [place]
 
@@ -104,7 +104,7 @@
     found = copy.deepcopy(before)
     for change, _ in BROKEN[:1] + BROKEN[6:7] + BROKEN[10:11] + BROKEN[16:17]:
         change(found)
-    with pytest.raises(validation.InvalidConfiguration) as refused:
+    with pytest.raises(validation.InvalidConfigurationError) as refused:
         validation.validate(found, before)
     assert len(refused.value.errors) == 4
     more = copy.deepcopy(before)
@@ -115,14 +115,14 @@
 
 @pytest.mark.parametrize("text", ["", " \n", "[]", "7", "[" * 100000, '{"a": }'])
 def test_what_is_no_object_is_refused(text: str) -> None:
-    with pytest.raises(validation.InvalidConfiguration):
+    with pytest.raises(validation.InvalidConfigurationError):
         validation.parse(text)
 
 
 def test_a_file_cut_anywhere_is_refused() -> None:
     text = json.dumps(configuration())
     for end in range(len(text)):
-        with pytest.raises(validation.InvalidConfiguration):
+        with pytest.raises(validation.InvalidConfigurationError):
             validation.validate(validation.parse(text[:end]), configuration())
 
 
