--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -1,4 +1,4 @@
-"""Whether a configuration can be taken as it stands: all that is wrong with it, each with its place. Pure."""
+"""Validation of a configuration: all of its errors, each with its place. Pure: no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -33,13 +33,16 @@
     flatten,
 )
 
-ERRORS_MOST = 20  # named at once; a file with more is another kind of file
-DRIFT_MOST = 0.2  # part by which clocks may be said to run off; past it rights are mostly waited for
-NAME_MOST = 64  # bytes of a node's name that go into each message between nodes
+# Errors listed at once; a file with more is another kind of file.
+MAX_ERRORS = 20
+# Share by which clocks may be configured to drift; with more, leases are mostly waited for.
+DRIFT_MOST = 0.2
+# A node's name goes into each message between nodes.
+MAX_NAME_BYTES = 64
 
 
 class InvalidConfigurationError(Exception):
-    """A configuration that is not taken; `errors` says why, each with its place."""
+    """A configuration was rejected; `errors` lists why, each with its place."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -53,6 +56,7 @@
 
 
 def whole_number(value: Any) -> int:
+    """Returns a whole number as an int; raises Invalid for anything else."""
     if isinstance(value, bool) or not isinstance(value, int | float) or value != int(_number(value)):
         raise Invalid("expected a whole number")
     return int(value)
@@ -81,11 +85,11 @@
     return value
 
 
-def _profiles(value: list[dict[str, Any]]) -> list[dict[str, Any]]:
-    names = [profile["name"] for profile in value]
-    twice = sorted({name for name in names if names.count(name) > 1})
-    if twice:
-        raise Invalid(f"named twice: {', '.join(twice)}")
+def _check_unique_names(value: list[dict[str, Any]]) -> list[dict[str, Any]]:
+    names = [request_class["name"] for request_class in value]
+    duplicates = sorted({name for name in names if names.count(name) > 1})
+    if duplicates:
+        raise Invalid(f"named twice: {', '.join(duplicates)}")
     return value
 
 
@@ -156,7 +160,7 @@
             Required("layer"): whole_number,
             Required("limits"): LIMITS,
             Required("profiles"): All(
-                [PROFILE], Length(min=1, msg="expected one profile at least"), _profiles
+                [PROFILE], Length(min=1, msg="expected one profile at least"), _check_unique_names
             ),
             Optional("localities"): [WORD],
             Optional("zone"): whole_number,
@@ -172,11 +176,15 @@
     },
     extra=ALLOW_EXTRA,
 )
-MAY_GO = frozenset(("known", "seed"))  # what a node only starts with
+# Keys that a node only reads at its start; they may be missing later.
+START_ONLY_KEYS = frozenset(("known", "seed"))
 
 
 def parse(text: str) -> dict[str, Any]:
-    """The file's object; Unfit where it is none, as when it was read in the middle of being written."""
+    """Returns the file's JSON object; raises InvalidConfigurationError for anything else.
+
+    As when the file was read in the middle of being written.
+    """
     try:
         found = json.loads(text)
     except json.JSONDecodeError as error:
@@ -192,7 +200,7 @@
 
 
 def errors_of(schema: Schema, found: object) -> list[str]:
-    """All that a schema has against a value, each with its place."""
+    """Returns the errors that a schema finds in a value, each with its place."""
     try:
         schema(found)
     except MultipleInvalid as invalid:
@@ -201,17 +209,17 @@
 
 
 def mixed_deployment_errors(found: Mapping[str, Any]) -> list[str]:
-    """What of the one shape of deployment stands in a configuration of the other; checked at a start too."""
+    """Returns the errors of a configuration that mixes both kinds of deployment; checked at a start too."""
     paths = flatten(found.get("settings", {}))
 
-    def on(path: str) -> bool:
+    def is_on(path: str) -> bool:
         return paths.get(path) == "true"
 
     beside = paths.get("family") == SIDECAR_FAMILY
     shape = f"settings.family {SIDECAR_FAMILY}"
-    tells, warm = on("limits.may_tell"), on("extra.warm_keys")
+    tells, warm = is_on("limits.may_tell"), is_on("extra.warm_keys")
     rows = [
-        (beside and on("limits.second_copies"), f"settings.limits.second_copies: not with {shape}"),
+        (beside and is_on("limits.second_copies"), f"settings.limits.second_copies: not with {shape}"),
         (beside and "," in paths.get("layers", ""), f"settings.layers: one alone with {shape}"),
         (tells and not beside, f"settings.limits.may_tell: only with {shape}"),
         (warm and not beside, f"settings.extra.warm_keys: only with {shape}"),
@@ -220,13 +228,13 @@
         (warm and "key_header" not in found, "key_header: missing, and settings.extra.warm_keys is true"),
         (not warm and "key_header" in found, "key_header: given, and settings.extra.warm_keys is not true"),
     ]
-    found_wrong = [line for wrong, line in rows if wrong]
-    found_wrong += _peers(found["talk"], paths) if tells and "talk" in found else []
-    return found_wrong + fleet_errors(found)
+    errors = [error for is_wrong, error in rows if is_wrong]
+    errors += _peers(found["talk"], paths) if tells and "talk" in found else []
+    return errors + fleet_errors(found)
 
 
 def fleet_errors(found: Mapping[str, Any]) -> list[str]:
-    """What is wrong with the section `fleet`, where there is one; checked at a start too."""
+    """Returns the errors of the section `fleet`, where there is one; checked at a start too."""
     if "fleet" not in found:
         return []
     fleet, stem = found["fleet"], "fleet"
@@ -239,12 +247,12 @@
     names = [limit["name"] for limit in limits]
     rows = [
         (
-            not 0 < len(str(found.get("name", "")).encode()) <= NAME_MOST,
-            f"name: expected up to {NAME_MOST} bytes",
+            not 0 < len(str(found.get("name", "")).encode()) <= MAX_NAME_BYTES,
+            f"name: expected up to {MAX_NAME_BYTES} bytes",
         ),
         (len(set(numbers)) < len(numbers), f"{stem}.keys: a number is given twice"),
         (len(set(names)) < len(names), f"{stem}.limits: a name is given twice"),
-        # Guards against two processes that own the same rights: only one can have the address.
+        # Guards against two processes that own the same quota: only one can have the address.
         (own != fleet["listen"], f"{stem}.listen: expected what {stem}.places says of this node"),
         (
             "talk" in found and found["talk"].get("listen") == fleet["listen"],
@@ -265,11 +273,11 @@
                 f"{at}.before.revision: expected the one before {at}.revision",
             ),
         ]
-    return [line for wrong, line in rows if wrong]
+    return [error for is_wrong, error in rows if is_wrong]
 
 
 def _peers(talk: Any, paths: FlatSettings) -> list[str]:
-    """Peers are numbered by their place, and this node is one of them: `me` is its place."""
+    """Returns the errors of the peers: they are numbered by position, and `me` is this node's position."""
     peers = talk.get("peers") if isinstance(talk, Mapping) else None
     if not isinstance(peers, list):
         return ["talk.peers: expected a list"]
@@ -283,19 +291,22 @@
 
 
 def validate(found: Mapping[str, Any], before: Mapping[str, Any] | None = None) -> None:
-    """Raises Unfit with all errors; `before` is the one in force, no key of which may be missing."""
+    """Raises InvalidConfigurationError with all errors of `found`.
+
+    `before` is the configuration in force, no key of which may be missing.
+    """
     errors = errors_of(SCHEMA, dict(found)) or mixed_deployment_errors(found)
-    for missing in _missing(_lasting(before or {}), _lasting(found), ()):
-        # Guards against a file short of a key: what it said would silently fall back to a reading of our own.
+    for missing in _missing(_permanent_part(before or {}), _permanent_part(found), ()):
+        # Guards against a file that lost a key: its setting would silently fall back to a default.
         line = f"{place(missing)}: in force, and missing"
         if not any(error.startswith(place(missing) + ":") for error in errors):
             errors.append(line)
     if errors:
-        raise InvalidConfigurationError(errors[:ERRORS_MOST])
+        raise InvalidConfigurationError(errors[:MAX_ERRORS])
 
 
-def _lasting(found: Mapping[str, Any]) -> dict[str, Any]:
-    """Without what a file may leave out later: a limit between nodes goes, and so does its split before."""
+def _permanent_part(found: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns it without what a later file may leave out: limits of the fleet, and how they were split."""
     fleet = found.get("fleet")
     if not isinstance(fleet, Mapping):
         return dict(found)
@@ -303,14 +314,14 @@
 
 
 def _missing(before: Any, found: Any, path: tuple[object, ...]) -> list[tuple[object, ...]]:
-    """Paths of what the one says and the other does not; a list of objects is held to what all of it say."""
+    """Returns the paths in `before` that `found` lacks; in a list of objects, those all of them share."""
     if isinstance(before, Mapping) and isinstance(found, Mapping):
-        rows: list[tuple[object, ...]] = []
+        paths: list[tuple[object, ...]] = []
         for name, value in before.items():
-            if path or name not in MAY_GO:
+            if path or name not in START_ONLY_KEYS:
                 here = (*path, name)
-                rows += _missing(value, found[name], here) if name in found else [here]
-        return rows
+                paths += _missing(value, found[name], here) if name in found else [here]
+        return paths
     if isinstance(before, list) and isinstance(found, list) and before and isinstance(before[0], Mapping):
         shared = set(before[0]).intersection(*before)
         return [
@@ -323,4 +334,5 @@
 
 
 def place(path: tuple[object, ...] | list[object]) -> str:
+    """Returns a path of keys and positions as a place in the file."""
     return ".".join(str(part) for part in path) or "the file"
