--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -1,4 +1,4 @@
-"""What a node is told: the environment and the file that GW_CONFIG names."""
+"""A node's configuration, from the environment and the file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -17,16 +17,22 @@
 from notchjunction.config import settings, validation
 from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
 
-LOOP_TICK = 0.01  # s by which timers of a loop on a shared core come late; 12 ms was the most seen
-SOCKETS = 1024  # descriptors where no limit is told
-PUSHED = "automatic"  # the mode in which lists are pushed
+# Timers of an event loop on a shared core fire this late; at most 12 ms was seen.
+LOOP_TICK_S = 0.01
+# File descriptors where no limit is given.
+DEFAULT_MAX_DESCRIPTORS = 1024
+# The registry mode in which an agent pushes lists.
+PUSHED_LIST_MODE = "automatic"
 VARIABLES = {"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY", "mgmt": "GW_MGMT"}
-NOWHERE: Address = ("", 0)
-IDLE = 5000.0  # ms that servers keep an idle connection, where that is not told
+NO_ADDRESS: Address = ("", 0)
+# Endpoints keep an idle connection for this long, where the settings do not say.
+DEFAULT_IDLE_TIMEOUT_MS = 5000.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
+    """What a node runs with; times in s. Fields without a value in the file have their defaults."""
+
     name: str
     listen: Address
     discovery: Address
@@ -37,79 +43,89 @@
     connect_timeout: float
     connection_idle_timeout: float
     load_path: str
-    admin_address: Address | None = None  # where operators call; none: nowhere
-    shared_directory: str | None = (
-        None  # the folder in which a later process of the node finds this one; none: nowhere
-    )
+    admin_address: Address | None = None  # of the admin API; None: it is off
+    shared_directory: str | None = None  # where a later process of the node finds this one; None: no upgrades
     file: str | None = None
-    gossip: tuple[Address, list[Address]] | None = None  # where notes are heard, and the peers by number
+    gossip: tuple[Address, list[Address]] | None = None  # own address, and those of all peers by number
     key_header: str = ""
-    list_is_pushed: bool = False  # an agent has the list, and what it has counts as told at once
-    fleet: Mapping[str, Any] | None = None  # the section of that name, checked; none: nothing is shared
+    list_is_pushed: bool = False  # by an agent: its changes count at once
+    fleet: Mapping[str, Any] | None = None  # the section of that name, validated; None: no fleet
     document: Mapping[str, Any] = field(default_factory=dict)
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """What a node starts with. Read as safely as it can be: one that does not start serves nobody."""
+    """Returns what a node starts with, as lenient as is safe: a node that does not start serves nobody.
+
+    Raises InvalidConfigurationError for mixed kinds of deployment, ValueError for anything else unusable.
+    """
     file = environment.get("GW_CONFIG") or None
-    told = _object(file) if file else {}
-    if mixed := validation.mixed_deployment_errors(told):
-        # Guards against half of one shape and half of the other: it would serve, and lose jobs.
+    document = _object(file) if file else {}
+    if mixed := validation.mixed_deployment_errors(document):
+        # Guards against half of one shape and half of the other: it would serve, and lose requests.
         raise validation.InvalidConfigurationError(mixed)
-    given = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
+    overrides = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
     try:
-        return _started({**told, **given}, told, environment)
+        return _started({**document, **overrides}, document, environment)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
         # Guards against an error that says what is wrong and not where.
-        wrong = validation.errors_of(validation.SCHEMA, {**told, **given})
-        raise ValueError("; ".join(wrong) or repr(error)) from error
+        errors = validation.errors_of(validation.SCHEMA, {**document, **overrides})
+        raise ValueError("; ".join(errors) or repr(error)) from error
 
 
-def _started(said: Mapping[str, Any], told: Mapping[str, Any], environment: Mapping[str, str]) -> NodeConfig:
-    """By all that is said, of which `told` is the file."""
-    talk, mgmt, file = said.get("talk"), said.get("mgmt"), environment.get("GW_CONFIG") or None
+def _started(
+    merged: Mapping[str, Any], document: Mapping[str, Any], environment: Mapping[str, str]
+) -> NodeConfig:
+    """Returns the configuration from `merged`, the file `document` overridden by the environment."""
+    gossip, admin, file = merged.get("talk"), merged.get("mgmt"), environment.get("GW_CONFIG") or None
     return replace(
-        _settled(told),
-        name=said["name"],
-        listen=address_of(said["listen"]),
-        discovery=address_of(said["discovery"]),
-        cached_list=_known(told.get("known")),
+        _settled(document),
+        name=merged["name"],
+        listen=address_of(merged["listen"]),
+        discovery=address_of(merged["discovery"]),
+        cached_list=_known(document.get("known")),
         # Guards against counting on descriptors that the operating system will not give.
-        max_descriptors=min(int(told.get("limits", {}).get("sockets", SOCKETS)), _may_open()),
-        admin_address=address_of(mgmt) if mgmt else None,
-        # Upgrades are asked for by operators; without a folder of the node's own another's might be met.
-        shared_directory=environment.get("TMPDIR") if mgmt else None,
+        max_descriptors=min(
+            int(document.get("limits", {}).get("sockets", DEFAULT_MAX_DESCRIPTORS)), _may_open()
+        ),
+        admin_address=address_of(admin) if admin else None,
+        # Operators request upgrades; without a directory of its own, a node might meet another one's process.
+        shared_directory=environment.get("TMPDIR") if admin else None,
         file=file,
-        gossip=(address_of(talk["listen"]), [address_of(peer) for peer in talk["peers"]]) if talk else None,
+        gossip=(address_of(gossip["listen"]), [address_of(peer) for peer in gossip["peers"]])
+        if gossip
+        else None,
     )
 
 
-def reload_config(told: NodeConfig) -> NodeConfig:
-    """The same node with the discovery and the settings of its file now; Unfit with all that is wrong."""
-    if told.file is None:
+def reload_config(current: NodeConfig) -> NodeConfig:
+    """Returns the same node with discovery and settings of its file as it is now.
+
+    Raises InvalidConfigurationError with all errors.
+    """
+    if current.file is None:
         raise validation.InvalidConfigurationError(["no file to read"])
-    found = validation.parse(Path(told.file).read_text(encoding="utf-8"))
-    validation.validate(found, told.document)
-    settled = _settled(found)
-    shape = _shape_changed(told.balancer, settled.balancer) + _fleet_changed(told.fleet, settled.fleet)
+    document = validation.parse(Path(current.file).read_text(encoding="utf-8"))
+    validation.validate(document, current.document)
+    settled = _settled(document)
+    shape = _shape_changed(current.balancer, settled.balancer) + _fleet_changed(current.fleet, settled.fleet)
     if shape:
         raise validation.InvalidConfigurationError([f"{key}: changes with a start only" for key in shape])
     return replace(
         settled,
-        name=told.name,
-        listen=told.listen,
-        discovery=address_of(found["discovery"]),
-        cached_list=told.cached_list,
-        max_descriptors=told.max_descriptors,
-        admin_address=told.admin_address,
-        shared_directory=told.shared_directory,
-        file=told.file,
-        gossip=told.gossip,
+        name=current.name,
+        listen=current.listen,
+        discovery=address_of(document["discovery"]),
+        cached_list=current.cached_list,
+        max_descriptors=current.max_descriptors,
+        admin_address=current.admin_address,
+        shared_directory=current.shared_directory,
+        file=current.file,
+        gossip=current.gossip,
     )
 
 
 def _shape_changed(before: BalancerSettings, after: BalancerSettings) -> list[str]:
-    """The settings that decide the shape and are not the same."""
+    """Returns the settings that decide the kind of deployment and differ."""
     rows = [
         ("settings.family", before.sidecar, after.sidecar),
         ("settings.limits.may_tell", before.gossips, after.gossips),
@@ -119,43 +135,43 @@
 
 
 def _fleet_changed(before: Mapping[str, Any] | None, after: Mapping[str, Any] | None) -> list[str]:
-    """What of the section `fleet` a node takes at a start only, and has changed; keys and limits may."""
+    """Returns what differs in section `fleet` that only a start applies; keys and limits may differ."""
     if before is None or after is None:
         return [] if before is after else ["fleet"]
     fixed = ("listen", "advertise", "seeds", "clock_drift", "clock_rate")
     return [f"fleet.{name}" for name in fixed if before.get(name) != after.get(name)]
 
 
-def _settled(told: Mapping[str, Any]) -> NodeConfig:
-    """What follows from the settings; the rest is blank."""
-    paths = settings.flatten(told.get("settings", {}))
-    found = settings.read_settings(int(str(told.get("seed", "0")), 16), paths)
+def _settled(document: Mapping[str, Any]) -> NodeConfig:
+    """Returns the configuration that follows from the file's settings; other fields are blank."""
+    paths = settings.flatten(document.get("settings", {}))
+    balancer = settings.read_settings(int(str(document.get("seed", "0")), 16), paths)
     return NodeConfig(
         name="",
-        listen=NOWHERE,
-        discovery=NOWHERE,
-        # On sockets the list must always be asked for.
-        balancer=replace(found, polls_list=True, tick=max(found.tick, LOOP_TICK)),
+        listen=NO_ADDRESS,
+        discovery=NO_ADDRESS,
+        # On sockets the list must always be polled.
+        balancer=replace(balancer, polls_list=True, tick=max(balancer.tick, LOOP_TICK_S)),
         setting_names=SettingNames(
             request_classes=settings.names_of(paths, "profiles"),
             tenants=settings.names_of(paths, "tenants"),
             zones=settings.word_list(paths, "localities"),
         ),
         cached_list=None,
-        max_descriptors=SOCKETS,
+        max_descriptors=DEFAULT_MAX_DESCRIPTORS,
         connect_timeout=settings.number(paths, "limits.connect_timeout", settings.DEFAULT_CONNECT_TIMEOUT_MS)
         / 1000,
-        connection_idle_timeout=settings.number(paths, "limits.conn_idle", IDLE) / 1000,
-        key_header=str(told.get("key_header", "")).lower(),
-        fleet=told.get("fleet"),
-        list_is_pushed=paths.get("registry_mode") == PUSHED,
+        connection_idle_timeout=settings.number(paths, "limits.conn_idle", DEFAULT_IDLE_TIMEOUT_MS) / 1000,
+        key_header=str(document.get("key_header", "")).lower(),
+        fleet=document.get("fleet"),
+        list_is_pushed=paths.get("registry_mode") == PUSHED_LIST_MODE,
         load_path=protocol.LOAD_PATH if settings.word_list(paths, "report.fields") else protocol.HEALTH_PATH,
-        document=told,
+        document=document,
     )
 
 
 def changed(before: NodeConfig, after: NodeConfig) -> list[str]:
-    """What says something else in the file, but for what a node takes as it runs or only starts with."""
+    """Returns the keys that differ, except those that a node reloads or only reads at its start."""
     names = sorted({*before.document, *after.document} - {"discovery", "known", "seed", "settings"})
     return [name for name in names if before.document.get(name) != after.document.get(name)]
 
@@ -168,16 +184,16 @@
 
 
 def _may_open() -> int:
-    """Descriptors that this process may hold by the operating system's word."""
-    most, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
-    return sys.maxsize if most == resource.RLIM_INFINITY else most
+    """Returns how many descriptors the operating system allows this process."""
+    limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
+    return sys.maxsize if limit == resource.RLIM_INFINITY else limit
 
 
 def _known(told: Any) -> EndpointList | None:
-    """The remembered list; one that is empty or unreadable is none, and discovery is waited for.
+    """Returns the cached list; None for an empty or unreadable one, and the node waits for discovery.
 
-    Guards against a node that serves nobody while discovery is down, for a row that was torn or is of a form
-    unheard of: what can be read counts. It is not whole then, and no changes can follow on it.
+    Guards against a node that serves nobody while discovery is down, for a row that was torn or has an
+    unknown form: what can be read counts. Then it is no snapshot, and no changes can be applied to it.
     """
     try:
         known = read_list(told)
