--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -114,7 +114,9 @@
     def _record_response(self, request: Request, handler: RequestHandler | None, response: Response) -> None:
         status = response.beginning.status if isinstance(response, Download) else response.status
         recorder = self._context.counters.recorder
-        recorder.note(Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.JOB_ID, ""), status=status)
+        recorder.note(
+            Occurrence.REQUEST_ANSWERED, request.headers.get(protocol.REQUEST_ID, ""), status=status
+        )
         if handler is not None:
             rejected = status in REJECTION_STATUSES
             handler.check(handler.ledger.response_sent(self._context.clock(), rejected), status=status)
@@ -125,7 +127,9 @@
         """Closes the connection: the one place where a client's descriptor is given back."""
         if self._open:
             self._open = False
-            self._context.counters.recorder.note(Occurrence.CALLER_CLOSED, why=self._close_reason())
+            self._context.counters.recorder.note(
+                Occurrence.CLIENT_CONNECTION_CLOSED, why=self._close_reason()
+            )
             if self._open_request is not None:
                 handler = self._open_request.handler
                 handler.check(handler.ledger.connection_closed())
@@ -163,9 +167,9 @@
 
     def _answer_directly(self, request: Request) -> Answer | None:
         """The answer to a readiness check, or to a request of no use; None for one to be balanced."""
-        if request.path == protocol.READY and request.method == "GET":
+        if request.path == protocol.READY_PATH and request.method == "GET":
             return Answer(200 if self._context.ready() and not self._context.draining else 503)
-        if request.path != protocol.JOBS and not request.path.startswith(protocol.JOBS + "/"):
+        if request.path != protocol.REQUEST_PATH and not request.path.startswith(protocol.REQUEST_PATH + "/"):
             return self._client_error(404)
         return self._client_error(405) if request.method not in ("GET", "POST") else None
 
@@ -175,7 +179,7 @@
         spec = request_spec_of(request, waited, self._context.profiles)
         if spec is None:
             return Handled(None, self._client_error(400))
-        request_id = request.headers[protocol.JOB_ID]
+        request_id = request.headers[protocol.REQUEST_ID]
         refusal = may_start(AdmissionFacts(self._state.closing, is_duplicate=request_id in self._context.ids))
         if refusal is Refusal.CONNECTION_CLOSING:
             # Guards against a request that crosses the end of its connection: no response could be given.
@@ -185,7 +189,7 @@
             return Handled(None, self._client_error(409))
         self._context.counters.add("requests_received")
         self._context.counters.recorder.note(
-            Occurrence.REQUEST_TAKEN, request_id, left=round(spec.time_left, 3), waited=round(waited, 4)
+            Occurrence.REQUEST_ACCEPTED, request_id, left=round(spec.time_left, 3), waited=round(waited, 4)
         )
         if self._state.over_limit:
             self._context.counters.add("responses_rejected")
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -123,7 +123,7 @@
     def _cancel_for_client(self) -> None:
         """The client has gone: no response is due, and nothing more is sent for it."""
         self.handler.ledger.client_gone = True
-        self._context.counters.recorder.note(Occurrence.CALLER_LEFT, self.handler.name)
+        self._context.counters.recorder.note(Occurrence.CLIENT_GONE, self.handler.name)
         self.handler.withdraw()
 
     def reject_upload(self) -> None:
--- a/notchjunction/node/gauges.py
+++ b/notchjunction/node/gauges.py
@@ -21,7 +21,7 @@
     counters.gauge("requests_tracked", lambda: engine.tracked)
     counters.gauge("streams_open", lambda: streams.open)
     counters.gauge("descriptors_in_use", lambda: descriptors.held)
-    counters.gauge("list_polls_timed_out", lambda: discovery.silences)
+    counters.gauge("list_polls_timed_out", lambda: discovery.timeouts)
     counters.gauge("list_stale_seconds", lambda: max(0.0, -discovery.notified_in()))
     counters.gauge("loop_lag_max", lambda: max(engine.timer_lags, default=0.0))
 
