--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -16,7 +16,8 @@
 
 from notchjunction.fleet.agent import Datagram, FleetAgent, FleetConfig, Scope
 from notchjunction.fleet.envelope import Key
-from notchjunction.fleet.quotas import Permit, Plan, Split
+from notchjunction.fleet.quotas.plan import Plan, Split
+from notchjunction.fleet.quotas.state import Permit
 
 TICK = 0.1  # s
 BEGIN = 60.0  # s in which all find one another
@@ -67,24 +68,24 @@
                 self.send(name, member.tick(self.now))
                 if jobs and self.random.random() < TICK / ASK_EVERY:
                     asking.setdefault(name, self.now)
-                    self.send(name, member.packed(member.limits.seek(self.now, "l", 1)))
+                    self.send(name, member.packed(member.limits.set_waiting(self.now, "l", 1)))
             step = self.now + TICK
             while self.now < step:
                 self.deliver(min(step, self.now + 0.005))
                 for name in list(asking):
                     limits = self.members[name].limits
-                    permit = limits.spend(self.now, "l", self.now + 1.0)
+                    permit = limits.acquire(self.now, "l", self.now + 1.0)
                     if permit is not None:
                         self.waits.append(self.now - asking.pop(name))
                         heapq.heappush(held, (self.now + HOLD, next(self.order), name, permit))
-                        self.send(name, self.members[name].packed(limits.seek(self.now, "l", 0)))
+                        self.send(name, self.members[name].packed(limits.set_waiting(self.now, "l", 0)))
                 while held and held[0][0] <= self.now:
                     _, _, name, permit = heapq.heappop(held)
                     member = self.members[name]
                     self.send(name, member.packed(member.limits.release(self.now, permit)))
             if jobs:
                 name = self.random.choice(list(self.members))
-                age = self.members[name].limits.figures(self.now, "l").age
+                age = self.members[name].limits.stats(self.now, "l").age
                 self.ages.append(float("inf") if age is None else age)
 
 
--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -20,7 +20,10 @@
 from notchjunction.balancing.interface import Idempotency, RequestClass
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.fleet.envelope import Sender
-from notchjunction.fleet.quotas import Grant, Phase, Plan, Quotas, Split, Standing
+from notchjunction.fleet.quotas.messages import LeaseGrant, PhaseAnnouncement
+from notchjunction.fleet.quotas.phase import Phase
+from notchjunction.fleet.quotas.plan import Plan, Split
+from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
 from notchjunction.testbed.fleet_stage import FleetPart, FleetStage
 from notchjunction.testbed.links import Links
 from notchjunction.testbed.stage import Stage
@@ -61,18 +64,18 @@
 def rights(owned: int, lent: int) -> float:
     """A right that is spent, looked at again and given back: an own one, or a borrowed one."""
     plan = Plan("l", Split(1, {"a": owned, "b": 8 - owned}))
-    limits = Quotas(Sender("a", 1), [plan], 0.01, 1.0, 1, 0.0)
-    limits.hear(1.0, Sender("b", 1), Standing("l", 1, Phase.GROWN, False))
+    limits = Quotas(Sender("a", 1), [plan], LeaseTiming(0.01, 1.0), 1, 0.0)
+    limits.receive(1.0, Sender("b", 1), PhaseAnnouncement("l", 1, Phase.GROWN, False))
     limits.tick(100.0)
     if lent:
-        (ask,) = limits.seek(100.0, "l", lent)
-        limits.hear(100.0, Sender("b", 1), Grant("l", ask.message.serial, 0, lent, limits.term))
+        (ask,) = limits.set_waiting(100.0, "l", lent)
+        limits.receive(100.0, Sender("b", 1), LeaseGrant("l", ask.message.serial, 0, lent, limits.lease_term))
     now = 100.0
 
     def one() -> None:
         nonlocal now
         now += 1e-6
-        permit = limits.spend(now, "l", now + 1.0)
+        permit = limits.acquire(now, "l", now + 1.0)
         assert permit is not None and limits.extend(now, permit, now + 1.0)
         limits.release(now, permit)
 
--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -38,7 +38,8 @@
 from notchjunction.fleet.agent import Datagram, FleetAgent, FleetConfig
 from notchjunction.fleet.envelope import Key
 from notchjunction.fleet.exploration import World as LimitsWorld
-from notchjunction.fleet.quotas import Permit, Plan, Split
+from notchjunction.fleet.quotas.plan import Plan, Split
+from notchjunction.fleet.quotas.state import Permit
 
 EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
 GROUPS = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.GROUP)
@@ -435,7 +436,7 @@
     def state(self) -> Iterator[tuple[float, ...]]:
         """As in `fleet.LimitWorld`."""
         for number in range(len(self._world.places)):
-            figures = self._world.of(number).figures(self._world.clock(number), LIMIT)
+            figures = self._world.of(number).stats(self._world.clock(number), LIMIT)
             yield tuple(flattened(figures))
 
 
@@ -451,7 +452,7 @@
 
     def hold(self, until: float) -> None:
         """As in `fleet.Permit`."""
-        self._member.limits.hold(self._permit, until)
+        self._member.limits.expire_at(self._permit, until)
 
     def release(self, now: float) -> list[fleet.Sent]:
         """As in `fleet.Permit`."""
@@ -505,12 +506,12 @@
 
     def spend(self, now: float, until: float) -> fleet.Permit | None:
         """As in `fleet.Member`."""
-        permit = self._member.limits.spend(now, LIMIT, until)
+        permit = self._member.limits.acquire(now, LIMIT, until)
         return None if permit is None else SpentPermit(self._member, permit)
 
     def seek(self, now: float) -> list[fleet.Sent]:
         """As in `fleet.Member`."""
-        return sent(self._member.packed(self._member.limits.seek(now, LIMIT, 1)))
+        return sent(self._member.packed(self._member.limits.set_waiting(now, LIMIT, 1)))
 
     def renew(self, now: float, revision: int, follows: bool) -> bool:
         """As in `fleet.Member`."""
@@ -529,8 +530,8 @@
             yield from flattened((name, held.start, held.incarnation, held.state, held.since))
         for name, before, after in member.roster.take_events():
             yield from flattened((name, before and before.state, after and after.state))
-        yield from (member.limits.seeking(LIMIT), member.limits.free_in(now, LIMIT))
-        yield from flattened(member.limits.figures(now, LIMIT))
+        yield from (member.limits.may_be_granted(LIMIT), member.limits.retry_after(now, LIMIT))
+        yield from flattened(member.limits.stats(now, LIMIT))
 
 
 def play_fleet(seed: int, recording: Recording) -> None:
--- a/notchjunction/fleet/agent.py
+++ b/notchjunction/fleet/agent.py
@@ -14,10 +14,11 @@
 
 from notchjunction.errors import FleetError
 from notchjunction.fleet import membership as roster_module
-from notchjunction.fleet import quotas as limits_module
 from notchjunction.fleet.envelope import Envelope, Key, Malformed, Out, Sender
 from notchjunction.fleet.membership import Membership
-from notchjunction.fleet.quotas import Plan, Quotas, Split
+from notchjunction.fleet.quotas import messages as quota_messages
+from notchjunction.fleet.quotas.plan import Plan, Split
+from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
 
 LIST_BYTES = 5  # of a list's own head in msgpack, at most
 ROSTER_EVERY = 0.1  # s between looks at who is there; a tenth of the time between two probes
@@ -25,7 +26,7 @@
     0.01  # part by which clocks may run off where the file does not say; a hundred times that of plain quartz
 )
 
-Message = roster_module.Message | limits_module.Message
+Message = roster_module.Message | quota_messages.Message
 DECODER = msgspec.msgpack.Decoder(list[Message])
 ENCODER = msgspec.msgpack.Encoder()
 
@@ -97,7 +98,7 @@
         me = Sender(name, start)
         self.envelope = Envelope(me, told.keys)
         self.roster = Membership(me, told.advertise, told.seeds, seed)
-        self.limits = Quotas(me, told.plans, told.drift, longest, seed, now)
+        self.limits = Quotas(me, told.plans, LeaseTiming(told.drift, longest), seed, now)
         self.unknown_peers = 0  # messages for nodes that are not known to be there
         self._roster_at = now
         self._keys = told.keys
@@ -106,7 +107,7 @@
         """Other keys and limits from now on; a FleetError where the limits can't be taken yet."""
         self.envelope.renew(told.keys)
         try:
-            self.limits.replan(now, told.plans)
+            self.limits.apply_plans(now, told.plans)
         except FleetError:
             # Guards against half a file in force.
             self.envelope.renew(self._keys)
@@ -141,15 +142,15 @@
             return [Datagram(source, data) for data in sealed]
         outs: list[Out] = []
         for message in messages:
-            if isinstance(message, limits_module.Message):
-                outs += self.limits.hear(now, sender, message)
+            if isinstance(message, quota_messages.Message):
+                outs += self.limits.receive(now, sender, message)
             else:
                 outs += self.roster.hear(now, sender, message)
         return self.packed(outs)
 
     def _greeted(self, now: float, sender: Sender, message: Message) -> Iterable[Message]:
         # Guards against rights asked for or given by what may be heard again without bound.
-        if isinstance(message, limits_module.Message):
+        if isinstance(message, quota_messages.Message):
             return ()
         return self.roster.hear_greeting(now, sender, message)
 
--- a/notchjunction/fleet/exploration.py
+++ b/notchjunction/fleet/exploration.py
@@ -17,7 +17,11 @@
 from typing import NamedTuple
 
 from notchjunction.fleet.envelope import Out, Sender
-from notchjunction.fleet.quotas import Message, Permit, Phase, Plan, Quotas
+from notchjunction.fleet.quotas.messages import Message
+from notchjunction.fleet.quotas.phase import Phase
+from notchjunction.fleet.quotas.plan import Plan
+from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
+from notchjunction.fleet.quotas.state import Permit
 
 NAME = "l"
 TINY = 1e-6  # s by which a moment is passed, or not yet reached
@@ -60,7 +64,7 @@
 class First:
     """In place of chance: a world that is explored has no other."""
 
-    def choice(self, names: Sequence[str]) -> str:
+    def choice(self, names: Sequence[str], /) -> str:
         return names[0]
 
 
@@ -95,9 +99,13 @@
     def _start(self, number: int) -> None:
         place = self.places[number]
         limits = Quotas(
-            Sender(place.name, place.start), place.plans[:1], self.drift, self.within, 1, self.clock(number)
+            Sender(place.name, place.start),
+            place.plans[:1],
+            LeaseTiming(self.drift, self.within),
+            1,
+            self.clock(number),
         )
-        limits._random = First()  # type: ignore[assignment]
+        limits.borrower.chooser = First()
         place.limits = limits
 
     def clock(self, number: int) -> float:
@@ -132,7 +140,7 @@
                 case "wake":
                     yield from (Move(kind, n) for n, place in enumerate(self.places) if place.paused)
                 case "replan":
-                    ready = [n for n in awake if self.of(n)._sides[NAME].phase is Phase.GROWN]
+                    ready = [n for n in awake if self.of(n).states[NAME].phase is Phase.GROWN]
                     yield from (Move(kind, n) for n in ready if len(self.places[n].plans) > 1)
                 case "crash":
                     if self.left["crash"]:
@@ -167,14 +175,14 @@
             case "end":
                 self._end(number)
             case "seek":
-                self._carry(number, self.of(number).seek(self.clock(number), NAME, 1))
+                self._carry(number, self.of(number).set_waiting(self.clock(number), NAME, 1))
             case "pause":
                 self.places[number].paused = True
             case "wake":
                 self.places[number].paused = False
             case "replan":
                 plans = self.places[number].plans
-                self.of(number).replan(self.clock(number), plans[1:2])
+                self.of(number).apply_plans(self.clock(number), plans[1:2])
                 del plans[0]
             case "crash":
                 place = self.places[number]
@@ -191,7 +199,7 @@
 
     def _take(self, number: int) -> bool:
         now = self.clock(number)
-        permit = self.of(number).spend(now, NAME, now + self._needed())
+        permit = self.of(number).acquire(now, NAME, now + self._needed())
         if permit is not None:
             self.places[number].taken.append(permit)
         return permit is not None
@@ -211,7 +219,7 @@
         self._carry(number, self.of(number).release(self.clock(number), ended.permit))
 
     def _deliver(self, flight: Flight) -> None:
-        outs = self.of(flight.to).hear(self.clock(flight.to), flight.sender, flight.message)
+        outs = self.of(flight.to).receive(self.clock(flight.to), flight.sender, flight.message)
         self._carry(flight.to, outs)
 
     def _carry(self, number: int, outs: Sequence[Out]) -> None:
@@ -225,8 +233,8 @@
     def _moments(self) -> Iterator[float]:
         """True times at which something ends at a node."""
         for number, place in enumerate(self.places):
-            side = self.of(number)._sides[NAME]
-            leases = [lease for lease in side.leases.values() if lease.held]
+            side = self.of(number).states[NAME]
+            leases = [lease for lease in side.leases.values() if lease.granted]
             ends = [lease.end for lease in leases] + [lease.end - self._needed() for lease in leases]
             ends += [loan.ends for loan in side.loans.values()]
             ends += [until for until, _, permit in side.permits if permit.live]
@@ -250,11 +258,11 @@
         """The limit in force: the larger of two splits until all nodes that run have settled to the last."""
         plans = [place.plans[0] for place in self.places]
         newest = max(plans, key=lambda plan: plan.split.revision)
-        sides = [self.of(number)._sides[NAME] for number in range(len(self.places))]
+        sides = [self.of(number).states[NAME] for number in range(len(self.places))]
         done = all(side.phase is Phase.GROWN and side.plan.split == newest.split for side in sides)
         if done:
-            return newest.split.most
-        splits = [plan.split.most for plan in plans] + [plan.before.most for plan in plans if plan.before]
+            return newest.split.total
+        splits = [plan.split.total for plan in plans] + [plan.before.total for plan in plans if plan.before]
         return max(splits)
 
     def broken(self) -> bool:
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -19,7 +19,8 @@
 from notchjunction.balancing.engine import RequestSpec
 from notchjunction.errors import FleetError
 from notchjunction.fleet.agent import Datagram, FleetAgent, read_section
-from notchjunction.fleet.quotas import ASK_WITHIN, Permit
+from notchjunction.fleet.quotas.borrower import REQUEST_TIMEOUT_S
+from notchjunction.fleet.quotas.state import Permit
 from notchjunction.http1.messages import Answer
 from notchjunction.net.request_handler import rejection
 from notchjunction.telemetry.counters import Counters
@@ -155,7 +156,7 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
-        self.member.limits.begin(self.now())
+        self.member.limits.restart_quarantine(self.now())
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
         self.counters.add("fleet_datagrams_received")
@@ -232,7 +233,7 @@
         until = began + (min(ask.time_left, self._longest) + SLACK) * self._stretch
         permits = None if self._queued(names) else self.spend(names, until)
         if permits is None:
-            deadline = began + min(ASK_WITHIN, WAIT_SHARE * ask.time_left)
+            deadline = began + min(REQUEST_TIMEOUT_S, WAIT_SHARE * ask.time_left)
             waiter = Waiter(names, until, deadline, self._loop.create_future())
             self._waiting.append(waiter)
             self._seek(names)
@@ -246,7 +247,7 @@
         if permits is None:
             self.counters.add("fleet_requests_rejected")
             there = [name for name in names if name in self.member.limits.names]
-            free_in = max((self.member.limits.free_in(self.now(), name) for name in there), default=0.0)
+            free_in = max((self.member.limits.retry_after(self.now(), name) for name in there), default=0.0)
             return rejection(min(free_in, self._advice_most))
         waited = self.now() - began
         return RequestPermits(self, names, permits), replace(ask, time_left=ask.time_left - waited)
@@ -258,7 +259,7 @@
         """A right under each limit that there still is, or none at all."""
         permits: list[Permit] = []
         for name in (name for name in names if name in self.member.limits.names):
-            permit = self.member.limits.spend(self.now(), name, until)
+            permit = self.member.limits.acquire(self.now(), name, until)
             if permit is None:
                 self.release(permits)
                 return None
@@ -276,12 +277,12 @@
 
     def hold(self, permits: Sequence[Permit], until: float) -> None:
         for permit in permits:
-            self.member.limits.hold(permit, until)
+            self.member.limits.expire_at(permit, until)
 
     def _seek(self, names: Sequence[str]) -> None:
         for name in dict.fromkeys(names):
             waiting = sum(1 for waiter in self._waiting if name in waiter.names)
-            self._send(self.member.packed(self.member.limits.seek(self.now(), name, waiting)))
+            self._send(self.member.packed(self.member.limits.set_waiting(self.now(), name, waiting)))
 
     def _look(self) -> None:
         """Those who wait, in order: each gets its rights, or its no once nothing is to be hoped for."""
@@ -292,7 +293,7 @@
         for waiter in list(self._waiting):
             # Guards against a job that overtakes those who waited before it.
             permits = None if short.intersection(waiter.names) else self.spend(waiter.names, waiter.until)
-            hopeless = now >= waiter.deadline or not any(limits.seeking(name) for name in waiter.names)
+            hopeless = now >= waiter.deadline or not any(limits.may_be_granted(name) for name in waiter.names)
             if waiter.done.cancelled() or permits is not None or hopeless:
                 self._waiting.remove(waiter)
                 self._settle(waiter, permits)
@@ -333,6 +334,6 @@
                 name: {"state": held.state.name.lower(), "start": held.start, "at": held.address}
                 for name, held in member.roster.members().items()
             },
-            "limits": {name: member.limits.figures(now, name)._asdict() for name in member.limits.names},
+            "limits": {name: member.limits.stats(now, name)._asdict() for name in member.limits.names},
             "faults": [str(fault) for fault in member.faults(now)],
         }
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -22,9 +22,9 @@
 from notchjunction.emulator.scenario import Scenario, Stream
 from notchjunction.emulator.trace import Answered, Final
 from notchjunction.errors import FleetError
-from notchjunction.fleet import quotas
 from notchjunction.fleet.agent import FleetAgent, read_section
 from notchjunction.fleet.envelope import Forged, Malformed
+from notchjunction.fleet.quotas import quotas
 from notchjunction.net import fleet_transport
 from notchjunction.node.node import Node
 from notchjunction.testbed.fleet_stage import SEEN_LATE, FleetPart, ProcessFault, ProcessKind, staged
@@ -124,18 +124,18 @@
         member.roster.live() == sorted({*wire.members} - {name}) for name, member in wire.members.items()
     )
     limits_of = wire.members["n2"].limits
-    assert [limits_of.spend(wire.now, "l", wire.now + 1.0) is not None for _ in range(3)] == [
+    assert [limits_of.acquire(wire.now, "l", wire.now + 1.0) is not None for _ in range(3)] == [
         True,
         True,
         False,
     ]
     for _ in range(4):
-        for out in wire.members["n2"].packed(limits_of.seek(wire.now, "l", 1)):
+        for out in wire.members["n2"].packed(limits_of.set_waiting(wire.now, "l", 1)):
             for answer in wire.members[out.address].hear(wire.now, out.data, "n2"):
                 wire.members[answer.address].hear(wire.now, answer.data, out.address)
         wire.run(0.05)
-    assert limits_of.spend(wire.now, "l", wire.now + 1.0) is not None
-    figures = [member.limits.figures(wire.now, "l") for member in wire.members.values()]
+    assert limits_of.acquire(wire.now, "l", wire.now + 1.0) is not None
+    figures = [member.limits.stats(wire.now, "l") for member in wire.members.values()]
     assert sum(each.lent for each in figures) >= 1 and sum(each.in_use for each in figures) == 3
 
 
@@ -159,7 +159,7 @@
 def test_a_job_past_the_limit_is_turned_back_at_once_and_a_right_comes_back_with_the_answer(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "LEASE_TERM_FACTOR", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
@@ -194,7 +194,7 @@
 def test_a_job_that_ends_unanswered_keeps_its_right_until_its_time_is_over(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "LEASE_TERM_FACTOR", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
@@ -221,8 +221,8 @@
 def test_a_job_that_waits_under_a_limit_that_goes_is_sent_at_once(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
-    monkeypatch.setattr(fleet_transport, "ASK_WITHIN", 5.0)
+    monkeypatch.setattr(quotas, "LEASE_TERM_FACTOR", 0.01)
+    monkeypatch.setattr(fleet_transport, "REQUEST_TIMEOUT_S", 5.0)
     monkeypatch.setattr(fleet_transport, "WAIT_SHARE", 1.0)
 
     async def story() -> None:
@@ -249,7 +249,7 @@
 
 
 def test_two_processes_of_one_name_never_own_its_rights_at_once(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(quotas, "TERM_TIMES", 0.05)
+    monkeypatch.setattr(quotas, "LEASE_TERM_FACTOR", 0.05)
 
     def owned(node: Node) -> int:
         return int((node.fleet_figures() or {})["limits"]["l"]["owned"])
@@ -299,7 +299,7 @@
 def test_limits_and_keys_change_at_sighup_whole_or_not_at_all(
     changed: Mapping[str, Any], taken: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(quotas, "TERM_TIMES", 0.01)
+    monkeypatch.setattr(quotas, "LEASE_TERM_FACTOR", 0.01)
 
     async def story() -> None:
         fleet = section(listen=text_of(free_address()))
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -15,10 +15,16 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchjunction.fleet import quotas as module
 from notchjunction.fleet.envelope import Out, Sender
 from notchjunction.fleet.exploration import Move, World, explore, walk
-from notchjunction.fleet.quotas import ASK_WITHIN, NotSettled, OtherSplit, Permit, Phase, Plan, Quotas, Split
+from notchjunction.fleet.quotas import split_change
+from notchjunction.fleet.quotas.borrower import REQUEST_TIMEOUT_S, Borrower
+from notchjunction.fleet.quotas.lender import Lender
+from notchjunction.fleet.quotas.messages import LeaseDenial, LeaseRequest, LeaseReturn, PhaseAnnouncement
+from notchjunction.fleet.quotas.phase import Phase
+from notchjunction.fleet.quotas.plan import Plan, Split, SplitMismatchError, UnsettledSplitError
+from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
+from notchjunction.fleet.quotas.state import Permit
 
 DRIFT = 0.05
 TWO = Plan("l", Split(1, {"a": 1, "b": 1}))
@@ -116,14 +122,14 @@
         assert not here.broken()
 
 
-def _free_at_term(self: Quotas, now: float) -> float:
-    return now + self.term
+def _free_at_term(self: Lender, now: float) -> float:
+    return now + self.lease_term
 
 
-def _count_from_grant(self: Quotas, side: Any, now: float, sender: Sender, grant: Any) -> list[Out]:
-    lease = side.leases.get(grant.serial)
+def _count_from_grant(self: Borrower, state: Any, now: float, sender: Sender, grant: Any) -> list[Out]:
+    lease = state.leases.get(grant.serial)
     if lease is not None:
-        lease.held, lease.count, lease.end = True, grant.count, now + grant.term
+        lease.granted, lease.count, lease.end = True, grant.count, now + grant.term
     return []
 
 
@@ -131,31 +137,31 @@
     return True
 
 
-def _grown_at_once(self: Quotas, side: Any) -> bool:
+def _grown_at_once(state: Any) -> bool:
     return True
 
 
 def _no_quarantine(self: Quotas, now: float, plans: Sequence[Plan]) -> None:
-    Limits_replan(self, now, plans)
-    for side in self._sides.values():
-        side.quarantine_ends = now
-
-
-Limits_replan = Quotas.replan
-GUARDS = [
-    ("_loan_end", _free_at_term, "lent by a fast clock to a slow one"),
-    ("_on_grant", _count_from_grant, "a grant that is late"),
-    ("extend", _never_looked_at, "paused between right and writing"),
-    ("replan", _no_quarantine, "killed and started again"),
-    ("_all_settled", _grown_at_once, "changed while some are cut off"),
+    APPLY_PLANS(self, now, plans)
+    for state in self.states.values():
+        state.quarantine_ends = now
+
+
+APPLY_PLANS = Quotas.apply_plans
+GUARDS: list[tuple[Any, str, Callable[..., Any], str]] = [
+    (Lender, "loan_end", _free_at_term, "lent by a fast clock to a slow one"),
+    (Borrower, "on_grant", _count_from_grant, "a grant that is late"),
+    (Quotas, "extend", _never_looked_at, "paused between right and writing"),
+    (Quotas, "apply_plans", _no_quarantine, "killed and started again"),
+    (split_change, "all_owners_shrunk", _grown_at_once, "changed while some are cut off"),
 ]
 
 
-@pytest.mark.parametrize(("name", "broken", "situation"), GUARDS)
+@pytest.mark.parametrize(("owner", "name", "broken", "situation"), GUARDS)
 def test_each_guard_taken_out_is_found_by_the_search(
-    name: str, broken: Callable[..., Any], situation: str, monkeypatch: pytest.MonkeyPatch
+    owner: Any, name: str, broken: Callable[..., Any], situation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(Quotas, name, broken)
+    monkeypatch.setattr(owner, name, broken)
     found = explore(SITUATIONS[situation](), moves=8, worlds_most=8000)
     assert found.way is not None
 
@@ -163,32 +169,32 @@
 def test_an_ask_that_comes_twice_is_lent_for_once(monkeypatch: pytest.MonkeyPatch) -> None:
     plan = Plan("l", Split(1, {"a": 3}))
     owner = started("a", plan)
-    ask = module.Ask("l", 1, 0, 1)
-    grants = [out for _ in range(3) for out in owner.hear(10.0, Sender("c", 1), ask)]
-    assert len(grants) == 3 and owner.figures(10.0, "l").lent == 1
+    ask = LeaseRequest("l", 1, 0, 1)
+    grants = [out for _ in range(3) for out in owner.receive(10.0, Sender("c", 1), ask)]
+    assert len(grants) == 3 and owner.stats(10.0, "l").lent == 1
     # What is given back before it is asked for is not lent at all, and giving back never adds.
-    owner.hear(10.0, Sender("c", 1), module.GiveBack("l", 2, 0))
-    assert isinstance(owner.hear(10.0, Sender("c", 1), module.Ask("l", 2, 0, 1))[0].message, module.Refuse)
-    owner.hear(10.0, Sender("c", 1), module.GiveBack("l", 1, 7))
-    assert owner.figures(10.0, "l").lent == 1
+    owner.receive(10.0, Sender("c", 1), LeaseReturn("l", 2, 0))
+    assert isinstance(owner.receive(10.0, Sender("c", 1), LeaseRequest("l", 2, 0, 1))[0].message, LeaseDenial)
+    owner.receive(10.0, Sender("c", 1), LeaseReturn("l", 1, 7))
+    assert owner.stats(10.0, "l").lent == 1
 
 
 def test_a_right_of_a_limit_that_went_and_came_again_does_not_count_for_the_new_one() -> None:
     limits = started("a", ALONE)
-    permit = limits.spend(1.0, "l", 2.0)
+    permit = limits.acquire(1.0, "l", 2.0)
     assert permit is not None
-    limits.replan(1.0, [])
-    limits.replan(1.0, [ALONE])
+    limits.apply_plans(1.0, [])
+    limits.apply_plans(1.0, [ALONE])
     limits.release(1.0, permit)
     limits.tick(100.0)
-    assert [limits.spend(100.0, "l", 101.0) is not None for _ in range(2)] == [True, False]
+    assert [limits.acquire(100.0, "l", 101.0) is not None for _ in range(2)] == [True, False]
 
 
 def started(name: str, plan: Plan, longest: float = 1.0, now: float = 0.0) -> Quotas:
     """A node whose quarantine is over, and for whose split the other owners have vouched."""
-    limits = Quotas(Sender(name, 1), [plan], DRIFT, longest, 1, now - 10 * longest)
+    limits = Quotas(Sender(name, 1), [plan], LeaseTiming(DRIFT, longest), 1, now - 10 * longest)
     for other in plan.split.owners:
-        limits.hear(now, Sender(other, 1), module.Standing("l", plan.split.revision, Phase.GROWN, False))
+        limits.receive(now, Sender(other, 1), PhaseAnnouncement("l", plan.split.revision, Phase.GROWN, False))
     limits.tick(now)
     return limits
 
@@ -196,10 +202,10 @@
 @pytest.mark.parametrize(
     ("plan", "error"),
     [
-        (Plan("l", Split(1, {"a": 2, "b": 1})), OtherSplit),
-        (Plan("l", Split(3, {"a": 2, "b": 1}), Split(2, {"a": 1, "b": 1})), OtherSplit),
-        (Plan("l", Split(2, {"a": 2, "b": 1})), OtherSplit),
-        (Plan("l", Split(2, {"a": 2, "b": 1}), Split(1, {"a": 2, "b": 1})), OtherSplit),
+        (Plan("l", Split(1, {"a": 2, "b": 1})), SplitMismatchError),
+        (Plan("l", Split(3, {"a": 2, "b": 1}), Split(2, {"a": 1, "b": 1})), SplitMismatchError),
+        (Plan("l", Split(2, {"a": 2, "b": 1})), SplitMismatchError),
+        (Plan("l", Split(2, {"a": 2, "b": 1}), Split(1, {"a": 2, "b": 1})), SplitMismatchError),
     ],
 )
 def test_a_split_that_does_not_follow_is_refused_whole_and_says_what_to_do(
@@ -207,41 +213,41 @@
 ) -> None:
     limits = started("a", TWO)
     with pytest.raises(error) as refused:
-        limits.replan(1.0, [plan])
-    assert "fleet.limits l" in str(refused.value) and limits.figures(1.0, "l").revision == 1
+        limits.apply_plans(1.0, [plan])
+    assert "fleet.limits l" in str(refused.value) and limits.stats(1.0, "l").revision == 1
 
 
 def test_owners_change_twice_during_a_partition_and_the_second_change_waits_for_the_first() -> None:
     second = Plan("l", Split(2, {"a": 3, "b": 1}), TWO.split)
     third = Plan("l", Split(3, {"a": 5, "b": 1}), second.split)
     limits = started("a", TWO)
-    limits.replan(1.0, [second])
+    limits.apply_plans(1.0, [second])
     limits.tick(1.0)
-    assert limits.figures(1.0, "l").owned == 1  # the smaller of both
-    with pytest.raises(NotSettled):
-        limits.replan(2.0, [third])
-    with pytest.raises(NotSettled):
-        limits.replan(2.0, [Plan("l", second.split)])
-    limits.hear(3.0, Sender("b", 1), module.Standing("l", 2, Phase.SHRUNK, False))
+    assert limits.stats(1.0, "l").owned == 1  # the smaller of both
+    with pytest.raises(UnsettledSplitError):
+        limits.apply_plans(2.0, [third])
+    with pytest.raises(UnsettledSplitError):
+        limits.apply_plans(2.0, [Plan("l", second.split)])
+    limits.receive(3.0, Sender("b", 1), PhaseAnnouncement("l", 2, Phase.SHRUNK, False))
     limits.tick(3.0)
-    assert limits.figures(3.0, "l").owned == 3
-    limits.replan(4.0, [third])
+    assert limits.stats(3.0, "l").owned == 3
+    limits.apply_plans(4.0, [third])
     # The operator's word that b is stopped for good stands in for b's own.
-    limits.replan(5.0, [Plan("l", third.split, Split(2, second.split.owners, ended=("b",)))])
+    limits.apply_plans(5.0, [Plan("l", third.split, Split(2, second.split.owners, ended=("b",)))])
     limits.tick(5.0)
-    assert limits.figures(5.0, "l").owned == 5
+    assert limits.stats(5.0, "l").owned == 5
 
 
 @pytest.mark.parametrize(("revision", "phase", "owned"), [(1, Phase.GROWN, 1), (2, Phase.SHRUNK, 0)])
 def test_a_node_that_starts_with_an_old_file_spends_nothing_and_says_why(
     revision: int, phase: Phase, owned: int
 ) -> None:
-    limits = Quotas(Sender("a", 2), [TWO], DRIFT, 1.0, 1, 0.0)
+    limits = Quotas(Sender("a", 2), [TWO], LeaseTiming(DRIFT, 1.0), 1, 0.0)
     limits.tick(100.0)
-    assert limits.figures(100.0, "l").owned == 0  # nobody has vouched for its split yet
-    limits.hear(100.0, Sender("b", 1), module.Standing("l", revision, phase, False))
+    assert limits.stats(100.0, "l").owned == 0  # nobody has vouched for its split yet
+    limits.receive(100.0, Sender("b", 1), PhaseAnnouncement("l", revision, phase, False))
     limits.tick(100.1)
-    assert limits.figures(100.1, "l").owned == owned
+    assert limits.stats(100.1, "l").owned == owned
     assert [fault.remedy[:4] for fault in limits.faults] == ([] if owned else ["give"])
 
 
@@ -254,14 +260,14 @@
     def __init__(self, nodes: int, owners: int, most: int, loss: float = 0.0, work: float = 0.1) -> None:
         names = [f"n{number}" for number in range(nodes)]
         split = Split(1, {name: most // owners for name in names[:owners]})
-        self.most, self.work, self.loss = split.most, work, loss
+        self.most, self.work, self.loss = split.total, work, loss
         self.random = Random(7)
         self.now = 0.0
         self.count = itertools.count()
         self.due: list[tuple[float, int, Callable[[], None]]] = []
         self.cut: set[str] = set()
         self.nodes = {
-            name: Quotas(Sender(name, 1), [Plan("l", split)], 0.01, 1.0, n, 0.0)
+            name: Quotas(Sender(name, 1), [Plan("l", split)], LeaseTiming(0.01, 1.0), n, 0.0)
             for n, name in enumerate(names)
         }
         self.waiting: dict[str, list[float]] = {name: [] for name in names}
@@ -292,7 +298,7 @@
                 self.after(0.001 * self.random.uniform(0.5, 2), hear)
 
     def heard(self, name: str, sender: Sender, message: Any) -> None:
-        self.carry(name, self.nodes[name].hear(self.now, sender, message))
+        self.carry(name, self.nodes[name].receive(self.now, sender, message))
         self.look(name)
 
     def tick(self, name: str) -> None:
@@ -301,23 +307,23 @@
         self.look(name)
 
     def job(self, name: str) -> None:
-        self.waiting[name].append(self.now + ASK_WITHIN)
-        self.carry(name, self.nodes[name].seek(self.now, "l", len(self.waiting[name])))
+        self.waiting[name].append(self.now + REQUEST_TIMEOUT_S)
+        self.carry(name, self.nodes[name].set_waiting(self.now, "l", len(self.waiting[name])))
         self.look(name)
 
     def look(self, name: str) -> None:
         limits, waiting = self.nodes[name], self.waiting[name]
         before = len(waiting)
-        while waiting and (permit := limits.spend(self.now, "l", self.now + 1.0)) is not None:
+        while waiting and (permit := limits.acquire(self.now, "l", self.now + 1.0)) is not None:
             waiting.pop(0)
             self.out += 1
             self.peak = max(self.peak, self.out)
             self.after(self.work * self.random.uniform(0.5, 1.5), partial(self.ended, name, permit))
-        late = [at for at in waiting if self.now >= at or not limits.seeking("l")]
+        late = [at for at in waiting if self.now >= at or not limits.may_be_granted("l")]
         self.refused += len(late)
         self.waiting[name] = [at for at in waiting if at not in late]
         if len(self.waiting[name]) != before:
-            self.carry(name, limits.seek(self.now, "l", len(self.waiting[name])))
+            self.carry(name, limits.set_waiting(self.now, "l", len(self.waiting[name])))
 
     def ended(self, name: str, permit: Permit) -> None:
         self.out -= 1
@@ -359,7 +365,7 @@
     assert (
         0.4 <= parted <= 0.75 and net.peak <= 20
     )  # its own side's ten, and for a while what it had borrowed
-    alone = net.nodes[names[0]].figures(net.now, "l")
+    alone = net.nodes[names[0]].stats(net.now, "l")
     assert alone.in_use <= 10 and alone.age is not None and alone.age > 5.0
     net.cut = set()
     net.run(2.0)
@@ -370,5 +376,5 @@
     net = Net(1, 1, 2, work=0.2)
     net.run(8.0)
     assert net.load(["n0"], rate=100, seconds=3.0) >= 0.9 and net.refused > 50
-    free_in = net.nodes["n0"].free_in(net.now, "l")
+    free_in = net.nodes["n0"].retry_after(net.now, "l")
     assert 0.05 <= free_in <= 0.6
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -27,9 +27,11 @@
 from notchjunction.discovery import endpoint_list
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.emulator.scenario import Kind as ServerFault
-from notchjunction.fleet import membership, quotas
+from notchjunction.fleet import membership
 from notchjunction.fleet.agent import DECODER, ENCODER, FleetAgent, read_section
 from notchjunction.fleet.envelope import Envelope, Key, Sender
+from notchjunction.fleet.quotas import messages as quota_messages
+from notchjunction.fleet.quotas.phase import Phase
 from notchjunction.http1.parser import AnswerReader, RequestReader
 from notchjunction.simulator import vocabulary
 from notchjunction.testbed.fleet_stage import ProcessKind
@@ -107,12 +109,12 @@
     (7, membership.Digest(sums=SUMS, told=RUMOURS)),
     (8, membership.Differences(sums=SUMS[::-1], told=())),
     (9, membership.Told(told=RUMOURS)),
-    (20, quotas.Ask(limit="payments", serial=41, round=42, count=43)),
-    (21, quotas.Grant(limit="payments", serial=51, round=52, count=53, term=54.5)),
-    (22, quotas.Refuse(limit="payments", serial=61, free_in=0.25)),
-    (23, quotas.GiveBack(limit="payments", serial=71, left=72)),
-    (24, quotas.Recall(limit="payments", serial=81, count=82, wish=83)),
-    (25, quotas.Standing(limit="payments", revision=91, phase=4, asks=True)),
+    (20, quota_messages.LeaseRequest(quota="payments", serial=41, round=42, count=43)),
+    (21, quota_messages.LeaseGrant(quota="payments", serial=51, round=52, count=53, term=54.5)),
+    (22, quota_messages.LeaseDenial(quota="payments", serial=61, retry_after=0.25)),
+    (23, quota_messages.LeaseReturn(quota="payments", serial=71, kept=72)),
+    (24, quota_messages.LeaseRecall(quota="payments", serial=81, count=82, keep=83)),
+    (25, quota_messages.PhaseAnnouncement(quota="payments", revision=91, phase=4, wants_reply=True)),
 ]
 
 
@@ -126,7 +128,7 @@
 
 
 def test_every_message_of_the_fleet_is_recorded() -> None:
-    tags = {kind.__struct_config__.tag for kind in (membership.Message | quotas.Message).__args__}
+    tags = {kind.__struct_config__.tag for kind in (membership.Message | quota_messages.Message).__args__}
     assert tags == {tag for tag, _ in MESSAGES}
     assert len(recorded("fleet_messages.json")) == len(MESSAGES)
 
@@ -138,7 +140,7 @@
         "dead": 2,
         "left": 3,
     }
-    assert sorted(int(phase) for phase in quotas.Phase) == [1, 2, 3, 4]
+    assert sorted(int(phase) for phase in Phase) == [1, 2, 3, 4]
 
 
 def test_a_conversation_of_a_fleet_goes_as_recorded() -> None:
@@ -161,9 +163,9 @@
             case "hear":
                 datagrams = own.hear(now, bytes.fromhex(said[more["datagram"]]), more["source"])
             case "seek":
-                datagrams = own.packed(own.limits.seek(now, "payments", 2))
+                datagrams = own.packed(own.limits.set_waiting(now, "payments", 2))
             case "spend":
-                permits[number] = own.limits.spend(now, "payments", now + heads["longest"])
+                permits[number] = own.limits.acquire(now, "payments", now + heads["longest"])
                 assert (permits[number] is not None) == more["got"]
             case "release":
                 datagrams = own.packed(own.limits.release(now, permits[more["of"]]))
