--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -524,11 +524,11 @@
     def state(self, now: float) -> Iterator[float]:
         """As in `fleet.Member`."""
         member = self._member
-        yield from (member.roster.away(now), member.unknown_peers, len(member.faults(now)))
+        yield from (member.roster.is_away(now), member.unknown_peers, len(member.faults(now)))
         yield from flattened(member.roster.digest())
         for name, held in member.roster.members().items():
             yield from flattened((name, held.start, held.incarnation, held.state, held.since))
-        for name, before, after in member.roster.take_events():
+        for name, before, after in member.roster.take_changes():
             yield from flattened((name, before and before.state, after and after.state))
         yield from (member.limits.may_be_granted(LIMIT), member.limits.retry_after(now, LIMIT))
         yield from flattened(member.limits.stats(now, LIMIT))
--- a/notchjunction/fleet/agent.py
+++ b/notchjunction/fleet/agent.py
@@ -13,9 +13,9 @@
 import msgspec
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet import membership as roster_module
 from notchjunction.fleet.envelope import Envelope, Key, Malformed, Out, Sender
-from notchjunction.fleet.membership import Membership
+from notchjunction.fleet.membership import messages as membership_messages
+from notchjunction.fleet.membership.membership import Membership
 from notchjunction.fleet.quotas import messages as quota_messages
 from notchjunction.fleet.quotas.plan import Plan, Split
 from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
@@ -26,7 +26,7 @@
     0.01  # part by which clocks may run off where the file does not say; a hundred times that of plain quartz
 )
 
-Message = roster_module.Message | quota_messages.Message
+Message = membership_messages.Message | quota_messages.Message
 DECODER = msgspec.msgpack.Decoder(list[Message])
 ENCODER = msgspec.msgpack.Encoder()
 
@@ -121,7 +121,7 @@
         if now >= self._roster_at:
             self._roster_at = now + ROSTER_EVERY
             outs += self.roster.tick(now)
-            for address, hello in self.roster.greet(now):
+            for address, hello in self.roster.due_joins(now):
                 found.append(Datagram(address, self.envelope.seal("", 0, ENCODER.encode([hello]))))
         return found + self.packed(outs)
 
@@ -145,14 +145,14 @@
             if isinstance(message, quota_messages.Message):
                 outs += self.limits.receive(now, sender, message)
             else:
-                outs += self.roster.hear(now, sender, message)
+                outs += self.roster.receive(now, sender, message)
         return self.packed(outs)
 
     def _greeted(self, now: float, sender: Sender, message: Message) -> Iterable[Message]:
         # Guards against rights asked for or given by what may be heard again without bound.
         if isinstance(message, quota_messages.Message):
             return ()
-        return self.roster.hear_greeting(now, sender, message)
+        return self.roster.reply_to_join(now, sender, message)
 
     def leave(self, now: float) -> list[Datagram]:
         return self.packed(self.roster.leave(now))
--- /dev/null
+++ b/notchjunction/fleet/membership/failure_detector.py
@@ -0,0 +1,197 @@
+"""SWIM's failure detector: probes, indirect probes and suspicion timeouts, with Lifeguard's guards. Pure."""
+
+from __future__ import annotations
+
+import math
+from dataclasses import dataclass
+from typing import NamedTuple
+
+from notchjunction.fleet.envelope import Out
+from notchjunction.fleet.membership.dissemination import Dissemination
+from notchjunction.fleet.membership.local_node import RECOVERY_PEERS, LocalNode
+from notchjunction.fleet.membership.member_table import MemberTable
+from notchjunction.fleet.membership.messages import (
+    CONFIRMATIONS_MAX,
+    Ack,
+    IndirectPing,
+    MemberState,
+    Nack,
+    Ping,
+)
+from notchjunction.fleet.membership.records import Member, RecordEvent
+
+PROBE_INTERVAL_S = 1.0  # each node is probed about once a second by somebody
+PROBE_TIMEOUT_S = 0.3  # for an answer; longer than a way round the world
+INDIRECT_TIMEOUT_S = (
+    0.6  # more with helpers, who wait PROBE_TIMEOUT_S and send a Nack; ends with the interval
+)
+HELPERS = 3  # nodes asked for an indirect probe; one lost datagram or one bad link accuses nobody
+SUSPICION_FACTOR = 4.0  # intervals, times log10 of the nodes, to refute at least; a few rounds of gossip
+SUSPICION_MAX_FACTOR = 3.0  # times as long for a suspicion that nobody shares
+REPROBE_INTERVAL_S = 0.5  # between probes of a suspected node; several times before it is declared dead
+REPROBERS = 10  # nodes that do so, besides the accusers; the others learn of its answer
+
+
+@dataclass(slots=True)
+class Probe:
+    """A probe under way; `step_at` is when the next step is due."""
+
+    member: Member
+    step_at: float
+    helpers: int | None = None
+    nacks: int = 0
+
+
+class Relay(NamedTuple):
+    """A Ping sent for another node."""
+
+    to: str
+    seq: int
+    until: float
+
+
+class FailureDetector:
+    """Probes the other nodes, and accuses those that do not answer."""
+
+    def __init__(self, local: LocalNode, table: MemberTable, dissemination: Dissemination) -> None:
+        self._local = local
+        self._table = table
+        self._dissemination = dissemination
+        self._probes: dict[int, Probe] = {}
+        self._relays: dict[int, Relay] = {}
+
+    def ping(self, now: float, to: str) -> Out:
+        """A Ping under a new number."""
+        seq = self._local.next_seq()
+        return Out(to, Ping(seq, self._dissemination.updates_for(now, to, own=True)))
+
+    def delay_probes(self, gap: float) -> None:
+        """Give all probes so many seconds more."""
+        for probe in self._probes.values():
+            probe.step_at += gap
+
+    def abandon_probes(self) -> None:
+        """Forget all probes, own ones and those for others."""
+        self._probes.clear()
+        self._relays.clear()
+
+    def probe_next(self, now: float) -> list[Out]:
+        """Probe the next node of the shuffled round."""
+        table = self._table
+        while not table.probe_order or not table.records[table.probe_order[-1]].live:
+            if table.probe_order:
+                table.probe_order.pop()
+                continue
+            table.probe_order = table.live()
+            self._local.random.shuffle(table.probe_order)
+            if not table.probe_order:
+                return []
+        name = table.probe_order.pop()
+        outs = [self.ping(now, name)]
+        timeout = PROBE_TIMEOUT_S * (1 + self._local.health)
+        self._probes[self._local.seq] = Probe(table.records[name], now + timeout)
+        if self._local.recovery is not None:
+            outs += [self.ping(now, other) for other in self._local.sample(table.live(), RECOVERY_PEERS)]
+        return outs
+
+    def reprobe_suspect(self, now: float) -> list[Out]:
+        """Probe a suspected node once more."""
+        # Guards against a refutation that was lost: whom it accuses, or would soon declare dead, it probes
+        # again; but not all nodes probe one.
+        is_reprober = self._local.random.random() * self._table.live_count < REPROBERS
+        me = self._local.me.name
+        names = [
+            record.name
+            for record in [self._table.records[name] for name in self._table.suspects]
+            if me in record.accusers or (is_reprober and now - record.since > self._timeout(record) / 2)
+        ]
+        return [self.ping(now, name) for name in self._local.sample(names, 1)]
+
+    def expire_suspicions(self, now: float) -> None:
+        """Declare dead the suspected nodes whose time to refute is over."""
+        for name in list(self._table.suspects):
+            record = self._table.records[name]
+            if now - record.since >= self._timeout(record):
+                self._table.apply(now, RecordEvent.SUSPICION_TIMED_OUT, record)
+
+    def check_probes(self, now: float) -> list[Out]:
+        """Take the next step of all probes that were not answered in time."""
+        outs: list[Out] = []
+        for seq, probe in list(self._probes.items()):
+            if now >= probe.step_at:
+                outs += self._step(now, seq, probe)
+        for seq, relay in list(self._relays.items()):
+            if now >= relay.until:
+                del self._relays[seq]
+                outs += self._relay(now, relay, Nack)
+        return outs
+
+    def _step(self, now: float, seq: int, probe: Probe) -> list[Out]:
+        name = probe.member.name
+        record = self._table.records.get(name)
+        if record is None or not record.live or record.version != probe.member.version:
+            del self._probes[seq]  # updated since: the probe says nothing of that
+            return []
+        if probe.helpers is None:
+            return self._probe_indirectly(now, seq, probe)
+        del self._probes[seq]
+        # Guards against a node with bad links accusing the healthy: helpers that do not answer count.
+        self._local.adjust_health(max(0, probe.helpers - probe.nacks) if probe.helpers else 1)
+        self._table.apply(now, RecordEvent.PROBE_FAILED, record)
+        return []
+
+    def _probe_indirectly(self, now: float, seq: int, probe: Probe) -> list[Out]:
+        name, updates_for = probe.member.name, self._dissemination.updates_for
+        others = [other for other in self._table.live() if other != name]
+        alive = [other for other in others if self._table.records[other].state is MemberState.ALIVE]
+        helpers = self._local.sample(alive, HELPERS)
+        probe.helpers = len(helpers)
+        probe.step_at = now + INDIRECT_TIMEOUT_S * (1 + self._local.health)
+        outs = [Out(name, Ping(seq, updates_for(now, name, own=True)))]
+        outs += [Out(helper, IndirectPing(seq, name, updates_for(now, helper))) for helper in helpers]
+        return outs
+
+    def on_indirect_ping(self, now: float, to: str, message: IndirectPing) -> list[Out]:
+        """Probe a node for another one."""
+        if message.name not in self._table.records:
+            return []
+        ping = self.ping(now, message.name)
+        self._relays[self._local.seq] = Relay(to, message.seq, now + PROBE_TIMEOUT_S)
+        return [ping]
+
+    def on_ack(self, now: float, message: Ack) -> list[Out]:
+        """End the probe that is answered; pass the answer on if it was for another node."""
+        if self._probes.pop(message.seq, None):
+            self._local.adjust_health(-1)
+        relay = self._relays.pop(message.seq, None)
+        return self._relay(now, relay, Ack) if relay else []
+
+    def on_nack(self, message: Nack) -> list[Out]:
+        """Count a helper whose probe was not answered."""
+        if message.seq in self._probes:
+            self._probes[message.seq].nacks += 1
+        return []
+
+    def _relay(self, now: float, relay: Relay, answer: type[Ack] | type[Nack]) -> list[Out]:
+        if relay.to not in self._table.records:
+            return []
+        updates = self._dissemination.updates_for(now, relay.to, own=True)
+        return [Out(relay.to, answer(relay.seq, updates))]
+
+    def _timeout(self, record: Member) -> float:
+        return suspicion_timeout(self._table.live_count, len(record.accusers) - 1)
+
+
+def suspicion_timeout(nodes: int, confirmations: int) -> float:
+    """Seconds that a suspected node has to refute, if so many others of a fleet share the suspicion."""
+    shortest = PROBE_INTERVAL_S * SUSPICION_FACTOR * max(1.0, math.log10(nodes))
+    others = min(CONFIRMATIONS_MAX, nodes - 2)
+    if others < 1:
+        return shortest
+    part = math.log(1 + min(max(confirmations, 0), others)) / math.log(1 + others)
+    return shortest * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1) * part)
+
+
+def detection_time_max(nodes: int) -> float:
+    """Seconds from a node's end until all the others know it dead, in a fleet of so many."""
+    return 5 * PROBE_INTERVAL_S + suspicion_timeout(nodes, 2) + PROBE_INTERVAL_S * math.log2(nodes)
--- /dev/null
+++ b/notchjunction/fleet/membership/member_table.py
@@ -0,0 +1,168 @@
+"""All records of one node, kept by the record table, with the digest and what has changed. Pure."""
+
+from __future__ import annotations
+
+from collections.abc import Mapping
+from dataclasses import replace
+from functools import reduce
+from hashlib import blake2b
+from operator import xor
+from typing import NamedTuple
+
+from notchjunction.fleet.membership.local_node import LocalNode
+from notchjunction.fleet.membership.messages import CHECKSUM_BYTES, DIGEST_PARTS, MemberState
+from notchjunction.fleet.membership.records import (
+    RECEIVED,
+    RECORD_TABLE,
+    Member,
+    Occurrence,
+    RecordAction,
+    RecordEvent,
+    Relation,
+    limit_accusers,
+    merge,
+)
+
+DEATH_NEWS_S = 1800.0  # after which a death is no news to one who never knew the node
+
+
+class MemberChange(NamedTuple):
+    """A record that changed; None: not known."""
+
+    name: str
+    before: Member | None
+    after: Member | None
+
+
+class MemberTable:
+    """The records of all known nodes, this one among them."""
+
+    def __init__(self, local: LocalNode) -> None:
+        self._local = local
+        self.records: dict[str, Member] = {}  # in order of change
+        self.suspects: dict[str, None] = {}
+        self.live_count = 0
+        self.changes: list[MemberChange] = []
+        self.pending: dict[str, int] = {}  # records to disseminate: times sent, in order of change
+        self.probe_order: list[str] = []  # the rest of this round, last one first
+        self._checksums: list[dict[str, int]] = [{} for _ in range(DIGEST_PARTS)]  # by name
+
+    @property
+    def own(self) -> Member:
+        """The record of this node's name."""
+        return self.records[self._local.me.name]
+
+    def live(self) -> list[str]:
+        """Names of the others that are alive or only suspected."""
+        me = self._local.me.name
+        return sorted(name for name, record in self.records.items() if record.live and name != me)
+
+    def ordered(self) -> Mapping[str, Member]:
+        """All records by name."""
+        return dict(sorted(self.records.items()))
+
+    def digest(self) -> bytes:
+        """Checksums by parts; alike where two nodes have the same of all names."""
+        return b"".join(
+            reduce(xor, part.values(), 0).to_bytes(CHECKSUM_BYTES, "big") for part in self._checksums
+        )
+
+    def differing_parts(self, sums: bytes) -> list[int]:
+        """The parts in which another node's digest differs from the own one."""
+        own = self.digest()
+        spans = [slice(at, at + CHECKSUM_BYTES) for at in range(0, len(own), CHECKSUM_BYTES)]
+        return [part for part, span in enumerate(spans) if own[span] != sums[span]]
+
+    def names_in(self, part: int) -> list[str]:
+        """The names in one part of the digest."""
+        return list(self._checksums[part])
+
+    def receive(self, now: float, update: Member) -> bool:
+        """Apply a received record; whether the known one is another now."""
+        return self.apply(now, RECEIVED[update.state], update)
+
+    def apply(self, now: float, event: RecordEvent, update: Member) -> bool:
+        """Apply an event to the record of a name; whether it is another now."""
+        known = self.records.get(update.name)
+        occurrence = Occurrence(event, self._relation(now, event, known, update))
+        transition = RECORD_TABLE.find(known.state if known else None, occurrence)
+        if transition is None:
+            return False
+        after = self._changed(now, transition.action, known, update)
+        state = transition.next_state
+        return self.put(update.name, None if state is None else replace(after, state=state))
+
+    def _relation(self, now: float, event: RecordEvent, known: Member | None, update: Member) -> Relation:
+        if event not in RECEIVED.values():
+            return Relation.TRUSTED if self._local.may_accuse(now) else Relation.UNTRUSTED
+        if known is None:
+            is_stale = not update.live and now - update.since > DEATH_NEWS_S
+            return Relation.STALE if is_stale else Relation.NEWER
+        if (update.name, update.start) == self._local.me:
+            is_old = self._local.is_replaced or update.version < known.version
+            return Relation.OLDER if is_old else Relation.OWN
+        if update.version == known.version:
+            return Relation.EQUAL
+        return Relation.NEWER if update.version > known.version else Relation.OLDER
+
+    def _changed(self, now: float, action: RecordAction, known: Member | None, update: Member) -> Member:
+        match action:
+            case RecordAction.MERGE:
+                return merge(known, update) if known else update
+            case RecordAction.DOUBT | RecordAction.DECLARE_DEAD:
+                return replace(update, since=now, accusers=())
+            case RecordAction.ACCUSE:
+                since = update.since if update.state is MemberState.SUSPECT else now
+                accusers = limit_accusers(*update.accusers, self._local.me.name)
+                return replace(update, since=since, accusers=accusers)
+            case RecordAction.FORGET:
+                return update
+            case RecordAction.REFUTE:
+                self._local.adjust_health(1)
+                address, incarnation = self._local.address, update.incarnation + 1
+                return replace(update, address=address, incarnation=incarnation, since=now, accusers=())
+
+    def put(self, name: str, after: Member | None) -> bool:
+        """Replace or, with None, forget a record; whether it is another now."""
+        before = self.records.pop(name, None)
+        self.suspects.pop(name, None)
+        self.live_count += (after is not None and after.live) - (before is not None and before.live)
+        if after is None:
+            del self._checksums[_checksum(name) % DIGEST_PARTS][name]
+            self.pending.pop(name, None)
+            self.probe_order = [other for other in self.probe_order if other != name]
+        else:
+            self._store(before, after)
+        changed = before is None or after is None or before.precedence != after.precedence
+        if changed:
+            self.changes.append(MemberChange(name, before, after))
+        return changed
+
+    def _store(self, before: Member | None, after: Member) -> None:
+        name = after.name
+        self.records[name] = after
+        checksum = _checksum(f"{name} {after.start} {after.incarnation} {after.state:d}")
+        self._checksums[_checksum(name) % DIGEST_PARTS][name] = checksum
+        if after.state is MemberState.SUSPECT:
+            self.suspects[name] = None
+        if before is None or (before.precedence, before.accusers) != (after.precedence, after.accusers):
+            self.pending.pop(name, None)
+            self.pending[name] = 0
+        if after.live and name != self._local.me.name and name not in self.probe_order:
+            # Guards against one that came during a round and dies before the next is shuffled.
+            self.probe_order.insert(self._local.random.randint(0, len(self.probe_order)), name)
+
+    def shift_suspicions(self, gap: float) -> None:
+        """Give all suspected nodes so many seconds more to refute."""
+        for name in self.suspects:
+            record = self.records[name]
+            self.records[name] = replace(record, since=record.since + gap)
+
+    def restart_suspicions(self, now: float) -> None:
+        """Give all suspected nodes all of their time to refute from now on."""
+        for name in self.suspects:
+            self.records[name] = replace(self.records[name], since=now)
+
+
+def _checksum(text: str) -> int:
+    return int.from_bytes(blake2b(text.encode(), digest_size=CHECKSUM_BYTES).digest(), "big")
--- /dev/null
+++ b/notchjunction/fleet/membership/membership.py
@@ -0,0 +1,288 @@
+"""Membership: the nodes of a fleet, as this one knows them. Pure: decides without clock or I/O.
+
+Known methods: SWIM's probes (one each interval, in a shuffled round, with helpers), suspicion and
+incarnations; Lifeguard's guards (a node whose own links or timers fail waits longer before it accuses; a
+suspicion times out sooner the more nodes share it; a suspected node learns of it and refutes); and digests
+for what gossip missed.
+
+Precedence for one name: a later start, then a higher incarnation, then LEFT > DEAD > SUSPECT > ALIVE;
+`merge` puts two records together by it. One thing is not believed by hearsay: that a node known as live is
+dead. It is suspected, and has all of that time to refute, so that no side of a partition, and no node that
+was paused, declares the healthy dead.
+
+A node that was paused is *away* until peers have answered what it sent after the pause: it doubts what it
+believed, sends only its own record, and accuses nobody. One that nobody answers may accuse after AWAY_MAX_S,
+and so learns that it is alone.
+
+Promises, in s of the nodes' own clocks, for whole links and ticks each 0.1 s: `detection_time_max`, and, once
+a partition is over, HEALED_MAX_S. Bytes of messages (before their seals) that a node sends in a second, on
+average over 10 s, at 5 to 200 nodes: at most CALM_BYTES_PER_S while nothing changes, TROUBLE_BYTES_PER_S
+whatever does. If half of the fleet goes at once, each node doubts its own links first, and it may take a
+minute.
+"""
+
+from __future__ import annotations
+
+import math
+from collections.abc import Callable, Mapping, Sequence
+from dataclasses import replace
+from typing import NamedTuple
+
+from notchjunction.errors import FleetError
+from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.membership.anti_entropy import DEAD_KEPT_S, AntiEntropy
+from notchjunction.fleet.membership.dissemination import Dissemination
+from notchjunction.fleet.membership.failure_detector import (
+    PROBE_INTERVAL_S,
+    REPROBE_INTERVAL_S,
+    FailureDetector,
+)
+from notchjunction.fleet.membership.joining import Joining
+from notchjunction.fleet.membership.local_node import (
+    AWAY_MAX_S,
+    PAUSE_S,
+    RECOVERY_PEERS,
+    LocalNode,
+    Recovery,
+)
+from notchjunction.fleet.membership.member_table import MemberChange, MemberTable
+from notchjunction.fleet.membership.messages import (
+    Ack,
+    Differences,
+    Digest,
+    IndirectPing,
+    Join,
+    JoinReply,
+    MemberState,
+    MemberUpdate,
+    Message,
+    Nack,
+    PeerMessage,
+    Ping,
+    UpdateBatch,
+)
+from notchjunction.fleet.membership.records import Member, from_update
+
+SPREAD_INTERVAL_S = 0.5  # between messages that only carry changes, while there are any
+SYNC_INTERVAL_S = 5.0  # between digests; finds what gossip missed
+SYNC_SOON_S = 1.0  # to the next one after a digest found something
+DEAD_CONTACT_INTERVAL_S = 10.0  # between probes of one of the dead, so that sides of a partition meet again
+LATE_TICK_S = 0.5  # between ticks after which the own timer, not a peer, is to blame for waits
+LEAVE_RECEIVERS = 5  # nodes told by one that leaves; they tell the others
+DUPLICATE_AFTER_S = 5.0  # after which an earlier start that still sends is a duplicate, not late datagrams
+HEALED_MAX_S = 20.0  # after a partition in two halves until all 5 to 200 nodes have one view
+CALM_BYTES_PER_S = 250  # a node; a probe, an answer and a fifth of a digest, with names of 16 bytes
+TROUBLE_BYTES_PER_S = 8000  # a node; the messages of all its duties and as many answers, each full
+
+
+class Duty(NamedTuple):
+    """What a node does at intervals."""
+
+    interval: float  # s
+    run: Callable[[float], list[Out]]
+
+
+class Membership:
+    """One start of a node, `me`, at `address` ("host:port"); `seeds`: addresses of some others.
+
+    Call `tick` and `due_joins` each 0.1 s or so, `receive` and `reply_to_join` for what arrives,
+    `take_changes` after them. `now` is in s on the own clock.
+    """
+
+    def __init__(self, me: Sender, address: str, seeds: Sequence[str], seed: int) -> None:
+        self.local = LocalNode(me, address, seed)
+        self._table = MemberTable(self.local)
+        dissemination = Dissemination(self.local, self._table)
+        self._dissemination = dissemination
+        self._detector = FailureDetector(self.local, self._table, dissemination)
+        self._sync = AntiEntropy(self.local, self._table, dissemination, self._detector)
+        self._joining = Joining(self.local, self._table, seeds)
+        self._duties = {
+            "probe": Duty(PROBE_INTERVAL_S, self._detector.probe_next),
+            "reprobe": Duty(REPROBE_INTERVAL_S, self._detector.reprobe_suspect),
+            "spread": Duty(SPREAD_INTERVAL_S, self._sync.send_updates),
+            "sync": Duty(SYNC_INTERVAL_S, self._sync.send_digest),
+            "contact dead": Duty(DEAD_CONTACT_INTERVAL_S, self._sync.contact_dead),
+        }
+        self._due: dict[str, float] = {}
+        self._table.put(me.name, Member(me.name, address, me.start, 0, MemberState.ALIVE, 0.0))
+
+    def members(self) -> Mapping[str, Member]:
+        """All that are known, this node too, with the dead of the last hour."""
+        return self._table.ordered()
+
+    def live(self) -> list[str]:
+        """Names of the others that are alive or only suspected."""
+        return self._table.live()
+
+    def address_of(self, name: str) -> str | None:
+        """A node's address; None if it is not known."""
+        record = self._table.records.get(name)
+        return None if record is None else record.address
+
+    def start_of(self, name: str) -> int:
+        """A node's start; 0 if it is not known."""
+        record = self._table.records.get(name)
+        return 0 if record is None else record.start
+
+    def is_away(self, now: float) -> bool:
+        """Whether this node was paused, and has not learned since how things are."""
+        return self.local.is_away(now)
+
+    def fault(self, now: float) -> FleetError | None:
+        """What an operator has to mend, if anything."""
+        return self.local.fault(now)
+
+    def take_changes(self) -> list[MemberChange]:
+        """Records that changed since the last call."""
+        changes, self._table.changes = self._table.changes, []
+        return changes
+
+    def digest(self) -> bytes:
+        """Alike where two nodes have the same of all names."""
+        return self._table.digest()
+
+    @property
+    def _has_left(self) -> bool:
+        return self._table.own.state is MemberState.LEFT
+
+    def tick(self, now: float) -> list[Out]:
+        """Do what is due."""
+        self._check_gap(now, LATE_TICK_S)
+        self.local.last_tick_at = now
+        if self._has_left:
+            return []
+        self._check_recovery(now)
+        outs = self._detector.check_probes(now)
+        self._detector.expire_suspicions(now)
+        random = self.local.random
+        for name, duty in self._duties.items():
+            # The first time and each later one vary by chance, so that nodes do not fall in step.
+            if now >= self._due.setdefault(name, now + duty.interval * random.random()):
+                factor = 1 + self.local.health if name == "probe" else 1
+                self._due[name] = now + duty.interval * factor * random.uniform(0.9, 1.1)
+                outs += duty.run(now)
+        return outs
+
+    def due_joins(self, now: float) -> list[tuple[str, Message]]:
+        """Joins to send, with the addresses of nodes that are not known."""
+        return [] if self._has_left else self._joining.due_joins(now)
+
+    def leave(self, now: float) -> list[Out]:
+        """Announce that this node leaves; it sends nothing afterwards."""
+        if self.local.is_replaced:
+            return []
+        own = self._table.own
+        self._table.put(own.name, replace(own, state=MemberState.LEFT, since=now))
+        return [
+            Out(name, UpdateBatch(self._dissemination.updates_for(now, name, own=True)))
+            for name in self.local.sample(self.live(), LEAVE_RECEIVERS)
+        ]
+
+    def receive(self, now: float, sender: Sender, message: Message) -> list[Out]:
+        """Apply a message for this start of this node; a Join is not answered, see `reply_to_join`."""
+        self._check_gap(now, PAUSE_S)
+        if isinstance(message, Join) or self._has_left:
+            return []
+        if sender.name == self.local.me.name:
+            return self._receive_from_namesake(now, sender, message)
+        known = self._table.records.get(sender.name)
+        if known is not None and sender.start < known.start:
+            if now - known.since > DUPLICATE_AFTER_S:
+                self.local.report_duplicate(now, sender, known.start, known.address)
+            return []
+        recovery = self.local.recovery
+        if recovery and isinstance(message, JoinReply | Ack | Nack) and message.seq > recovery.seq:
+            self._note_recovery_answer(recovery, sender.name)
+        changes = [self._apply_update(now, update) for update in message.updates]
+        self._check_recovery(now)
+        if self.start_of(sender.name) != sender.start or sender.name not in self._table.records:
+            return []  # it can't be answered before its own record is known
+        if self.local.recovery and isinstance(message, Digest | Differences):
+            return []
+        if isinstance(message, Differences) and any(changes):
+            self._due["sync"] = min(self._due.get("sync", math.inf), now + SYNC_SOON_S)
+        return self._answer(now, sender.name, message)
+
+    def reply_to_join(self, now: float, sender: Sender, message: Message) -> list[Message]:
+        """Answers to a join, for the address that it came from, to be sealed for `sender`."""
+        return self._joining.reply(now, sender, message)
+
+    def _answer(self, now: float, to: str, message: PeerMessage) -> list[Out]:
+        match message:
+            case JoinReply():
+                return [self._detector.ping(now, to), Out(to, Digest(self.digest(), ()))]
+            case Ping(seq):
+                return [Out(to, Ack(seq, self._dissemination.updates_for(now, to, own=True)))]
+            case IndirectPing():
+                return self._detector.on_indirect_ping(now, to, message)
+            case Ack():
+                return self._detector.on_ack(now, message)
+            case Nack():
+                return self._detector.on_nack(message)
+            case Digest():
+                return self._sync.on_digest(now, to, message)
+            case Differences():
+                return self._sync.on_differences(now, to, message)
+            case UpdateBatch():
+                return []
+
+    def _receive_from_namesake(self, now: float, sender: Sender, message: PeerMessage) -> list[Out]:
+        me, own = self.local.me, self._table.own
+        if sender.start <= me.start:
+            self.local.report_duplicate(now, sender, own.start, own.address)
+            return []
+        for update in message.updates:
+            self._apply_update(now, update)
+        if isinstance(message, JoinReply) and self.address_of(me.name) != self.local.address:
+            return [self._detector.ping(now, me.name)]  # so that the other learns of this one
+        return []
+
+    def _apply_update(self, now: float, update: MemberUpdate) -> bool:
+        record = from_update(update, now)
+        me = self.local.me
+        if record.name == me.name and record.start != me.start:
+            if record.start > me.start:
+                self.local.report_replaced(record.start)
+            if record.live and record.address != self.local.address:
+                # Guards against duplicates that never learn of each other: the others reject the earlier one.
+                self.local.note_namesake(record.address)
+        return self._table.receive(now, record)
+
+    def _check_gap(self, now: float, allowed: float) -> None:
+        """Note a time, longer than is allowed, in which this node did not look."""
+        local = self.local
+        gap = now - local.last_tick_at
+        if gap <= allowed:
+            return
+        # Guards against blaming peers for the time in which this node did not look.
+        local.adjust_health(1)
+        self._detector.delay_probes(gap)
+        self._table.shift_suspicions(gap)
+        if gap <= PAUSE_S:
+            return
+        # Guards against acting on what was so before a pause, and on what waited in the socket.
+        local.last_tick_at = now
+        local.recovery = Recovery(now, gap, local.seq, {})
+        self._detector.abandon_probes()
+        self._due["probe"] = now
+        self._joining.restart(now)
+
+    def _note_recovery_answer(self, recovery: Recovery, name: str) -> None:
+        if recovery.gap > DEAD_KEPT_S and not recovery.answers:
+            # Guards against bringing back what the others have declared dead and forgotten.
+            for known in self.members():
+                if known != self.local.me.name:
+                    self._table.put(known, None)
+        recovery.answers[name] = None
+
+    def _check_recovery(self, now: float) -> None:
+        """End the recovery of a node that was away, once enough peers have answered."""
+        recovery = self.local.recovery
+        if recovery is None:
+            return
+        live = self._table.live_count - 1
+        is_alone = not live and now - recovery.began_at > AWAY_MAX_S
+        if is_alone or len(recovery.answers) >= max(1, min(RECOVERY_PEERS, live)):
+            self.local.recovery = None
+            self._table.restart_suspicions(now)
--- /dev/null
+++ b/notchjunction/fleet/membership/messages.py
@@ -0,0 +1,110 @@
+"""What nodes send one another about the fleet's members. Tags and the order of fields are the wire."""
+
+from __future__ import annotations
+
+from enum import IntEnum
+from typing import Annotated
+
+import msgspec
+
+from notchjunction.fleet.envelope import NAME_MOST
+
+CONFIRMATIONS_MAX = 3  # others that share a suspicion until the shortest timeout holds; more add nothing
+DIGEST_PARTS = 64  # of 200 nodes a few records each, and 256 bytes in all
+CHECKSUM_BYTES = 4  # of each part; two views that differ look alike once in billions
+ADDRESS_LENGTH_MAX = 128  # characters; any "host:port" fits
+
+
+class MemberState(IntEnum):
+    """In order of precedence within one incarnation; values and names are on the wire."""
+
+    ALIVE = 0
+    SUSPECT = 1
+    DEAD = 2
+    LEFT = 3
+
+
+Name = Annotated[str, msgspec.Meta(max_length=NAME_MOST)]
+Natural = Annotated[int, msgspec.Meta(ge=0, le=2**62)]  # leaves numbers above to refute with
+Checksums = Annotated[
+    bytes,
+    msgspec.Meta(min_length=DIGEST_PARTS * CHECKSUM_BYTES, max_length=DIGEST_PARTS * CHECKSUM_BYTES),
+]
+
+
+class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
+    """A record as sent; `age`: s since a death or leave."""
+
+    name: Name
+    address: Annotated[str, msgspec.Meta(max_length=ADDRESS_LENGTH_MAX)]
+    start: Natural
+    incarnation: Natural
+    state: MemberState
+    age: Natural
+    accusers: Annotated[tuple[Name, ...], msgspec.Meta(max_length=CONFIRMATIONS_MAX + 1)]
+
+
+class Join(msgspec.Struct, frozen=True, array_like=True, tag=1):
+    """To an address whose node is not known: asks who is there."""
+
+    seq: Natural
+
+
+class JoinReply(msgspec.Struct, frozen=True, array_like=True, tag=2):
+    """Answers a Join with the records of both nodes."""
+
+    seq: Natural  # of the Join
+    updates: tuple[MemberUpdate, ...]
+
+
+class Ping(msgspec.Struct, frozen=True, array_like=True, tag=3):
+    """A probe, to be answered with an Ack."""
+
+    seq: Natural
+    updates: tuple[MemberUpdate, ...]
+
+
+class Ack(msgspec.Struct, frozen=True, array_like=True, tag=4):
+    """Answers a probe, direct or indirect."""
+
+    seq: Natural  # of the Ping or IndirectPing
+    updates: tuple[MemberUpdate, ...]
+
+
+class IndirectPing(msgspec.Struct, frozen=True, array_like=True, tag=5):
+    """Asks the receiver to probe another node."""
+
+    seq: Natural
+    name: Name
+    updates: tuple[MemberUpdate, ...]
+
+
+class Nack(msgspec.Struct, frozen=True, array_like=True, tag=6):
+    """The node of an IndirectPing has not answered the helper."""
+
+    seq: Natural  # of the IndirectPing
+    updates: tuple[MemberUpdate, ...]
+
+
+class Digest(msgspec.Struct, frozen=True, array_like=True, tag=7):
+    """Checksums of all records that the sender has, by parts."""
+
+    sums: Checksums
+    updates: tuple[MemberUpdate, ...]
+
+
+class Differences(msgspec.Struct, frozen=True, array_like=True, tag=8):
+    """The sender's records where two digests differ, as far as they fit."""
+
+    sums: Checksums
+    updates: tuple[MemberUpdate, ...]
+
+
+class UpdateBatch(msgspec.Struct, frozen=True, array_like=True, tag=9):
+    """Records alone."""
+
+    updates: tuple[MemberUpdate, ...]
+
+
+PeerMessage = JoinReply | Ping | Ack | IndirectPing | Nack | Digest | Differences | UpdateBatch
+Message = Join | PeerMessage
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -37,6 +37,11 @@
 FAULT_EVERY = 10.0  # s between log lines of one kind; what is refused may come in floods
 
 
+def kind_of(error: FleetError) -> str:
+    """The error's name in log lines and counters: that of its type, without "Error"."""
+    return type(error).__name__.removesuffix("Error")
+
+
 class LongerJobs(FleetError):
     """Profiles whose jobs may take longer than rights are lent for."""
 
@@ -163,8 +168,8 @@
         try:
             self._send(self.member.hear(self.now(), data, text_of((source[0], source[1]))))
         except FleetError as error:
-            self.counters.add(f"fleet_datagrams_rejected_{type(error).__name__.lower()}")
-            self._tell(type(error).__name__, str(error.what), error.remedy)
+            self.counters.add(f"fleet_datagrams_rejected_{kind_of(error).lower()}")
+            self._tell(kind_of(error), str(error.what), error.remedy)
         except Exception as error:
             self.counters.add_failure("fleet transport failed", error)
         self._look()
@@ -190,13 +195,13 @@
         try:
             now = self.now()
             self._send(self.member.tick(now))
-            for name, before, after in self.member.roster.take_events():
+            for name, before, after in self.member.roster.take_changes():
                 if (before is None or not before.live) and after is not None and after.live:
                     log.info("fleet member joined", extra=pairs(node=name, at=after.address))
                 elif before is not None and before.live and (after is None or not after.live):
                     log.warning("fleet member lost", extra=pairs(node=name))
             for fault in self.member.faults(now):
-                self._tell(type(fault).__name__, f"{fault.where}: {fault.what}", fault.remedy)
+                self._tell(kind_of(fault), f"{fault.where}: {fault.what}", fault.remedy)
         except Exception as error:
             self.counters.add_failure("fleet transport failed", error)
         self._look()
@@ -329,7 +334,7 @@
         """What this node holds of its fleet, for an operator."""
         now, member = self.now(), self.member
         return {
-            "away": member.roster.away(now),
+            "away": member.roster.is_away(now),
             "nodes": {
                 name: {"state": held.state.name.lower(), "start": held.start, "at": held.address}
                 for name, held in member.roster.members().items()
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,24 +14,33 @@
 
 from notchjunction.errors import FleetError
 from notchjunction.fleet import envelope as env
-from notchjunction.fleet import membership as ros
 from notchjunction.fleet.envelope import Envelope, Key, Out, Sender
 from notchjunction.fleet.membership import (
+    anti_entropy,
+    dissemination,
+    failure_detector,
+    joining,
+    local_node,
+    member_table,
+)
+from notchjunction.fleet.membership import membership as membership_module
+from notchjunction.fleet.membership.membership import Membership
+from notchjunction.fleet.membership.messages import (
     Ack,
     Digest,
-    Hello,
-    Member,
-    Membership,
+    Join,
+    JoinReply,
+    MemberState,
+    MemberUpdate,
+    Message,
     Ping,
-    Rumour,
-    State,
-    Told,
-    join,
+    UpdateBatch,
 )
+from notchjunction.fleet.membership.records import Member, merge
 
-ALIVE, SUSPECT, DEAD, LEFT = State
+ALIVE, SUSPECT, DEAD, LEFT = MemberState
 KEYS = [Key(1, b"k" * 16)]
-DECODER: msgspec.msgpack.Decoder[ros.Message] = msgspec.msgpack.Decoder(ros.Message)
+DECODER: msgspec.msgpack.Decoder[Message] = msgspec.msgpack.Decoder(Message)
 
 
 class Node:
@@ -47,18 +56,18 @@
         return 500.0 + self.net.now * self.rate
 
     def away(self) -> bool:
-        return self.roster.away(self.clock())
+        return self.roster.is_away(self.clock())
 
-    def states(self) -> dict[str, State]:
+    def states(self) -> dict[str, MemberState]:
         return {name: held.state for name, held in self.roster.members().items()}
 
     def tick(self) -> None:
         self.net.at(max(self.net.now + 0.1 / self.rate, self.paused_until), self.tick)
         if self.up and self.net.now >= self.paused_until:
             self.say(self.roster.tick(self.clock()))
-            for address, message in self.roster.greet(self.clock()):
+            for address, message in self.roster.due_joins(self.clock()):
                 self.net.post(self, address, Sender("", 0), message)
-            events = self.roster.take_events()
+            events = self.roster.take_changes()
             self.dead += [name for name, _, after in events if after and after.state is DEAD]
 
     def say(self, outs: list[Out]) -> None:
@@ -75,8 +84,8 @@
             return self.refused.append(error)
         message = DECODER.decode(opened.payload)
         if not opened.greeting:
-            return self.say(self.roster.hear(self.clock(), opened.sender, message))
-        for answer in self.roster.hear_greeting(self.clock(), opened.sender, message):
+            return self.say(self.roster.receive(self.clock(), opened.sender, message))
+        for answer in self.roster.reply_to_join(self.clock(), opened.sender, message):
             self.net.post(self, source, opened.sender, answer)
 
 
@@ -101,7 +110,7 @@
     def at(self, time: float, call: Callable[[], None]) -> None:
         heapq.heappush(self.queue, (time, next(self.turn), call))
 
-    def post(self, node: Node, address: str, to: Sender, message: ros.Message) -> None:
+    def post(self, node: Node, address: str, to: Sender, message: Message) -> None:
         payload = msgspec.msgpack.encode(message)
         data, place = node.envelope.seal(*to, payload), self.places[address]
         node.sent += len(payload)
@@ -122,7 +131,7 @@
             assert self.now < end, [node.states() for node in self.up()][:3]
             self.run(0.5)
 
-    def settle(self, most: float = ros.HEALED_WITHIN, **others: State) -> None:
+    def settle(self, most: float = membership_module.HEALED_MAX_S, **others: MemberState) -> None:
         """Until all nodes that run are back and hold each other alive, and the others as told."""
         self.cut, self.loss = lambda source, to: False, 0.0
         view = {node.me.name: ALIVE for node in self.up()} | others
@@ -137,10 +146,12 @@
     net.run(10.0)  # until it is no news
     before = {node: node.sent for node in net.up()}
     net.run(10.0)
-    assert max(node.sent - before[node] for node in net.up()) <= 10.0 * ros.CALM_BYTES
+    assert max(node.sent - before[node] for node in net.up()) <= 10.0 * membership_module.CALM_BYTES_PER_S
     newcomer.up = False
-    net.settle(ros.buried_within(nodes) / 0.95, n=DEAD)
-    assert all(node.sent / net.now <= ros.TROUBLE_BYTES and not node.refused for node in net.up())
+    net.settle(failure_detector.detection_time_max(nodes) / 0.95, n=DEAD)
+    assert all(
+        node.sent / net.now <= membership_module.TROUBLE_BYTES_PER_S and not node.refused for node in net.up()
+    )
 
 
 @pytest.mark.parametrize("fault", ["a third lost", "one link cut", "deaf", "late"])
@@ -158,9 +169,12 @@
     net.settle()
 
 
-@pytest.mark.parametrize(("nodes", "span"), [(6, ros.TOMB_SPAN), (50, ros.TOMB_SPAN), (6, 20.0)])
+@pytest.mark.parametrize(
+    ("nodes", "span"), [(6, anti_entropy.DEAD_KEPT_S), (50, anti_entropy.DEAD_KEPT_S), (6, 20.0)]
+)
 def test_two_sides_heal_if_cut_again(nodes: int, span: float, monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(ros, "TOMB_SPAN", span)
+    monkeypatch.setattr(anti_entropy, "DEAD_KEPT_S", span)
+    monkeypatch.setattr(membership_module, "DEAD_KEPT_S", span)
     net, forgotten = Net(nodes), span < 100.0
     net.places["a0"].up = forgotten  # who has forgotten the other side needs the seed, and nobody else
     for healed in (2.0, 0.0):
@@ -170,7 +184,7 @@
         net.cut = lambda source, to: False
         net.run(healed)
     net.settle(**({} if forgotten else {"n0": DEAD}))
-    assert all(node.sent / net.now <= ros.TROUBLE_BYTES for node in net.up())
+    assert all(node.sent / net.now <= membership_module.TROUBLE_BYTES_PER_S for node in net.up())
 
 
 @pytest.mark.parametrize(("seconds", "alone"), [(3.0, False), (60.0, False), (5.0, True)])
@@ -178,7 +192,7 @@
     net = Net(5)
     sleeper = net.places["a4"]
     sleeper.paused_until = net.now + seconds
-    assert sleeper.roster.away(sleeper.clock() + 2.5)  # whoever asks before its timer does
+    assert sleeper.roster.is_away(sleeper.clock() + 2.5)  # whoever asks before its timer does
     net.run(seconds - 0.5)
     net.cut = lambda source, to: "a4" in (source, to)
     net.run(8.0)
@@ -204,11 +218,17 @@
     net = Net(4)
     older, newer, third = net.places["a1"], net.add("n1", "a9"), net.places["a2"]
     net.run(30.0)
-    false = Told((Rumour("n1", "a1", older.me.start, 0, DEAD, 0, ()), Rumour("x", "x", 1, 0, ALIVE, 0, ())))
-    third.roster.hear(third.clock(), older.me, false)
-    older.roster.hear(older.clock(), third.me, false)
+    false = UpdateBatch(
+        (MemberUpdate("n1", "a1", older.me.start, 0, DEAD, 0, ()), MemberUpdate("x", "x", 1, 0, ALIVE, 0, ()))
+    )
+    third.roster.receive(third.clock(), older.me, false)
+    older.roster.receive(older.clock(), third.me, false)
     faults = [node.roster.fault(node.clock()) for node in (older, newer, third)]
-    assert [type(fault) for fault in faults] == [ros.Replaced, ros.Twins, ros.Twins]
+    assert [type(fault) for fault in faults] == [
+        local_node.ReplacedError,
+        local_node.DuplicateNodeNameError,
+        local_node.DuplicateNodeNameError,
+    ]
     assert all(fault and fault.remedy for fault in faults) and not any(node.dead for node in net.up())
     assert {node.roster.start_of("n1") for node in net.up() if node is not older} == {newer.me.start}
     assert "x" not in third.states() and older.roster.members()["n1"].incarnation == 0
@@ -221,17 +241,17 @@
     return roster
 
 
-PEER = Rumour("peer", "p", 1, 0, ALIVE, 0, ())
+PEER = MemberUpdate("peer", "p", 1, 0, ALIVE, 0, ())
 
 
-def told(roster: Membership, rumour: Rumour) -> State | None:
-    roster.hear(0.0, Sender("peer", 1), Told((PEER, rumour)))
+def told(roster: Membership, rumour: MemberUpdate) -> MemberState | None:
+    roster.receive(0.0, Sender("peer", 1), UpdateBatch((PEER, rumour)))
     return roster.members()[rumour.name].state if rumour.name in roster.members() else None
 
 
 def test_old_deaths_are_no_news_and_are_forgotten(roster: Membership) -> None:
     for state, start, age, then in (
-        (DEAD, 3, int(ros.TOMB_NEWS) + 1, None),
+        (DEAD, 3, int(member_table.DEATH_NEWS_S) + 1, None),
         (DEAD, 3, 10, DEAD),
         (ALIVE, 3, 0, DEAD),
         (ALIVE, 4, 0, ALIVE),
@@ -239,9 +259,9 @@
         (DEAD, 4, 0, SUSPECT),  # by hearsay
         (DEAD, 5, 0, SUSPECT),
     ):
-        assert told(roster, Rumour("x", "ax", start, 0, state, age, ())) is then
-    assert told(roster, Rumour("y", "ay", 3, 0, DEAD, 10, ())) is DEAD
-    for now in range(int(ros.TOMB_SPAN) + 20):
+        assert told(roster, MemberUpdate("x", "ax", start, 0, state, age, ())) is then
+    assert told(roster, MemberUpdate("y", "ay", 3, 0, DEAD, 10, ())) is DEAD
+    for now in range(int(anti_entropy.DEAD_KEPT_S) + 20):
         roster.tick(float(now))
     assert "y" not in roster.members()
 
@@ -249,16 +269,16 @@
 def test_who_slept_longer_than_the_dead_are_remembered_tells_of_itself_and_joins_anew(
     roster: Membership,
 ) -> None:
-    told(roster, Rumour("x", "ax", 3, 0, ALIVE, 0, ()))
+    told(roster, MemberUpdate("x", "ax", 3, 0, ALIVE, 0, ()))
     roster.tick(0.0)
-    now, peer = ros.TOMB_SPAN + 10.0, Sender("peer", 1)
-    outs = roster.hear(now, peer, Ping(1, ())) + roster.tick(now)
-    outs += roster.hear(now, peer, Digest(bytes(256), ()))
-    assert {rumour.name for out in outs for rumour in out.message.told} == {"me"}
-    roster.hear(now, peer, Ack(0, (PEER,)))  # to what it asked before
-    assert roster.away(now)
-    roster.hear(now, peer, Ack(roster._seq, (PEER,)))
-    assert not roster.away(now) and list(roster.members()) == ["me", "peer"]
+    now, peer = anti_entropy.DEAD_KEPT_S + 10.0, Sender("peer", 1)
+    outs = roster.receive(now, peer, Ping(1, ())) + roster.tick(now)
+    outs += roster.receive(now, peer, Digest(bytes(256), ()))
+    assert {rumour.name for out in outs for rumour in out.message.updates} == {"me"}
+    roster.receive(now, peer, Ack(0, (PEER,)))  # to what it asked before
+    assert roster.is_away(now)
+    roster.receive(now, peer, Ack(roster.local.seq, (PEER,)))
+    assert not roster.is_away(now) and list(roster.members()) == ["me", "peer"]
 
 
 def test_time_in_which_a_node_did_not_look_is_nobodys_silence(roster: Membership) -> None:
@@ -274,7 +294,7 @@
 
 
 def test_a_suspected_node_is_asked_again_before_it_is_buried(roster: Membership) -> None:
-    told(roster, Rumour("x", "ax", 3, 0, SUSPECT, 0, ("me", "peer")))
+    told(roster, MemberUpdate("x", "ax", 3, 0, SUSPECT, 0, ("me", "peer")))
     outs = [out for tick in range(39) for out in roster.tick(tick / 10) if out.to == "x"]
     assert len({out.message.seq for out in outs if isinstance(out.message, Ping)}) > 4  # with two probes
     assert roster.members()["x"].state is SUSPECT
@@ -282,20 +302,25 @@
 
 def test_what_is_said_at_once_is_bounded_however_many_there_are_and_ask(roster: Membership) -> None:
     for number in range(200):
-        told(roster, Rumour(f"n{number}", "a", 3, 0, ALIVE, 0, ()))
-    outs = [out for _ in range(20) for out in roster.hear(0.0, Sender("peer", 1), Digest(bytes(256), ()))]
+        told(roster, MemberUpdate(f"n{number}", "a", 3, 0, ALIVE, 0, ()))
+    outs = [out for _ in range(20) for out in roster.receive(0.0, Sender("peer", 1), Digest(bytes(256), ()))]
     sizes = [len(msgspec.msgpack.encode(out.message)) for out in outs]
-    assert max(sizes) <= ros.GOSSIP_MOST + 300 and sum(sizes) <= ros.GOSSIP_RATE + 20 * 300
+    assert (
+        max(sizes) <= dissemination.GOSSIP_BYTES_MAX + 300
+        and sum(sizes) <= dissemination.GOSSIP_BYTES_PER_S + 20 * 300
+    )
 
 
 def test_a_greeting_is_answered_so_often_and_never_believed(roster: Membership) -> None:
     before = roster.members()
-    answers = [roster.hear_greeting(0.0, Sender(f"n{n}", 1), Hello(1)) for n in range(2 * ros.GREETED_MOST)]
-    assert sum(map(len, answers)) == ros.GREETED_MOST
-    assert roster.hear_greeting(2.0, Sender("n1", 1), Ping(1, ())) == []
-    assert roster.hear(2.0, Sender("n1", 1), Hello(1)) == []
-    [answer] = roster.hear_greeting(2.0, Sender("n1", 1), Hello(1))
-    assert isinstance(answer, ros.Welcome) and len(answer.told) == 1 and roster.members() == before
+    answers = [
+        roster.reply_to_join(0.0, Sender(f"n{n}", 1), Join(1)) for n in range(2 * joining.JOIN_REPLIES_PER_S)
+    ]
+    assert sum(map(len, answers)) == joining.JOIN_REPLIES_PER_S
+    assert roster.reply_to_join(2.0, Sender("n1", 1), Ping(1, ())) == []
+    assert roster.receive(2.0, Sender("n1", 1), Join(1)) == []
+    [answer] = roster.reply_to_join(2.0, Sender("n1", 1), Join(1))
+    assert isinstance(answer, JoinReply) and len(answer.updates) == 1 and roster.members() == before
 
 
 def sealed(start: int = 1, to: str = "b", to_start: int = 7, key: Key = KEYS[0]) -> bytes:
@@ -360,13 +385,17 @@
 
 
 ACCUSERS = st.sets(st.sampled_from("abcdef"), max_size=4).map(lambda names: tuple(sorted(names)))
-PLACES, STATES, TIMES = st.sampled_from(["a1", "a2"]), st.sampled_from(State), st.sampled_from([0.0, 1.0])
+PLACES, STATES, TIMES = (
+    st.sampled_from(["a1", "a2"]),
+    st.sampled_from(MemberState),
+    st.sampled_from([0.0, 1.0]),
+)
 FEW = st.integers(0, 1)
 RECORDS = st.builds(Member, st.just("x"), PLACES, FEW, FEW, STATES, TIMES, ACCUSERS)
 
 
 @given(RECORDS, RECORDS, RECORDS)
 def test_joining_records_is_commutative_associative_and_idempotent(a: Member, b: Member, c: Member) -> None:
-    assert join(a, b) == join(b, a) and join(a, a) == a
-    assert join(join(a, b), c) == join(a, join(b, c))
-    assert join(a, b).version == max(a.version, b.version)
+    assert merge(a, b) == merge(b, a) and merge(a, a) == a
+    assert merge(merge(a, b), c) == merge(a, merge(b, c))
+    assert merge(a, b).version == max(a.version, b.version)
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -27,9 +27,9 @@
 from notchjunction.discovery import endpoint_list
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.emulator.scenario import Kind as ServerFault
-from notchjunction.fleet import membership
 from notchjunction.fleet.agent import DECODER, ENCODER, FleetAgent, read_section
 from notchjunction.fleet.envelope import Envelope, Key, Sender
+from notchjunction.fleet.membership import messages as membership
 from notchjunction.fleet.quotas import messages as quota_messages
 from notchjunction.fleet.quotas.phase import Phase
 from notchjunction.http1.parser import AnswerReader, RequestReader
@@ -86,29 +86,29 @@
 
 
 RUMOURS = tuple(
-    membership.Rumour(
+    membership.MemberUpdate(
         name=f"n{state}",
         address=f"10.0.0.{state}:7000",
         start=11 + state,
         incarnation=21 + state,
-        state=membership.State(state),
+        state=membership.MemberState(state),
         age=31 + state,
-        by=by,
+        accusers=by,
     )
     for state, by in enumerate(((), ("n5", "n6"), (), ("n7",)))
 )
 SUMS = bytes(range(256))
 # In the fixture's order; by the names of their fields, so that none changes its place unnoticed.
 MESSAGES: list[tuple[int, Any]] = [
-    (1, membership.Hello(seq=1)),
-    (2, membership.Welcome(seq=2, told=RUMOURS)),
-    (3, membership.Ping(seq=3, told=RUMOURS[:1])),
-    (4, membership.Ack(seq=4, told=RUMOURS[1:2])),
-    (5, membership.PingFor(seq=5, name="n9", told=RUMOURS[2:3])),
-    (6, membership.Nack(seq=6, told=RUMOURS[3:])),
-    (7, membership.Digest(sums=SUMS, told=RUMOURS)),
-    (8, membership.Differences(sums=SUMS[::-1], told=())),
-    (9, membership.Told(told=RUMOURS)),
+    (1, membership.Join(seq=1)),
+    (2, membership.JoinReply(seq=2, updates=RUMOURS)),
+    (3, membership.Ping(seq=3, updates=RUMOURS[:1])),
+    (4, membership.Ack(seq=4, updates=RUMOURS[1:2])),
+    (5, membership.IndirectPing(seq=5, name="n9", updates=RUMOURS[2:3])),
+    (6, membership.Nack(seq=6, updates=RUMOURS[3:])),
+    (7, membership.Digest(sums=SUMS, updates=RUMOURS)),
+    (8, membership.Differences(sums=SUMS[::-1], updates=())),
+    (9, membership.UpdateBatch(updates=RUMOURS)),
     (20, quota_messages.LeaseRequest(quota="payments", serial=41, round=42, count=43)),
     (21, quota_messages.LeaseGrant(quota="payments", serial=51, round=52, count=53, term=54.5)),
     (22, quota_messages.LeaseDenial(quota="payments", serial=61, retry_after=0.25)),
@@ -134,7 +134,7 @@
 
 
 def test_numbers_that_the_fleet_says_for_states_and_phases() -> None:
-    assert {state.name.lower(): int(state) for state in membership.State} == {
+    assert {state.name.lower(): int(state) for state in membership.MemberState} == {
         "alive": 0,
         "suspect": 1,
         "dead": 2,
