--- a/notchjunction/fleet/agent.py
+++ b/notchjunction/fleet/agent.py
@@ -13,7 +13,7 @@
 import msgspec
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet.envelope import Envelope, Key, Malformed, Out, Sender
+from notchjunction.fleet.envelope import Envelope, Key, MalformedError, Out, Sender
 from notchjunction.fleet.membership import messages as membership_messages
 from notchjunction.fleet.membership.membership import Membership
 from notchjunction.fleet.quotas import messages as quota_messages
@@ -105,12 +105,12 @@
 
     def renew(self, now: float, told: FleetConfig) -> None:
         """Other keys and limits from now on; a FleetError where the limits can't be taken yet."""
-        self.envelope.renew(told.keys)
+        self.envelope.replace_keys(told.keys)
         try:
             self.limits.apply_plans(now, told.plans)
         except FleetError:
             # Guards against half a file in force.
-            self.envelope.renew(self._keys)
+            self.envelope.replace_keys(self._keys)
             raise
         self._keys = told.keys
 
@@ -132,9 +132,11 @@
             messages = DECODER.decode(opened.payload)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             what = f"{opened.sender.name} says what can't be read: {error}"
-            raise Malformed(what, "a datagram", "run one release on all nodes, or two that follow") from error
+            raise MalformedError(
+                what, "a datagram", "run one release on all nodes, or two that follow"
+            ) from error
         sender = opened.sender
-        if opened.greeting:
+        if opened.is_join:
             answers = [each for message in messages for each in self._greeted(now, sender, message)]
             sealed = (
                 self.envelope.seal(sender.name, sender.start, ENCODER.encode([each])) for each in answers
@@ -168,7 +170,7 @@
             if address is None or not start:
                 self.unknown_peers += len(messages)
                 continue
-            room = self.envelope.room(name) - LIST_BYTES
+            room = self.envelope.payload_max(name) - LIST_BYTES
             piece: list[msgspec.Raw] = []
             size = 0
             for message in messages:
--- a/notchjunction/fleet/membership/messages.py
+++ b/notchjunction/fleet/membership/messages.py
@@ -7,7 +7,7 @@
 
 import msgspec
 
-from notchjunction.fleet.envelope import NAME_MOST
+from notchjunction.fleet.envelope import NAME_BYTES_MAX
 
 CONFIRMATIONS_MAX = 3  # others that share a suspicion until the shortest timeout holds; more add nothing
 DIGEST_PARTS = 64  # of 200 nodes a few records each, and 256 bytes in all
@@ -24,7 +24,7 @@
     LEFT = 3
 
 
-Name = Annotated[str, msgspec.Meta(max_length=NAME_MOST)]
+Name = Annotated[str, msgspec.Meta(max_length=NAME_BYTES_MAX)]
 Natural = Annotated[int, msgspec.Meta(ge=0, le=2**62)]  # leaves numbers above to refute with
 Checksums = Annotated[
     bytes,
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -23,7 +23,7 @@
 from notchjunction.emulator.trace import Answered, Final
 from notchjunction.errors import FleetError
 from notchjunction.fleet.agent import FleetAgent, read_section
-from notchjunction.fleet.envelope import Forged, Malformed
+from notchjunction.fleet.envelope import ForgedError, MalformedError
 from notchjunction.fleet.quotas import quotas
 from notchjunction.net import fleet_transport
 from notchjunction.node.node import Node
@@ -141,7 +141,7 @@
 
 @pytest.mark.parametrize(
     ("spoil", "error"),
-    [(lambda data: data[:-1] + bytes([data[-1] ^ 1]), Forged), (lambda data: data[:20], Malformed)],
+    [(lambda data: data[:-1] + bytes([data[-1] ^ 1]), ForgedError), (lambda data: data[:20], MalformedError)],
 )
 def test_what_is_not_under_seal_is_refused_with_what_to_do(
     spoil: Callable[[bytes], bytes], error: type[FleetError]
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -83,7 +83,7 @@
         except FleetError as error:
             return self.refused.append(error)
         message = DECODER.decode(opened.payload)
-        if not opened.greeting:
+        if not opened.is_join:
             return self.say(self.roster.receive(self.clock(), opened.sender, message))
         for answer in self.roster.reply_to_join(self.clock(), opened.sender, message):
             self.net.post(self, source, opened.sender, answer)
@@ -328,17 +328,17 @@
 
 
 REFUSED: dict[str, tuple[type[FleetError], bytes]] = {
-    "forged": (env.Forged, sealed()[:-1] + b"!"),
-    "cut": (env.Forged, sealed()[:-1]),
-    "cut short": (env.Malformed, sealed()[:20]),
-    "oversized": (env.Oversized, sealed() + bytes(env.MOST)),
-    "other version": (env.UnknownVersion, b"\x09" + sealed()[1:]),
-    "other key": (env.UnknownKey, sealed(key=Key(2, b"k" * 16))),
-    "changed key": (env.Forged, sealed(key=Key(1, b"c" * 16))),
-    "other name": (env.NotForMe, sealed(to="c")),
-    "earlier start of the receiver": (env.NotForMe, sealed(to_start=6)),
-    "earlier start of the sender": (env.Replayed, sealed(start=0)),
-    "again": (env.Replayed, sealed()),
+    "forged": (env.ForgedError, sealed()[:-1] + b"!"),
+    "cut": (env.ForgedError, sealed()[:-1]),
+    "cut short": (env.MalformedError, sealed()[:20]),
+    "oversized": (env.OversizedError, sealed() + bytes(env.DATAGRAM_BYTES_MAX)),
+    "other version": (env.UnknownVersionError, b"\x09" + sealed()[1:]),
+    "other key": (env.UnknownKeyError, sealed(key=Key(2, b"k" * 16))),
+    "changed key": (env.ForgedError, sealed(key=Key(1, b"c" * 16))),
+    "other name": (env.NotForMeError, sealed(to="c")),
+    "earlier start of the receiver": (env.NotForMeError, sealed(to_start=6)),
+    "earlier start of the sender": (env.ReplayedError, sealed(start=0)),
+    "again": (env.ReplayedError, sealed()),
 }
 
 
@@ -353,15 +353,15 @@
 
 def test_order_may_change_within_the_window_and_senders_are_bounded() -> None:
     sender, receiver = Envelope(Sender("a", 1), KEYS), Envelope(Sender("b", 7), KEYS)
-    data = [sender.seal("b", 7, b"") for _ in range(env.WINDOW + 2)]
-    assert [receiver.open(data[at]).greeting for at in (1, -1, 2)] == [False] * 3
+    data = [sender.seal("b", 7, b"") for _ in range(env.REPLAY_WINDOW + 2)]
+    assert [receiver.open(data[at]).is_join for at in (1, -1, 2)] == [False] * 3
     for at in (0, 1, 2, -1):
-        with pytest.raises(env.Replayed):
+        with pytest.raises(env.ReplayedError):
             receiver.open(data[at])
-    assert [receiver.open(greeting).greeting for greeting in [sender.seal("", 0, b"")] * 2] == [True, True]
+    assert [receiver.open(greeting).is_join for greeting in [sender.seal("", 0, b"")] * 2] == [True, True]
     sender._sequence = 1 << 62  # as one that lies
     receiver.open(sender.seal("b", 7, b""))
-    for number in range(env.SENDERS_MOST):
+    for number in range(env.SENDERS_MAX):
         receiver.open(Envelope(Sender(f"n{number}", 1), KEYS).seal("b", 7, b""))
     assert receiver.open(data[-1])  # what forgetting costs
 
@@ -369,17 +369,17 @@
 def test_what_can_not_be_sealed_is_refused_and_a_rolling_change_of_keys_loses_nothing() -> None:
     net = Net(5)
     new, sealing = Key(2, b"n" * 16), net.places["a0"].envelope
-    room = sealing.room("b")
-    assert len(sealing.seal("b", 7, bytes(room))) == env.MOST
-    for refused, to, size in ((env.Oversized, "b", room + 1), (env.Malformed, "n" * 65, 0)):
+    room = sealing.payload_max("b")
+    assert len(sealing.seal("b", 7, bytes(room))) == env.DATAGRAM_BYTES_MAX
+    for refused, to, size in ((env.OversizedError, "b", room + 1), (env.MalformedError, "n" * 65, 0)):
         with pytest.raises(refused):
             sealing.seal(to, 7, bytes(size))
     for keys in ([], [Key(1, b"short")], [*KEYS, *KEYS], [Key(1 << 16, b"k" * 16)]):
-        with pytest.raises(env.UnusableKeys):
-            sealing.renew(keys)
+        with pytest.raises(env.UnusableKeysError):
+            sealing.replace_keys(keys)
     for keys in ([*KEYS, new], [new, *KEYS], [new]):
         for node in net.up():
-            node.envelope.renew(keys)
+            node.envelope.replace_keys(keys)
             net.run(0.3)
     assert not any(node.refused for node in net.up())
 
