--- a/notchjunction/fleet/agent.py
+++ b/notchjunction/fleet/agent.py
@@ -13,11 +13,12 @@
 import msgspec
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet import membership as roster_module
-from notchjunction.fleet import quotas as limits_module
-from notchjunction.fleet.envelope import Envelope, Key, Malformed, Out, Sender
-from notchjunction.fleet.membership import Membership
-from notchjunction.fleet.quotas import Plan, Quotas, Split
+from notchjunction.fleet.envelope import Envelope, Key, MalformedError, Out, Sender
+from notchjunction.fleet.membership import messages as membership_messages
+from notchjunction.fleet.membership.membership import Membership
+from notchjunction.fleet.quotas import messages as quota_messages
+from notchjunction.fleet.quotas.plan import Plan, Split
+from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
 
 LIST_BYTES = 5  # of a list's own head in msgpack, at most
 ROSTER_EVERY = 0.1  # s between looks at who is there; a tenth of the time between two probes
@@ -25,7 +26,7 @@
     0.01  # part by which clocks may run off where the file does not say; a hundred times that of plain quartz
 )
 
-Message = roster_module.Message | limits_module.Message
+Message = membership_messages.Message | quota_messages.Message
 DECODER = msgspec.msgpack.Decoder(list[Message])
 ENCODER = msgspec.msgpack.Encoder()
 
@@ -97,19 +98,19 @@
         me = Sender(name, start)
         self.envelope = Envelope(me, told.keys)
         self.roster = Membership(me, told.advertise, told.seeds, seed)
-        self.limits = Quotas(me, told.plans, told.drift, longest, seed, now)
+        self.limits = Quotas(me, told.plans, LeaseTiming(told.drift, longest), seed, now)
         self.unknown_peers = 0  # messages for nodes that are not known to be there
         self._roster_at = now
         self._keys = told.keys
 
     def renew(self, now: float, told: FleetConfig) -> None:
         """Other keys and limits from now on; a FleetError where the limits can't be taken yet."""
-        self.envelope.renew(told.keys)
+        self.envelope.replace_keys(told.keys)
         try:
-            self.limits.replan(now, told.plans)
+            self.limits.apply_plans(now, told.plans)
         except FleetError:
             # Guards against half a file in force.
-            self.envelope.renew(self._keys)
+            self.envelope.replace_keys(self._keys)
             raise
         self._keys = told.keys
 
@@ -120,7 +121,7 @@
         if now >= self._roster_at:
             self._roster_at = now + ROSTER_EVERY
             outs += self.roster.tick(now)
-            for address, hello in self.roster.greet(now):
+            for address, hello in self.roster.due_joins(now):
                 found.append(Datagram(address, self.envelope.seal("", 0, ENCODER.encode([hello]))))
         return found + self.packed(outs)
 
@@ -131,9 +132,11 @@
             messages = DECODER.decode(opened.payload)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
             what = f"{opened.sender.name} says what can't be read: {error}"
-            raise Malformed(what, "a datagram", "run one release on all nodes, or two that follow") from error
+            raise MalformedError(
+                what, "a datagram", "run one release on all nodes, or two that follow"
+            ) from error
         sender = opened.sender
-        if opened.greeting:
+        if opened.is_join:
             answers = [each for message in messages for each in self._greeted(now, sender, message)]
             sealed = (
                 self.envelope.seal(sender.name, sender.start, ENCODER.encode([each])) for each in answers
@@ -141,17 +144,17 @@
             return [Datagram(source, data) for data in sealed]
         outs: list[Out] = []
         for message in messages:
-            if isinstance(message, limits_module.Message):
-                outs += self.limits.hear(now, sender, message)
+            if isinstance(message, quota_messages.Message):
+                outs += self.limits.receive(now, sender, message)
             else:
-                outs += self.roster.hear(now, sender, message)
+                outs += self.roster.receive(now, sender, message)
         return self.packed(outs)
 
     def _greeted(self, now: float, sender: Sender, message: Message) -> Iterable[Message]:
         # Guards against rights asked for or given by what may be heard again without bound.
-        if isinstance(message, limits_module.Message):
+        if isinstance(message, quota_messages.Message):
             return ()
-        return self.roster.hear_greeting(now, sender, message)
+        return self.roster.reply_to_join(now, sender, message)
 
     def leave(self, now: float) -> list[Datagram]:
         return self.packed(self.roster.leave(now))
@@ -167,7 +170,7 @@
             if address is None or not start:
                 self.unknown_peers += len(messages)
                 continue
-            room = self.envelope.room(name) - LIST_BYTES
+            room = self.envelope.payload_max(name) - LIST_BYTES
             piece: list[msgspec.Raw] = []
             size = 0
             for message in messages:
