--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -102,12 +102,12 @@
 
 
 class Balancer:
-    def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
+    def __init__(self, settings: BalancerSettings, host: BalancerHost) -> None:
         self._host = host
-        self._random = Random(terms.seed)
-        self._servers: dict[int, Endpoint] = {}
-        self._barred: dict[int, float] = {}
-        self._ready: list[Endpoint] = []
+        self._random = Random(settings.seed)
+        self._endpoints: dict[int, Endpoint] = {}
+        self._banned: dict[int, float] = {}
+        self._active: list[Endpoint] = []
         # Of the ready ones, those that a look at all of them would find: a large fleet has few such.
         self._cold: list[Endpoint] = []  # may still be cold
         self._linked_lately: dict[Endpoint, None] = {}  # may have an open connection of this node
@@ -118,176 +118,195 @@
         self._owed: list[Endpoint] = []
         self._pool: deque[Endpoint] = deque(maxlen=POOL_MOST)
         self._ends: deque[RecentOutcome] = deque(maxlen=LAST_ALL)
-        self._held: dict[int, PendingRequest] = {}
-        self._flying: dict[tuple[int, int], Attempt] = {}
+        self._pending: dict[int, PendingRequest] = {}
+        self._in_flight: dict[tuple[int, int], Attempt] = {}
         self._queue: list[PendingRequest] = []
         self._firsts: deque[tuple[float]] = deque()
         self._retries: deque[tuple[float]] = deque()
         self._recent: deque[Attempt] = deque()
         self._own: deque[tuple[float, RecentOutcome]] = deque(maxlen=TOLD_MOST)
         self._notes: deque[tuple[float]] = deque()
-        self._clearing, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
+        self._throughput, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
         self._links: deque[tuple[float, bool]] = deque(maxlen=LAST_FEW)
-        self._spent: dict[int, deque[float]] = {}
-        self._lefts: dict[int, deque[tuple[float, bool]]] = {}
-        self.settings_changed(terms, dict(enumerate(terms.request_classes)))
+        self._latencies: dict[int, deque[float]] = {}
+        self._times_left: dict[int, deque[tuple[float, bool]]] = {}
+        self.settings_changed(settings, dict(enumerate(settings.request_classes)))
         self._unprobed = self._failures = self._owns = self._token = self._warm = self._able = 0
         self._odd_probe = self._turn_due = False
         self._timers: dict[int, Callable[[], None]] = {}
         self._usual_until, self._usual_now = -math.inf, TypicalLatencies(1.0, 1.0, 0.001)
         self._passed_over: list[Endpoint] = []
-        if terms.polls_list:
+        if settings.polls_list:
             host.poll_list()
         self._after(self._random.uniform(0, PROBE_SPAN), self._probe_on)
 
     # What the host calls.
 
-    def gossip_received(self, told: Sequence[PeerOutcome]) -> None:
+    def gossip_received(self, outcomes: Sequence[PeerOutcome]) -> None:
         """Outcomes that a peer tells of: they make this node careful, and open or prove nothing."""
         now = self._host.now()
         self._notes.append((now,))
-        for word in told:
-            server, at = self._servers.get(word.endpoint), now - word.age
+        for peer_outcome in outcomes:
+            endpoint, at = self._endpoints.get(peer_outcome.endpoint), now - peer_outcome.age
             # Guards against judging a server by what it was before its start, or by older than own news.
             if (
-                server is None
-                or word.age > TOLD_SPAN
-                or at <= max(server.entry.started_at, server.last_own_outcome_at)
+                endpoint is None
+                or peer_outcome.age > TOLD_SPAN
+                or at <= max(endpoint.entry.started_at, endpoint.last_own_outcome_at)
             ):
                 continue
-            if word.success:
-                server.last_response_at = max(server.last_response_at, at)
-                self._clearing.record_latency(word.seconds, now)
-            self._learned(server, word.success, word.seconds, now)
+            if peer_outcome.success:
+                endpoint.last_response_at = max(endpoint.last_response_at, at)
+                self._throughput.record_latency(peer_outcome.seconds, now)
+            self._learned(endpoint, peer_outcome.success, peer_outcome.seconds, now)
 
-    def _tell_on(self, server: Endpoint, good: bool, seconds: float, now: float) -> None:
-        self._own.appendleft((now, RecentOutcome(server, good, seconds)))
+    def _tell_on(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
+        self._own.appendleft((now, RecentOutcome(endpoint, good, seconds)))
         self._owns += 1
-        if self._terms.gossips and self._terms.node_count > 1:
-            peer = self._random.randrange(self._terms.node_count - 1)
-            told = [
+        if self._settings.gossips and self._settings.node_count > 1:
+            peer = self._random.randrange(self._settings.node_count - 1)
+            outcomes = [
                 PeerOutcome(end.endpoint.entry.number, now - at, end.success, end.latency)
                 for at, end in self._own
             ]
-            self._host.send_gossip(peer + (peer >= self._terms.node_index), self._owns, told)
+            self._host.send_gossip(peer + (peer >= self._settings.node_index), self._owns, outcomes)
 
-    def settings_changed(self, terms: BalancerSettings, profiles: Mapping[int, RequestClass]) -> None:
+    def settings_changed(
+        self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
+    ) -> None:
         """The terms for what comes from now on; what was learned of servers stays."""
-        self._terms = terms
-        self._profiles = dict(profiles)
-        self._deepest = terms.tier is not None and terms.tier == terms.tier_count - 1
-        tiers_left = terms.tier_count - terms.tier if terms.tier is not None else 1
-        self._hold_share = HOLD_SHARE * tiers_left / max(1, terms.tier_count)
+        self._settings = settings
+        self._request_classes = dict(request_classes)
+        self._deepest = settings.tier is not None and settings.tier == settings.tier_count - 1
+        tiers_left = settings.tier_count - settings.tier if settings.tier is not None else 1
+        self._hold_share = HOLD_SHARE * tiers_left / max(1, settings.tier_count)
         # The first tier alone: what a deeper one turns away has had work spent on it above.
-        self._calm_times = math.inf if terms.tier else CALM_TIMES
-        self._young_share = YOUNG_SHARE * tiers_left / max(1, terms.tier_count)
-        self._quotas = () if terms.tier else terms.tenant_quotas  # the first tier's matter
+        self._calm_times = math.inf if settings.tier else CALM_TIMES
+        self._young_share = YOUNG_SHARE * tiers_left / max(1, settings.tier_count)
+        self._quotas = () if settings.tier else settings.tenant_quotas  # the first tier's matter
         self._asked: list[deque[tuple[float]]] = [deque() for _ in self._quotas]
         self._revenue = (
-            sum(profile.priority_weight for profile in profiles.values()) / max(1, len(profiles)) or 1.0
+            sum(request_class.priority_weight for request_class in request_classes.values())
+            / max(1, len(request_classes))
+            or 1.0
+        )
+        self._contract = min(
+            (request_class.latency_objective for request_class in request_classes.values()), default=1.0
         )
-        self._contract = min((profile.latency_objective for profile in profiles.values()), default=1.0)
         # Guards against a contract time that ends before several usual ones.
-        self._patience_most = OVERDUE_SHARE * self._contract if terms.sidecar else math.inf
+        self._patience_most = OVERDUE_SHARE * self._contract if settings.sidecar else math.inf
         self._find_cold()
-        self._near_slack = 1.0 + NEAR_WORTH * terms.cross_zone_cost
-        self._guard = GUARD_TICKS * terms.tick
+        self._near_slack = 1.0 + NEAR_WORTH * settings.cross_zone_cost
+        self._guard = GUARD_TICKS * settings.tick
         # What was learned of a profile goes with it; a job that is held still knows its own.
-        self._spent = {index: self._spent.get(index, deque(maxlen=16)) for index in profiles}
-        self._lefts = {index: self._lefts.get(index, deque(maxlen=32)) for index in profiles}
+        self._latencies = {index: self._latencies.get(index, deque(maxlen=16)) for index in request_classes}
+        self._times_left = {index: self._times_left.get(index, deque(maxlen=32)) for index in request_classes}
 
-    def request_arrived(self, job: NewRequest) -> None:
+    def request_arrived(self, request: NewRequest) -> None:
         now = self._host.now()
-        profile = self._profiles.get(job.request_class, UNKNOWN_PROFILE)
-        age = self._age(job, profile, now)
-        contract_end = now - age + min(profile.latency_objective, profile.deadline)
+        request_class = self._request_classes.get(request.request_class, UNKNOWN_PROFILE)
+        age = self._age(request, request_class, now)
+        contract_end = now - age + min(request_class.latency_objective, request_class.deadline)
         past_share, key = (
-            self._past_share(job.tenant, now),
-            job.affinity_key if self._terms.key_affinity else "",
+            self._past_share(request.tenant, now),
+            request.affinity_key if self._settings.key_affinity else "",
         )
-        most, end = self._terms.max_attempts, now + job.time_left
-        held = PendingRequest(
-            job.id, job.request_class, profile, most, now, contract_end, end, past_share, job.complete, key
+        most, end = self._settings.max_attempts, now + request.time_left
+        pending = PendingRequest(
+            request.id,
+            request.request_class,
+            request_class,
+            most,
+            now,
+            contract_end,
+            end,
+            past_share,
+            request.complete,
+            key,
         )
-        self._held[job.id] = held
-        if job.complete:
-            self._count_time(held, now)
-        self._step(held, RequestEvent.ARRIVED)
+        self._pending[request.id] = pending
+        if request.complete:
+            self._count_time(pending, now)
+        self._step(pending, RequestEvent.ARRIVED)
 
-    def _count_time(self, held: PendingRequest, now: float) -> None:
+    def _count_time(self, pending: PendingRequest, now: float) -> None:
         # Guards against a job left unanswered when nothing else happens before its abandon time.
-        left = held.deadline_at - now
+        left = pending.deadline_at - now
         self._after(
-            max(left - self._guard, left / 2), lambda: self._tell(held.id, RequestEvent.DEADLINE_NEAR)
+            max(left - self._guard, left / 2), lambda: self._tell(pending.id, RequestEvent.DEADLINE_NEAR)
         )
 
-    def body_completed(self, job: int, most: float = math.inf) -> None:
+    def body_completed(self, request: int, most: float = math.inf) -> None:
         """A large job's last byte has come: its time and load count from now, and it is not sent again."""
-        held, now = self._held.get(job), self._host.now()
-        if held is not None and not held.complete:
-            held.objective_at += now - held.arrived_at
-            held.deadline_at = min(held.deadline_at + now - held.arrived_at, now + most)
-            held.complete, held.max_attempts = True, 0
-            for dispatch in held.attempts:
-                if dispatch.in_flight:
-                    self._fly(dispatch, now)
-            self._count_time(held, now)
+        pending, now = self._pending.get(request), self._host.now()
+        if pending is not None and not pending.complete:
+            pending.objective_at += now - pending.arrived_at
+            pending.deadline_at = min(pending.deadline_at + now - pending.arrived_at, now + most)
+            pending.complete, pending.max_attempts = True, 0
+            for attempt in pending.attempts:
+                if attempt.in_flight:
+                    self._fly(attempt, now)
+            self._count_time(pending, now)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
-        dispatch = self._flying.pop((outcome.request, outcome.attempt), None)
-        if dispatch is None:
+        attempt = self._in_flight.pop((outcome.request, outcome.attempt), None)
+        if attempt is None:
             return
         now = self._host.now()
-        dispatch.in_flight = False
-        dispatch.may_have_run = outcome.result not in NEVER_RAN
-        self._landed(dispatch)
+        attempt.in_flight = False
+        attempt.may_have_run = outcome.result not in NEVER_RAN
+        self._landed(attempt)
         if outcome.result not in UNHEARD:
-            dispatch.endpoint.last_response_at = now
-        self._noted_link(dispatch, outcome.result, now)
+            attempt.endpoint.last_response_at = now
+        self._noted_link(attempt, outcome.result, now)
         if outcome.load is not None:
-            self._answered(dispatch.endpoint, outcome.load, now)
-        ours = dispatch.cancelled_for_retry or now - dispatch.sent_at >= dispatch.latency_objective
-        if self._terms.sidecar and outcome.result is AttemptResult.CANCELLED and ours:
+            self._answered(attempt.endpoint, outcome.load, now)
+        ours = attempt.cancelled_for_retry or now - attempt.sent_at >= attempt.latency_objective
+        if self._settings.sidecar and outcome.result is AttemptResult.CANCELLED and ours:
             # Guards against judging by quick jobs alone: what the node recalls for its time has timed out.
-            outcome = replace(outcome, result=AttemptResult.TIMED_OUT, seconds=now - dispatch.sent_at)
-        self._judge(dispatch.endpoint, outcome, now)
-        held = self._held.get(outcome.request)
-        if outcome.result is AttemptResult.SUCCEEDED and not dispatch.response_started:
-            self._cleared(held, dispatch, outcome.seconds, now)
-        if held is not None:
-            held.max_attempts = 0 if outcome.unrepeatable else held.max_attempts
+            outcome = replace(outcome, result=AttemptResult.TIMED_OUT, seconds=now - attempt.sent_at)
+        self._judge(attempt.endpoint, outcome, now)
+        pending = self._pending.get(outcome.request)
+        if outcome.result is AttemptResult.SUCCEEDED and not attempt.response_started:
+            self._cleared(pending, attempt, outcome.seconds, now)
+        if pending is not None:
+            pending.max_attempts = 0 if outcome.unrepeatable else pending.max_attempts
             if outcome.final:
-                self._step(held, RequestEvent.COMPLETED)
+                self._step(pending, RequestEvent.COMPLETED)
             else:
                 owned = OWNED_DEEPEST if self._deepest else OWNED_ANYWHERE
-                fault = outcome.result in owned or dispatch.cancelled_for_retry
-                self._step(held, RequestEvent.ENDPOINT_FAULT if fault else RequestEvent.OTHER_FAILURE)
+                fault = outcome.result in owned or attempt.cancelled_for_retry
+                self._step(pending, RequestEvent.ENDPOINT_FAULT if fault else RequestEvent.OTHER_FAILURE)
         self._turn()
 
-    def _cleared(self, held: PendingRequest | None, dispatch: Attempt, seconds: float, now: float) -> None:
+    def _cleared(self, pending: PendingRequest | None, attempt: Attempt, seconds: float, now: float) -> None:
         """A server has done a job: what the room and the usual times are worked out from."""
-        self._clearing.record_success(dispatch.latency_objective, seconds, now)
+        self._throughput.record_success(attempt.latency_objective, seconds, now)
         # Guards against budgets learned from what dead or overdriven servers refuse, as clients come again.
-        self._take.record_success(self._warm, max(1, len(self._ready)))
-        if held is not None and held.class_number in self._spent:
-            self._spent[held.class_number].append(seconds)
-
-    def response_started(self, job: int, dispatch: int) -> None:
-        held, flight, now = self._held.get(job), self._flying.get((job, dispatch)), self._host.now()
+        self._take.record_success(self._warm, max(1, len(self._active)))
+        if pending is not None and pending.class_number in self._latencies:
+            self._latencies[pending.class_number].append(seconds)
+
+    def response_started(self, request: int, attempt: int) -> None:
+        pending, flight, now = (
+            self._pending.get(request),
+            self._in_flight.get((request, attempt)),
+            self._host.now(),
+        )
         if flight is not None and not flight.response_started:
             # Its server has done the job: what remains is the way, as slow as the caller reads.
             flight.response_started, flight.endpoint.last_response_at = True, now
             self._landed(flight)
-            self._cleared(held, flight, now - flight.sent_at, now)
-        if held is not None:
-            self._recall_all(held, dispatch)  # the answer that has begun is the final one
-        self._tell(job, RequestEvent.RESPONSE_STARTED)
+            self._cleared(pending, flight, now - flight.sent_at, now)
+        if pending is not None:
+            self._recall_all(pending, attempt)  # the answer that has begun is the final one
+        self._tell(request, RequestEvent.RESPONSE_STARTED)
 
-    def request_cancelled(self, job: int) -> None:
-        self._tell(job, RequestEvent.CLIENT_CANCELLED)
+    def request_cancelled(self, request: int) -> None:
+        self._tell(request, RequestEvent.CLIENT_CANCELLED)
 
-    def probe_ended(self, server: int, result: AttemptResult, load: LoadReport | None) -> None:
-        now, known = self._host.now(), self._servers.get(server)
+    def probe_ended(self, endpoint: int, result: AttemptResult, load: LoadReport | None) -> None:
+        now, known = self._host.now(), self._endpoints.get(endpoint)
         if known is None:
             return
         waited = now - known.probe_sent_at if known.probe_sent_at is not None else -math.inf
@@ -304,76 +323,80 @@
     def timer_fired(self, token: int) -> None:
         self._timers.pop(token, lambda: None)()
 
-    def list_updated(self, news: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
-        if news is ListUpdate.FAILED:
+    def list_updated(self, update: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
+        if update is ListUpdate.FAILED:
             self._failures += 1
             # Guards against all nodes asking a troubled list service again at the same moment.
-            most = self._terms.poll_interval / 4 or math.inf
+            most = self._settings.poll_interval / 4 or math.inf
             self._after(renewal_pause(self._failures, self._random, most), self._host.poll_list)
             return
         self._failures = 0
-        if news is not ListUpdate.CHANGES:
+        if update is not ListUpdate.CHANGES:
             named = {entry.number for entry in entries}
-            self._servers = {index: known for index, known in self._servers.items() if index in named}
+            self._endpoints = {index: known for index, known in self._endpoints.items() if index in named}
         for entry in entries:
             self._enter(entry)
-        self._barred = {server: since for server, since in self._barred.items() if server in self._servers}
+        self._banned = {
+            endpoint: since for endpoint, since in self._banned.items() if endpoint in self._endpoints
+        }
         self._count_ready()
 
-    def ban_changed(self, server: int, out: bool) -> None:
+    def ban_changed(self, endpoint: int, out: bool) -> None:
         """An operator takes a server out of use or gives it back; the list has no say in that."""
-        now, known = self._host.now(), self._servers.get(server)
+        now, known = self._host.now(), self._endpoints.get(endpoint)
         if out:
-            self._barred.setdefault(server, now)
-        elif (since := self._barred.pop(server, None)) is not None and known is not None:
+            self._banned.setdefault(endpoint, now)
+        elif (since := self._banned.pop(endpoint, None)) is not None and known is not None:
             # Guards against judging it by what it was before: it was very likely restarted meanwhile.
             start = known.entry.started_at if known.entry.started_at > since else now
             known = self._fresh(replace(known.entry, started_at=start))
             known.banned_since, known.awaits_first_attempt = since, True
-            if self._terms.probes:
+            if self._settings.probes:
                 self._ask(known)
         self._count_ready()
 
     def export_state(self) -> dict[str, Any]:
         """What was learned so far, for a process that follows this one; servers and profiles by number."""
         now = self._host.now()
-        servers = {index: server.export_state(now) for index, server in self._servers.items()}
-        spent = {index: list(times) for index, times in self._spent.items()}
-        return {"clearing": self._clearing.export_state(now), "servers": servers, "spent": spent}
+        endpoints = {index: endpoint.export_state(now) for index, endpoint in self._endpoints.items()}
+        spent = {index: list(times) for index, times in self._latencies.items()}
+        return {"clearing": self._throughput.export_state(now), "servers": endpoints, "spent": spent}
 
-    def restore_state(self, lessons: Mapping[str, Any]) -> None:
+    def restore_state(self, learned_state: Mapping[str, Any]) -> None:
         now = self._host.now()
-        self._clearing.restore_state(lessons["clearing"], now)
-        for index, known in lessons["servers"].items():
-            self._servers[index].restore_state(known, now)
-            self._resting[self._servers[index]] = None
-            self._waited.append((now, self._servers[index]))
-        for index, times in lessons["spent"].items():
-            self._spent[index].extend(float(seconds) for seconds in times)
+        self._throughput.restore_state(learned_state["clearing"], now)
+        for index, known in learned_state["servers"].items():
+            self._endpoints[index].restore_state(known, now)
+            self._resting[self._endpoints[index]] = None
+            self._waited.append((now, self._endpoints[index]))
+        for index, times in learned_state["spent"].items():
+            self._latencies[index].extend(float(seconds) for seconds in times)
 
     def _count_ready(self) -> None:
         self._usual_until = -math.inf  # its counts are of the servers before this news
         # Kept between news: going through a large fleet for each job costs more than all its decisions.
-        self._ready = [server for server in self._servers.values() if self._is_open(server)]
-        self._owed = [server for server in self._ready if server.awaits_first_attempt]
+        self._active = [endpoint for endpoint in self._endpoints.values() if self._is_open(endpoint)]
+        self._owed = [endpoint for endpoint in self._active if endpoint.awaits_first_attempt]
         self._find_cold()
         # Guards against growing with every server that ever was.
-        self._linked_lately = {server: None for server in self._linked_lately if self._is_known(server)}
-        known = (server for server in self._pool if self._servers.get(server.entry.number) is server)
+        self._linked_lately = {endpoint: None for endpoint in self._linked_lately if self._is_known(endpoint)}
+        known = (
+            endpoint for endpoint in self._pool if self._endpoints.get(endpoint.entry.number) is endpoint
+        )
         self._pool = deque(known, maxlen=POOL_MOST)
         self._turn()
 
     def _find_cold(self) -> None:
         now = self._host.now()
-        self._cold = [server for server in self._ready if self._is_cold(server, now)]
+        self._cold = [endpoint for endpoint in self._active if self._is_warming_up(endpoint, now)]
 
     # The loop and what it reads.
 
-    def _step(self, held: PendingRequest, event: RequestEvent) -> None:
-        for row in ROWS.get((held.state, event), ()):
-            if row.condition(self, held):
-                held.state = row.next_state
-                row.action(self, held)
+    def _step(self, pending: PendingRequest, event: RequestEvent) -> None:
+        for row in ROWS.get((pending.state, event), ()):
+            if row.condition(self, pending):
+                pending.state = row.next_state
+                row.action(self, pending)
                 return
 
     def _turn(self) -> None:
@@ -395,205 +418,215 @@
             self._turn_due = True
             self._after(TURN_SPAN, self._turn_on)
 
-    def _tell(self, job: int, event: RequestEvent) -> None:
-        if (held := self._held.get(job)) is not None:
-            self._step(held, event)
+    def _tell(self, request: int, event: RequestEvent) -> None:
+        if (pending := self._pending.get(request)) is not None:
+            self._step(pending, event)
             self._turn()
 
     # Judgements: what the table asks.
 
-    def _always(self, held: PendingRequest) -> bool:
+    def _always(self, pending: PendingRequest) -> bool:
         return True
 
-    def _hopeless(self, held: PendingRequest) -> bool:
+    def _hopeless(self, pending: PendingRequest) -> bool:
         """No server could answer it in time for any revenue; late answers count only while none waits."""
-        now, quick = self._host.now(), self._quick(held.class_number)
-        late = held.objective_at - now < quick and (not held.request_class.late_weight or self._scarce(now))
-        return late or held.deadline_at - now - self._guard < quick
+        now, quick = self._host.now(), self._fast_latency(pending.class_number)
+        late = pending.objective_at - now < quick and (
+            not pending.request_class.late_weight or self._is_capacity_scarce(now)
+        )
+        return late or pending.deadline_at - now - self._guard < quick
 
-    def _crowded_out(self, held: PendingRequest) -> bool:
+    def _crowded_out(self, pending: PendingRequest) -> bool:
         """By chance, as many as servers would do too late, those of little revenue first."""
         # Guards where nodes sit beside clients: what a thin one has out says nothing of what servers hold.
-        part = CROWD_SHARE * held.request_class.latency_objective / self._usual().median
-        revenue = held.request_class.priority_weight * (
-            self._terms.over_quota_weight if held.over_quota else 1.0
+        part = CROWD_SHARE * pending.request_class.latency_objective / self._usual().median
+        revenue = pending.request_class.priority_weight * (
+            self._settings.over_quota_weight if pending.over_quota else 1.0
         )
         chance = part * part * math.sqrt(revenue / self._revenue)
-        return self._terms.sidecar and self._random.random() > chance
+        return self._settings.sidecar and self._random.random() > chance
 
-    def _scarce(self, now: float) -> bool:
-        return bool(self._queue) or self._pressing(now) >= self._room()
+    def _is_capacity_scarce(self, now: float) -> bool:
+        return bool(self._queue) or self._pressing(now) >= self._capacity()
 
-    def _finds_place(self, held: PendingRequest) -> bool:
-        overtakes = not self._queue or self._queue[0].rank() >= held.rank()
-        room = self._room()  # finds anew who is passed over: what is out there does not press
+    def _finds_place(self, pending: PendingRequest) -> bool:
+        overtakes = not self._queue or self._queue[0].rank() >= pending.rank()
+        room = self._capacity()  # finds anew who is passed over: what is out there does not press
         if self._pressing(self._host.now()) >= room or not overtakes:
             return False
-        held.chosen_endpoint = self._pick(held)
-        return held.chosen_endpoint is not None
+        pending.chosen_endpoint = self._pick(pending)
+        return pending.chosen_endpoint is not None
 
-    def _may_wait(self, held: PendingRequest) -> bool:
+    def _may_wait(self, pending: PendingRequest) -> bool:
         now = self._host.now()
-        ahead = sum(1 for other in self._queue if other.rank() < held.rank())
-        wait = (ahead + 1) / max(self._clearing.rate(now), 1.0)
-        if self._terms.sidecar:
-            wait = min(wait, (ahead + 1) * self._usual().per_endpoint / max(1, len(self._flying)))
-        slack = held.objective_at - now - self._quick(held.class_number)
-        return wait <= min(slack, WAIT_SHARE * held.request_class.latency_objective)
+        ahead = sum(1 for other in self._queue if other.rank() < pending.rank())
+        wait = (ahead + 1) / max(self._throughput.rate(now), 1.0)
+        if self._settings.sidecar:
+            wait = min(wait, (ahead + 1) * self._usual().per_endpoint / max(1, len(self._in_flight)))
+        slack = pending.objective_at - now - self._fast_latency(pending.class_number)
+        return wait <= min(slack, WAIT_SHARE * pending.request_class.latency_objective)
 
-    def _others_out(self, held: PendingRequest) -> bool:
-        return any(dispatch.in_flight for dispatch in held.attempts)
+    def _others_out(self, pending: PendingRequest) -> bool:
+        return any(attempt.in_flight for attempt in pending.attempts)
 
     def _lately(self, kept: deque[tuple[float]]) -> int:
         """How many of these there were in the span of the retries' budget."""
         self._prune(kept, self._host.now() - RETRY_SPAN)
         return len(kept)
 
-    def _budget_left(self) -> bool:
+    def _has_retry_budget(self) -> bool:
         return self._lately(self._retries) + 1 <= RETRY_SHARE * self._lately(self._firsts)
 
-    def _may_retry(self, held: PendingRequest) -> bool:
-        most = min(held.max_attempts, self._terms.max_attempts)  # the stricter, if the terms have changed
-        if not self._budget_left() or len(held.attempts) >= most or self._hopeless(held):
+    def _may_retry(self, pending: PendingRequest) -> bool:
+        most = min(
+            pending.max_attempts, self._settings.max_attempts
+        )  # the stricter, if the terms have changed
+        if not self._has_retry_budget() or len(pending.attempts) >= most or self._hopeless(pending):
             return False
-        held.chosen_endpoint = self._pick(held)
-        return held.chosen_endpoint is not None
+        pending.chosen_endpoint = self._pick(pending)
+        return pending.chosen_endpoint is not None
 
-    def _swallowed(self, held: PendingRequest) -> bool:
+    def _swallowed(self, pending: PendingRequest) -> bool:
         """Its server answers nothing while most others do: its own fault, seen before the time-out."""
         # Guards against jobs lost in servers that take work and answer none. Acts at any tier, in the budget.
-        last = held.attempts[-1]
-        waits = held.complete and last.in_flight and not last.cancelled_for_retry
-        return waits and last.endpoint in self._silent(self._host.now()) and self._may_retry(held)
+        last = pending.attempts[-1]
+        waits = pending.complete and last.in_flight and not last.cancelled_for_retry
+        return waits and last.endpoint in self._unresponsive(self._host.now()) and self._may_retry(pending)
 
-    def _copy_due(self, held: PendingRequest) -> bool:
-        return self._terms.hedging and self._swallowed(held)
+    def _copy_due(self, pending: PendingRequest) -> bool:
+        return self._settings.hedging and self._swallowed(pending)
 
-    def _recall_due(self, held: PendingRequest) -> bool:
+    def _recall_due(self, pending: PendingRequest) -> bool:
         # Guards against sound servers that were merely not heard of: the newest outcome there was a failure.
-        doubted = not all(list(held.attempts[-1].endpoint.recent_successes)[-1:])
-        return not self._terms.hedging and doubted and self._swallowed(held)
+        doubted = not all(list(pending.attempts[-1].endpoint.recent_successes)[-1:])
+        return not self._settings.hedging and doubted and self._swallowed(pending)
 
     # Effects: what the table does.
 
-    def _nothing(self, held: PendingRequest) -> None:
+    def _nothing(self, pending: PendingRequest) -> None:
         pass
 
-    def _wait(self, held: PendingRequest) -> None:
-        insort(self._queue, held, key=PendingRequest.rank)
+    def _wait(self, pending: PendingRequest) -> None:
+        insort(self._queue, pending, key=PendingRequest.rank)
         self._look_again()
 
-    def _send_first(self, held: PendingRequest) -> None:
-        if held in self._queue:
-            self._queue.remove(held)
+    def _send_first(self, pending: PendingRequest) -> None:
+        if pending in self._queue:
+            self._queue.remove(pending)
         self._firsts.append((self._host.now(),))
-        self._send(held)
+        self._send(pending)
         self._unprobed += 1
-        if self._terms.probes and self._unprobed >= PROBE_EVERY:
-            self._probe()
+        if self._settings.probes and self._unprobed >= PROBE_EVERY:
+            self._send_next_probe()
 
-    def _send_again(self, held: PendingRequest) -> None:
+    def _send_again(self, pending: PendingRequest) -> None:
         self._retries.append((self._host.now(),))
-        self._send(held)
-
-    def _send(self, held: PendingRequest) -> None:
-        now, server, held.chosen_endpoint = self._host.now(), held.chosen_endpoint, None
-        assert server is not None
-        server.awaits_first_attempt = False
-        linked = self._linked(server, now)
-        if linked and self._terms.streams_per_connection <= 1:
-            server.idle_connections.pop()
-        dispatch = Attempt(server, now, held.request_class.latency_objective, linked)
-        self._flying[held.id, len(held.attempts)] = dispatch
-        held.attempts.append(dispatch)
-        if held.complete:
-            self._fly(dispatch, now)
-        if self._is_cold(server, now):
-            server.slow_start_credit_from = now
-            server.slow_start_credit_needed = self._random.uniform(1 - COLD_SPREAD, 1 + COLD_SPREAD)
-        end = held.deadline_at if held.request_class.late_weight else min(held.deadline_at, held.objective_at)
-        self._host.send_attempt(held.id, server.entry.number, max(end - now, 0.001))
-        if self._terms.hedging or (self._terms.sidecar and self._terms.cancellation):
+        self._send(pending)
+
+    def _send(self, pending: PendingRequest) -> None:
+        now, endpoint, pending.chosen_endpoint = self._host.now(), pending.chosen_endpoint, None
+        assert endpoint is not None
+        endpoint.awaits_first_attempt = False
+        connected = self._linked(endpoint, now)
+        if connected and self._settings.streams_per_connection <= 1:
+            endpoint.idle_connections.pop()
+        attempt = Attempt(endpoint, now, pending.request_class.latency_objective, connected)
+        self._in_flight[pending.id, len(pending.attempts)] = attempt
+        pending.attempts.append(attempt)
+        if pending.complete:
+            self._fly(attempt, now)
+        if self._is_warming_up(endpoint, now):
+            endpoint.slow_start_credit_from = now
+            endpoint.slow_start_credit_needed = self._random.uniform(1 - COLD_SPREAD, 1 + COLD_SPREAD)
+        end = (
+            pending.deadline_at
+            if pending.request_class.late_weight
+            else min(pending.deadline_at, pending.objective_at)
+        )
+        self._host.send_attempt(pending.id, endpoint.entry.number, max(end - now, 0.001))
+        if self._settings.hedging or (self._settings.sidecar and self._settings.cancellation):
             delay = min(OVERDUE_TIMES * self._usual().per_endpoint, self._patience_most)
-            self._after(delay, lambda: self._step(held, RequestEvent.OVERDUE))
+            self._after(delay, lambda: self._step(pending, RequestEvent.OVERDUE))
 
-    def _take_back(self, held: PendingRequest) -> None:
+    def _take_back(self, pending: PendingRequest) -> None:
         """Recalls what its server has swallowed; it is sent elsewhere once that outcome is there."""
-        held.attempts[-1].cancelled_for_retry = True
-        self._host.cancel_attempt(held.id, len(held.attempts) - 1)
+        pending.attempts[-1].cancelled_for_retry = True
+        self._host.cancel_attempt(pending.id, len(pending.attempts) - 1)
 
-    def _fly(self, dispatch: Attempt, now: float) -> None:
-        dispatch.sent_at = now
-        self._recent.append(dispatch)
-        dispatch.endpoint.in_flight.append(dispatch)
-        self._linked_lately[dispatch.endpoint] = None
+    def _fly(self, attempt: Attempt, now: float) -> None:
+        attempt.sent_at = now
+        self._recent.append(attempt)
+        attempt.endpoint.in_flight.append(attempt)
+        self._linked_lately[attempt.endpoint] = None
 
-    def _landed(self, dispatch: Attempt) -> None:
-        if dispatch in dispatch.endpoint.in_flight:
-            dispatch.endpoint.in_flight.remove(dispatch)
+    def _landed(self, attempt: Attempt) -> None:
+        if attempt in attempt.endpoint.in_flight:
+            attempt.endpoint.in_flight.remove(attempt)
 
-    def _give_up(self, held: PendingRequest) -> None:
+    def _give_up(self, pending: PendingRequest) -> None:
         """The final answer: a turn-back where trying again is surely harmless, else a write-off."""
-        self._leave(held)
-        if self._turn_back_is_harmless(held):
-            self._host.reject(held.id, self._advice())
+        self._leave(pending)
+        if self._is_rejection_safe(pending):
+            self._host.reject(pending.id, self._advice())
         else:
-            self._host.fail(held.id)
+            self._host.fail(pending.id)
 
-    def _leave(self, held: PendingRequest) -> None:
-        del self._held[held.id]
-        if held in self._queue:
-            self._queue.remove(held)
-        self._recall_all(held)
+    def _leave(self, pending: PendingRequest) -> None:
+        del self._pending[pending.id]
+        if pending in self._queue:
+            self._queue.remove(pending)
+        self._recall_all(pending)
 
-    def _recall_all(self, held: PendingRequest, but: int = -1) -> None:
+    def _recall_all(self, pending: PendingRequest, but: int = -1) -> None:
         # Guards against servers working on for nobody.
         out = (
-            number for number, dispatch in enumerate(held.attempts) if dispatch.in_flight and number != but
+            number for number, attempt in enumerate(pending.attempts) if attempt.in_flight and number != but
         )
-        for number in out if self._terms.cancellation else ():
-            self._host.cancel_attempt(held.id, number)
+        for number in out if self._settings.cancellation else ():
+            self._host.cancel_attempt(pending.id, number)
 
     # Which server.
 
-    def _pick(self, held: PendingRequest) -> Endpoint | None:
+    def _pick(self, pending: PendingRequest) -> Endpoint | None:
         now = self._host.now()
-        most = max(2.0, SERVER_SPREAD * self._room() / max(1, len(self._ready)))
+        most = max(2.0, SERVER_SPREAD * self._capacity() / max(1, len(self._active)))
 
-        def fits(server: Endpoint) -> bool:
+        def fits(endpoint: Endpoint) -> bool:
             return (
-                self._takes_more(server, now)
-                and len(server.in_flight) < most
-                and self._is_open(server)
+                self._takes_more(endpoint, now)
+                and len(endpoint.in_flight) < most
+                and self._is_open(endpoint)
                 and not (
-                    self._is_cold(server, now)
-                    and self._cold_left(server, now) < server.slow_start_credit_needed
+                    self._is_warming_up(endpoint, now)
+                    and self._slow_start_credit(endpoint, now) < endpoint.slow_start_credit_needed
                 )
-                and not any(dispatch.endpoint is server for dispatch in held.attempts)
-                and (not held.attempts or self._may_run_on(held, server, now))
+                and not any(attempt.endpoint is endpoint for attempt in pending.attempts)
+                and (not pending.attempts or self._may_run_on(pending, endpoint, now))
             )
 
-        def is_near(server: Endpoint) -> bool:
-            return server.entry.zone == self._terms.zone
+        def is_near(endpoint: Endpoint) -> bool:
+            return endpoint.entry.zone == self._settings.zone
 
         # Guards against a server given back that is never met: nothing is known of it.
-        owed = next((server for server in self._owed if server.awaits_first_attempt and fits(server)), None)
+        owed = next(
+            (endpoint for endpoint in self._owed if endpoint.awaits_first_attempt and fits(endpoint)), None
+        )
         if owed is not None:
             return owed
-        known = [server for server in self._familiar(now) if fits(server)]
-        pool = known or [server for server in self._pool if fits(server)]
-        ready = known or self._ready
+        known = [endpoint for endpoint in self._familiar(now) if fits(endpoint)]
+        pool = known or [endpoint for endpoint in self._pool if fits(endpoint)]
+        ready = known or self._active
         choice = self._better(pool, ready, fits, now)
-        if choice is not None and held.affinity_key:
+        if choice is not None and pending.affinity_key:
             most = KEY_SLACK * self._score(choice, now)
-            likely = (server for server in self._likely_met(held.affinity_key) if fits(server))
-            met = min(likely, key=lambda server: self._score(server, now), default=choice)
+            likely = (endpoint for endpoint in self._likely_met(pending.affinity_key) if fits(endpoint))
+            met = min(likely, key=lambda endpoint: self._score(endpoint, now), default=choice)
             choice = met if self._score(met, now) <= most else choice
-        elif choice is not None and self._near_slack > 1.0 and choice.entry.zone != self._terms.zone:
+        elif choice is not None and self._near_slack > 1.0 and choice.entry.zone != self._settings.zone:
             # Acts only where crossing zones is priced: a near server wins unless clearly worse.
-            pool = [server for server in pool if is_near(server)]
-            near = self._better(pool, ready, lambda server: is_near(server) and fits(server), now)
-            spare = math.floor(NEAR_SPARE * len(self._flying) / len(self._ready))
+            pool = [endpoint for endpoint in pool if is_near(endpoint)]
+            near = self._better(pool, ready, lambda endpoint: is_near(endpoint) and fits(endpoint), now)
+            spare = math.floor(NEAR_SPARE * len(self._in_flight) / len(self._active))
             most = self._near_slack * self._score(choice, now)
             if near is not None and self._score(near, now, spare) <= most:
                 return near
@@ -602,35 +635,37 @@
     def _likely_met(self, key: str) -> list[Endpoint]:
         """The servers that all nodes send a key's jobs to first: a rank by hash, weighted by size."""
 
-        def rank(server: Endpoint) -> float:
-            digest = blake2b(f"{server.entry.name_hash} {key}".encode(), digest_size=6).digest()
-            return -math.log((1 + int.from_bytes(digest)) / 2**48) / max(server.entry.size, 0.01)
+        def rank(endpoint: Endpoint) -> float:
+            digest = blake2b(f"{endpoint.entry.name_hash} {key}".encode(), digest_size=6).digest()
+            return -math.log((1 + int.from_bytes(digest)) / 2**48) / max(endpoint.entry.size, 0.01)
 
-        return sorted(self._ready, key=rank)[:KEY_SERVERS]
+        return sorted(self._active, key=rank)[:KEY_SERVERS]
 
     def _better(
         self, pool: list[Endpoint], ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool], now: float
     ) -> Endpoint | None:
         """The better of two random entries of the pool; under two fresh, of two ready ones by own jobs."""
-        fresh = [server for server in pool if now - server.load_reported_at <= FRESH_SPAN]
+        fresh = [endpoint for endpoint in pool if now - endpoint.load_reported_at <= FRESH_SPAN]
         if len(fresh) >= 2:
-            scored = sorted((self._score(server, now), self._random.random(), server) for server in fresh)
+            scored = sorted(
+                (self._score(endpoint, now), self._random.random(), endpoint) for endpoint in fresh
+            )
             best = scored[: max(2, math.ceil(len(scored) * POOL_SHARE))]
             return min(self._random.sample(best, 2))[2]
         two = self._two_of(ready, fits)
-        return min(two, key=lambda server: len(server.in_flight), default=None)
+        return min(two, key=lambda endpoint: len(endpoint.in_flight), default=None)
 
     def _two_of(self, ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool]) -> list[Endpoint]:
         """Two random servers that fit, or as many as there are."""
         found: dict[Endpoint, None] = {}
         # Guards against going through a large fleet for each job: mostly the first few looks are enough.
         for _ in range(LOOKS_MOST if len(ready) > LOOKS_MOST else 0):
-            server = self._random.choice(ready)
-            if fits(server):
-                found[server] = None
+            endpoint = self._random.choice(ready)
+            if fits(endpoint):
+                found[endpoint] = None
             if len(found) == 2:
                 return list(found)
-        fitting = [server for server in ready if fits(server)]
+        fitting = [endpoint for endpoint in ready if fits(endpoint)]
         return self._random.sample(fitting, min(2, len(fitting)))
 
     def _familiar(self, now: float) -> list[Endpoint]:
@@ -638,94 +673,98 @@
         # Guards against more connections than servers accept, and new ones failing while open ones serve on.
         self._prune(self._links, now - RETRY_SPAN)
         fail = sum(1 for _, made in self._links if not made) > LAST_FEW / 2
-        if not fail and self._terms.connection_cost <= 0:
+        if not fail and self._settings.connection_cost <= 0:
             return []
-        linked = [server for server in list(self._linked_lately) if self._has_link(server, now)]
-        return linked if fail or len(linked) >= FAMILIAR else []
+        connected = [endpoint for endpoint in list(self._linked_lately) if self._has_link(endpoint, now)]
+        return connected if fail or len(connected) >= FAMILIAR else []
 
-    def _has_link(self, server: Endpoint, now: float) -> bool:
+    def _has_link(self, endpoint: Endpoint, now: float) -> bool:
         """Whether it is ready and linked; where it has no link at all, it is not looked at again."""
-        linked = self._linked(server, now)
-        if not (linked or server.in_flight):
-            del self._linked_lately[server]
-        return linked and self._is_in_use(server)
+        connected = self._linked(endpoint, now)
+        if not (connected or endpoint.in_flight):
+            del self._linked_lately[endpoint]
+        return connected and self._is_in_use(endpoint)
 
-    def _is_known(self, server: Endpoint) -> bool:
+    def _is_known(self, endpoint: Endpoint) -> bool:
         """Whether it is in the list, and not the record of a server that left or restarted."""
-        return self._servers.get(server.entry.number) is server
+        return self._endpoints.get(endpoint.entry.number) is endpoint
 
-    def _is_in_use(self, server: Endpoint) -> bool:
+    def _is_in_use(self, endpoint: Endpoint) -> bool:
         """Whether it is one of the ready ones."""
-        return self._is_known(server) and self._is_open(server)
+        return self._is_known(endpoint) and self._is_open(endpoint)
 
-    def _linked(self, server: Endpoint, now: float) -> bool:
-        shared = self._terms.streams_per_connection > 1 and len(server.in_flight) > 0
+    def _linked(self, endpoint: Endpoint, now: float) -> bool:
+        shared = self._settings.streams_per_connection > 1 and len(endpoint.in_flight) > 0
         return shared or (
-            len(server.idle_connections) > 0
-            and server.idle_connections[-1] > now - self._terms.connection_idle_timeout
+            len(endpoint.idle_connections) > 0
+            and endpoint.idle_connections[-1] > now - self._settings.connection_idle_timeout
         )
 
-    def _noted_link(self, dispatch: Attempt, result: AttemptResult, now: float) -> None:
-        if not dispatch.reused_connection and result is not AttemptResult.NOT_SENT:
+    def _noted_link(self, attempt: Attempt, result: AttemptResult, now: float) -> None:
+        if not attempt.reused_connection and result is not AttemptResult.NOT_SENT:
             self._links.append((now, result is not AttemptResult.NO_CONNECTION))
         if result in (AttemptResult.NO_CONNECTION, AttemptResult.RESET):
-            dispatch.endpoint.idle_connections.clear()
+            attempt.endpoint.idle_connections.clear()
         elif result not in (AttemptResult.NOT_SENT, AttemptResult.MALFORMED):
-            dispatch.endpoint.idle_connections.append(now)
-            self._linked_lately[dispatch.endpoint] = None
+            attempt.endpoint.idle_connections.append(now)
+            self._linked_lately[attempt.endpoint] = None
 
-    def _score(self, server: Endpoint, now: float, spare: float = 0.0) -> float:
+    def _score(self, endpoint: Endpoint, now: float, spare: float = 0.0) -> float:
         """The answer's load, less as it ages, plus own sends still out, less those spared, by its pace."""
-        answer = server.load_report or LoadReport()
+        answer = endpoint.load_report or LoadReport()
         usual = self._usual()
         reported = answer.in_flight if answer.in_flight is not None else answer.queued or 0.0
-        weight = usual.per_endpoint / (usual.per_endpoint + now - server.load_reported_at)
-        held = max(0.0, weight * reported + len(server.in_flight) - spare)
-        late = max(0.0, server.probe_latency / usual.probe / WAIT_NOISE - 1.0)
-        late *= usual.per_endpoint / (usual.per_endpoint + now - server.probe_ended_at)
+        weight = usual.per_endpoint / (usual.per_endpoint + now - endpoint.load_reported_at)
+        pending = max(0.0, weight * reported + len(endpoint.in_flight) - spare)
+        late = max(0.0, endpoint.probe_latency / usual.probe / WAIT_NOISE - 1.0)
+        late *= usual.per_endpoint / (usual.per_endpoint + now - endpoint.probe_ended_at)
         # Guards against herds: among idle servers a noisy pace would decide alone, so it counts half.
         return (
-            (held + 1.0)
-            * (1.0 + median(server.recent_latencies, usual.per_endpoint) / usual.per_endpoint)
+            (pending + 1.0)
+            * (1.0 + median(endpoint.recent_latencies, usual.per_endpoint) / usual.per_endpoint)
             / 2
             * (1.0 + late)
         )
 
-    def _silent(self, now: float) -> list[Endpoint]:
+    def _unresponsive(self, now: float) -> list[Endpoint]:
         """Servers from which nothing was heard since an overdue dispatch; none if that is most of them."""
         due = now - min(PATIENCE * self._usual().per_endpoint, self._patience_most)
-        flying = dict.fromkeys(dispatch.endpoint for dispatch in self._flying.values())
+        flying = dict.fromkeys(attempt.endpoint for attempt in self._in_flight.values())
         holding = [
-            server
-            for server in flying
-            if server.in_flight and server.in_flight[0].sent_at < due and self._is_in_use(server)
+            endpoint
+            for endpoint in flying
+            if endpoint.in_flight and endpoint.in_flight[0].sent_at < due and self._is_in_use(endpoint)
+        ]
+        silent = [
+            endpoint for endpoint in holding if endpoint.last_response_at < endpoint.in_flight[0].sent_at
         ]
-        silent = [server for server in holding if server.last_response_at < server.in_flight[0].sent_at]
-        return silent if len(silent) <= SILENT_MOST * len(self._ready) else []
+        return silent if len(silent) <= SILENT_MOST * len(self._active) else []
 
     def _find_passed_over(self, now: float) -> list[Endpoint]:
         """Servers that are silent or slow; none if that is most of them."""
         # Guards against jobs at overdriven servers: a probe tells of those seconds before a job does.
         usual = self._usual_now
-        least, silent = max(WAIT_TIMES * usual.probe, WAIT_PART * usual.per_endpoint), self._silent(now)
+        least, silent = max(WAIT_TIMES * usual.probe, WAIT_PART * usual.per_endpoint), self._unresponsive(now)
         self._prune(self._waited, now - WAIT_SPAN)
-        waited = dict.fromkeys(server for _, server in self._waited)
+        waited = dict.fromkeys(endpoint for _, endpoint in self._waited)
         slow = [
-            server
-            for server in waited
-            if server.probe_latency > least and now - server.probe_ended_at < WAIT_SPAN
+            endpoint
+            for endpoint in waited
+            if endpoint.probe_latency > least and now - endpoint.probe_ended_at < WAIT_SPAN
+        ]
+        found = silent + [
+            endpoint for endpoint in slow if endpoint not in silent and self._is_in_use(endpoint)
         ]
-        found = silent + [server for server in slow if server not in silent and self._is_in_use(server)]
-        return found if len(found) <= SILENT_MOST * len(self._ready) else []
+        return found if len(found) <= SILENT_MOST * len(self._active) else []
 
     def _set_aside(self, now: float) -> list[Endpoint]:
         """The ready servers that are set aside."""
-        for server in [server for server in self._resting if server.ejected_until <= now]:
-            del self._resting[server]
-        return [server for server in self._resting if self._is_in_use(server)]
+        for endpoint in [endpoint for endpoint in self._resting if endpoint.ejected_until <= now]:
+            del self._resting[endpoint]
+        return [endpoint for endpoint in self._resting if self._is_in_use(endpoint)]
 
-    def _takes_more(self, server: Endpoint, now: float) -> bool:
-        return server.ejected_until <= now and server not in self._passed_over
+    def _takes_more(self, endpoint: Endpoint, now: float) -> bool:
+        return endpoint.ejected_until <= now and endpoint not in self._passed_over
 
     def _usual(self) -> TypicalLatencies:
         now = self._host.now()
@@ -734,96 +773,104 @@
             self._take.advance(now, self._warm)
             # One time a server: quick servers answer more jobs and would pass for the usual.
             latest = {end.endpoint.entry.number: end.latency for end in self._ends if end.latency}
-            waits = (server.probe_latency for server in self._pool if server.probe_latency)
+            waits = (endpoint.probe_latency for endpoint in self._pool if endpoint.probe_latency)
             seconds = (end.latency for end in self._ends if end.latency)
             # Guards against a start that passes for crowded: without news of times, nothing is.
             figures = (median(latest.values(), 1.0), median(waits, 1.0), median(seconds, 0.0))
             self._usual_now = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
             self._passed_over = self._find_passed_over(now)
             # Kept with them: going through a large fleet for each job costs more than all its decisions.
-            self._cold = [server for server in self._cold if self._is_cold(server, now)]
-            self._warm = len(self._ready) - len(self._cold)
+            self._cold = [endpoint for endpoint in self._cold if self._is_warming_up(endpoint, now)]
+            self._warm = len(self._active) - len(self._cold)
             kept_out = dict.fromkeys([*self._set_aside(now), *self._passed_over])
-            self._able = self._warm - sum(1 for server in kept_out if not self._is_cold(server, now))
+            self._able = self._warm - sum(
+                1 for endpoint in kept_out if not self._is_warming_up(endpoint, now)
+            )
         return self._usual_now
 
     # The four rules.
 
-    def _may_run_on(self, held: PendingRequest, server: Endpoint, now: float) -> bool:
+    def _may_run_on(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> bool:
         """Whether a further dispatch there cannot make an effect happen twice."""
         # Guards against a repeat that is decided on in time, and comes up when its server has forgotten.
-        return now < self._repeat_until(held, held.attempts, server) - self._terms.connect_timeout
+        return now < self._repeat_until(pending, pending.attempts, endpoint) - self._settings.connect_timeout
 
-    def _repeat_until(self, held: PendingRequest, earlier: Sequence[Attempt], server: Endpoint) -> float:
+    def _repeat_until(self, pending: PendingRequest, earlier: Sequence[Attempt], endpoint: Endpoint) -> float:
         """Until when a dispatch there cannot make an effect happen twice; -inf where it may at once."""
-        profile = held.request_class
-        ran = [dispatch for dispatch in earlier if dispatch.may_have_run]
-        if not ran or profile.idempotency is Idempotency.IDEMPOTENT:
+        request_class = pending.request_class
+        ran = [attempt for attempt in earlier if attempt.may_have_run]
+        if not ran or request_class.idempotency is Idempotency.IDEMPOTENT:
             return math.inf
-        if profile.idempotency is Idempotency.NON_IDEMPOTENT:
+        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
             return -math.inf
-        if not all(self._drops_repeats(profile, dispatch.endpoint, server) for dispatch in ran):
+        if not all(self._drops_repeats(request_class, attempt.endpoint, endpoint) for attempt in ran):
             return -math.inf
-        return ran[0].sent_at + profile.deduplication_window - self._guard
+        return ran[0].sent_at + request_class.deduplication_window - self._guard
 
-    def repeatable_until(self, job: int, dispatch: int) -> float:
+    def repeatable_until(self, request: int, attempt: int) -> float:
         """The same for a dispatch that was ordered, by what is known now of those before it."""
-        held = self._held.get(job)
-        if held is None:
+        pending = self._pending.get(request)
+        if pending is None:
             return -math.inf
-        return self._repeat_until(held, held.attempts[:dispatch], held.attempts[dispatch].endpoint)
+        return self._repeat_until(pending, pending.attempts[:attempt], pending.attempts[attempt].endpoint)
 
-    def _drops_repeats(self, profile: RequestClass, first: Endpoint, second: Endpoint) -> bool:
+    def _drops_repeats(self, request_class: RequestClass, first: Endpoint, second: Endpoint) -> bool:
         near = first.entry.zone == second.entry.zone
         same = near and (
-            profile.deduplication_scope is DeduplicationScope.ZONE
+            request_class.deduplication_scope is DeduplicationScope.ZONE
             or first.entry.deduplication_group == second.entry.deduplication_group
         )
-        return same or profile.deduplication_scope is DeduplicationScope.ALL
+        return same or request_class.deduplication_scope is DeduplicationScope.ALL
 
-    def _turn_back_is_harmless(self, held: PendingRequest) -> bool:
-        effect, group = held.request_class.idempotency, held.request_class.deduplication_scope
+    def _is_rejection_safe(self, pending: PendingRequest) -> bool:
+        effect, group = pending.request_class.idempotency, pending.request_class.deduplication_scope
         may_repeat = effect is Idempotency.IDEMPOTENT or (
             effect is Idempotency.KEYED and group is DeduplicationScope.ALL
         )
-        return may_repeat or not any(dispatch.may_have_run for dispatch in held.attempts)
+        return may_repeat or not any(attempt.may_have_run for attempt in pending.attempts)
 
-    def _is_cold(self, server: Endpoint, now: float) -> bool:
-        return server.entry.started_at > 0 and now < server.entry.started_at + self._terms.slow_start_time
+    def _is_warming_up(self, endpoint: Endpoint, now: float) -> bool:
+        return (
+            endpoint.entry.started_at > 0 and now < endpoint.entry.started_at + self._settings.slow_start_time
+        )
 
-    def _cold_left(self, server: Endpoint, now: float) -> float:
+    def _slow_start_credit(self, endpoint: Endpoint, now: float) -> float:
         """Sends that this node's part of the cold budget has come to since the last one there."""
         self._usual()  # counts the warm ones anew
         # Guards against one warm server that passes for doing all that the fleet did; none gets so much.
-        part = min(SERVER_SPREAD, len(self._ready) / self._warm) if self._warm else 1.0
-        least = 1.0 / (COLD_SPAN * self._terms.node_count * self._terms.process_count)
+        part = min(SERVER_SPREAD, len(self._active) / self._warm) if self._warm else 1.0
+        least = 1.0 / (COLD_SPAN * self._settings.node_count * self._settings.process_count)
         each = max(part * self._take.rate(), least)
         # Added up as the server warms, and not foretold: many nodes' next sends lie seconds ahead.
-        between = (server.slow_start_credit_from + now) / 2 - server.entry.started_at
-        warmed = min(max(0.0, between) / self._terms.slow_start_time, 1.0)
-        share = self._terms.slow_start_share + (1.0 - self._terms.slow_start_share) * warmed
+        between = (endpoint.slow_start_credit_from + now) / 2 - endpoint.entry.started_at
+        warmed = min(max(0.0, between) / self._settings.slow_start_time, 1.0)
+        share = self._settings.slow_start_share + (1.0 - self._settings.slow_start_share) * warmed
         return (
-            (now - server.slow_start_credit_from) * each * share * self._terms.overload_multiple * COLD_CARE
+            (now - endpoint.slow_start_credit_from)
+            * each
+            * share
+            * self._settings.overload_multiple
+            * COLD_CARE
         )
 
     # Room, health and the rest.
 
-    def _room(self) -> float:
+    def _capacity(self) -> float:
         """Jobs out at most: what the last answers' rate clears within a part of the contract time."""
-        learned = self._clearing.capacity(self._hold_share, self._calm_times, self._host.now())
+        learned = self._throughput.capacity(self._hold_share, self._calm_times, self._host.now())
         self._usual()  # counts the able servers anew
         # Guards small machines, which the higher floor overdrives: it holds while answers are calm.
-        floor = FLOOR_CALM if self._clearing.is_stable() else FLOOR_EACH
-        if self._terms.sidecar:
+        floor = FLOOR_CALM if self._throughput.is_stable() else FLOOR_EACH
+        if self._settings.sidecar:
             floor *= min(1.0, CROWD_SHARE * self._contract / self._usual().median)
         return max(2.0, floor * self._able / self._parts(), learned)
 
     def _parts(self) -> float:
         """How many times this node's traffic all nodes have; by their number where nobody tells of his."""
-        if not self._terms.gossips:
-            return self._terms.node_count
+        if not self._settings.gossips:
+            return self._settings.node_count
         # Each outcome of a node is one note to one peer: so many come as a node has outcomes in the mean.
-        return self._terms.node_count * (self._lately(self._notes) + 1) / (self._lately(self._firsts) + 1)
+        return self._settings.node_count * (self._lately(self._notes) + 1) / (self._lately(self._firsts) + 1)
 
     def _pressing(self, now: float) -> int:
         """Jobs out, still young, and where more may go."""
@@ -838,77 +885,75 @@
                 break
             self._recent.popleft()
         pressing = (
-            dispatch.endpoint
-            for dispatch in self._recent
-            if dispatch.in_flight and not dispatch.response_started
+            attempt.endpoint for attempt in self._recent if attempt.in_flight and not attempt.response_started
         )
-        return sum(1 for server in pressing if self._takes_more(server, now))
+        return sum(1 for endpoint in pressing if self._takes_more(endpoint, now))
 
-    def _judge(self, server: Endpoint, outcome: AttemptOutcome, now: float) -> None:
+    def _judge(self, endpoint: Endpoint, outcome: AttemptOutcome, now: float) -> None:
         """Sets a server aside when its last few outcomes trail the others'."""
         good = outcome.result is AttemptResult.SUCCEEDED
         if outcome.result is AttemptResult.REJECTED:
             # Guards against a second refusal there: a full server has room when a job of the usual time ends.
-            self._rest(server, max(server.ejected_until, now + self._usual().per_endpoint))
+            self._rest(endpoint, max(endpoint.ejected_until, now + self._usual().per_endpoint))
         if not good and outcome.result not in FAULTS:
             return
         seconds = outcome.seconds if good or outcome.result is AttemptResult.TIMED_OUT else 0.0
-        server.last_own_outcome_at = now
-        self._tell_on(server, good, seconds, now)
-        self._learned(server, good, seconds, now)
+        endpoint.last_own_outcome_at = now
+        self._tell_on(endpoint, good, seconds, now)
+        self._learned(endpoint, good, seconds, now)
 
-    def _learned(self, server: Endpoint, good: bool, seconds: float, now: float) -> None:
-        server.recent_successes.append(good)
+    def _learned(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
+        endpoint.recent_successes.append(good)
         if seconds:
-            server.recent_latencies.append(seconds)
-        self._ends.append(RecentOutcome(server, good, seconds))
+            endpoint.recent_latencies.append(seconds)
+        self._ends.append(RecentOutcome(endpoint, good, seconds))
         # Guards against setting aside what has left the list, or was restarted: nobody knows it any more.
-        if good or self._servers.get(server.entry.number) is not server:
+        if good or self._endpoints.get(endpoint.entry.number) is not endpoint:
             return
-        others = [end.success for end in self._ends if end.endpoint is not server]
+        others = [end.success for end in self._ends if end.endpoint is not endpoint]
         usual = sum(others) / len(others) if others else 1.0
         aside = len(self._set_aside(now))
         # Guards against setting the fleet aside in a trouble common to all.
-        if sum(server.recent_successes) / len(
-            server.recent_successes
-        ) < usual - HEALTH_GAP and aside < ASIDE_MOST * len(self._ready):
-            self._rest(server, now + ASIDE_SPAN + self._random.uniform(0, ASIDE_RANDOM))
-            self._host.report_ejection(server.entry.number, server.ejected_until - now)
-
-    def _rest(self, server: Endpoint, until: float) -> None:
-        server.ejected_until = until
-        self._resting[server] = None
-
-    def _answered(self, server: Endpoint, load: LoadReport, now: float) -> None:
-        server.load_report, server.load_reported_at = load, now
-        if server in self._pool:
-            self._pool.remove(server)
+        if sum(endpoint.recent_successes) / len(
+            endpoint.recent_successes
+        ) < usual - HEALTH_GAP and aside < ASIDE_MOST * len(self._active):
+            self._rest(endpoint, now + ASIDE_SPAN + self._random.uniform(0, ASIDE_RANDOM))
+            self._host.report_ejection(endpoint.entry.number, endpoint.ejected_until - now)
+
+    def _rest(self, endpoint: Endpoint, until: float) -> None:
+        endpoint.ejected_until = until
+        self._resting[endpoint] = None
+
+    def _answered(self, endpoint: Endpoint, load: LoadReport, now: float) -> None:
+        endpoint.load_report, endpoint.load_reported_at = load, now
+        if endpoint in self._pool:
+            self._pool.remove(endpoint)
         # Guards against sends to a server the list has dropped: a late outcome may still bring its report.
-        if self._servers.get(server.entry.number) is server:
-            self._pool.append(server)
+        if self._endpoints.get(endpoint.entry.number) is endpoint:
+            self._pool.append(endpoint)
 
     def _probe_on(self) -> None:
-        if self._terms.probes:
-            self._probe()
+        if self._settings.probes:
+            self._send_next_probe()
         self._after(PROBE_SPAN, self._probe_on)
 
-    def _probe(self) -> None:
+    def _send_next_probe(self) -> None:
         self._unprobed = 0
-        if self._ready:
+        if self._active:
             self._odd_probe = not self._odd_probe
             # Every other probe asks a server that is likely to be sent to; the rest keep the design's share.
-            asked = (self._familiar(self._host.now()) if self._odd_probe else []) or self._ready
+            asked = (self._familiar(self._host.now()) if self._odd_probe else []) or self._active
             self._ask(self._random.choice(asked))
 
-    def _ask(self, server: Endpoint) -> None:
-        server.probe_sent_at = self._host.now()
-        self._host.send_probe(server.entry.number)
+    def _ask(self, endpoint: Endpoint) -> None:
+        endpoint.probe_sent_at = self._host.now()
+        self._host.send_probe(endpoint.entry.number)
 
     def _enter(self, entry: EndpointEntry) -> None:
-        known = self._servers.get(entry.number)
+        known = self._endpoints.get(entry.number)
         if entry.state is EndpointState.REMOVED:
             # Guards against growing with each server that ever was; dispatches there still know its group.
-            self._servers.pop(entry.number, None)
+            self._endpoints.pop(entry.number, None)
         elif known is None or entry.started_at > known.entry.started_at:
             # Guards against judging a restarted server by what it was before.
             self._fresh(entry)
@@ -919,45 +964,45 @@
 
     def _fresh(self, entry: EndpointEntry) -> Endpoint:
         now = self._host.now()
-        known = self._servers[entry.number] = Endpoint(entry)
-        if self._is_cold(known, now):
+        known = self._endpoints[entry.number] = Endpoint(entry)
+        if self._is_warming_up(known, now):
             known.slow_start_credit_from, known.slow_start_credit_needed = now, self._random.random()
         return known
 
-    def _is_open(self, server: Endpoint) -> bool:
+    def _is_open(self, endpoint: Endpoint) -> bool:
         """Whether anything new may go there: the list has it ready, and no operator has it out."""
-        return server.entry.state is EndpointState.ACTIVE and server.entry.number not in self._barred
+        return endpoint.entry.state is EndpointState.ACTIVE and endpoint.entry.number not in self._banned
 
     def _past_share(self, operator: int, now: float) -> bool:
         if operator >= len(self._quotas) or self._quotas[operator] <= 0:
             return False
         asked, most = self._asked[operator], self._quotas[operator] * RETRY_SPAN / self._parts()
-        past = self._lately(asked) >= most / self._terms.process_count
+        past = self._lately(asked) >= most / self._settings.process_count
         if not past:
             asked.append((now,))
         return past
 
-    def _age(self, job: NewRequest, profile: RequestClass, now: float) -> float:
+    def _age(self, request: NewRequest, request_class: RequestClass, now: float) -> float:
         """How long the client has waited, read off the time left against the longest seen lately."""
-        lefts = self._lefts.get(job.request_class)
+        lefts = self._times_left.get(request.request_class)
         if lefts is None:
             return 0.0
-        lefts.append((job.time_left, job.is_client_retry))
+        lefts.append((request.time_left, request.is_client_retry))
         # Guards against first tries passing for old beside a last retry; they yield while room is scarce.
-        scarce = any(repeat for _, repeat in lefts) and self._scarce(now)
-        usual = max((left for left, repeat in lefts if scarce or not repeat), default=job.time_left)
-        if job.is_client_retry:
-            own = abs(job.time_left - usual) > 0.02 * usual
-            return max(0.0, profile.deadline - job.time_left) if own else 0.0
-        return usual - job.time_left
-
-    def _quick(self, profile: int) -> float:
-        spent = self._spent.get(profile)
+        scarce = any(repeat for _, repeat in lefts) and self._is_capacity_scarce(now)
+        usual = max((left for left, repeat in lefts if scarce or not repeat), default=request.time_left)
+        if request.is_client_retry:
+            own = abs(request.time_left - usual) > 0.02 * usual
+            return max(0.0, request_class.deadline - request.time_left) if own else 0.0
+        return usual - request.time_left
+
+    def _fast_latency(self, request_class: int) -> float:
+        spent = self._latencies.get(request_class)
         return sorted(spent)[len(spent) // 4] if spent else 0.0
 
     def _advice(self) -> float:
-        wait = ADVICE_LEAST + len(self._queue) / max(self._clearing.rate(self._host.now()), 1.0)
-        return min(wait * self._random.uniform(1.0, 2.0), self._terms.retry_after_max)
+        wait = ADVICE_LEAST + len(self._queue) / max(self._throughput.rate(self._host.now()), 1.0)
+        return min(wait * self._random.uniform(1.0, 2.0), self._settings.retry_after_max)
 
     def _after(self, delay: float, due: Callable[[], None]) -> None:
         self._token += 1
--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -181,7 +181,7 @@
 
     def __init__(
         self,
-        terms: BalancerSettings,
+        settings: BalancerSettings,
         names: SettingNames,
         clock: Callable[[], float],
         wake: Callable[[float], None],
@@ -198,7 +198,7 @@
         self._endpoint_numbers: dict[str, int] = {}
         self._endpoint_names: dict[int, str] = {}
         self._numbers_by_hash: dict[int, int] = {}  # the numbers of servers by the tags of their names
-        self._gossip = OutcomeGossip(terms.seed)
+        self._gossip = OutcomeGossip(settings.seed)
         self._endpoint_numbers_given = 0
         self._removed_names: deque[str] = deque(maxlen=GONE_KEPT)
         self.banned: set[str] = set()  # by operators; whatever the list says
@@ -208,162 +208,164 @@
         self._timers: list[tuple[float, int]] = []
         self._wake_at = math.inf
         self.timer_lags: deque[float] = deque(maxlen=LAGS_KEPT)
-        self._settings = terms
-        self._number_request_classes(terms, names)
-        self._balancer: RequestBalancer = Balancer(replace(terms, request_classes=[]), _EngineHost(self))
-        self._balancer.settings_changed(terms, self._numbered_classes())
+        self._settings = settings
+        self._number_request_classes(settings, names)
+        self._balancer: RequestBalancer = Balancer(replace(settings, request_classes=[]), _EngineHost(self))
+        self._balancer.settings_changed(settings, self._numbered_classes())
 
     # What the node calls.
 
-    def submit(self, ask: RequestSpec) -> RequestHandle:
+    def submit(self, spec: RequestSpec) -> RequestHandle:
         self._submitted += 1
-        ticket = RequestHandle(self._submitted)
-        self._handles[ticket.number] = ticket
-        job = NewRequest(
-            id=ticket.number,
-            request_class=self._class_number(ask),
-            tenant=self._tenants.get(ask.tenant, 0),
-            time_left=ask.time_left,
-            is_client_retry=ask.is_client_retry,
-            work_hint=ask.work_hint,
-            complete=ask.complete,
-            affinity_key=ask.affinity_key,
+        handle = RequestHandle(self._submitted)
+        self._handles[handle.number] = handle
+        request = NewRequest(
+            id=handle.number,
+            request_class=self._class_number(spec),
+            tenant=self._tenants.get(spec.tenant, 0),
+            time_left=spec.time_left,
+            is_client_retry=spec.is_client_retry,
+            work_hint=spec.work_hint,
+            complete=spec.complete,
+            affinity_key=spec.affinity_key,
         )
         try:
-            self._balancer.request_arrived(job)
+            self._balancer.request_arrived(request)
         except Exception:
-            self.cancel(ticket)
+            self.cancel(handle)
             raise
-        return ticket
+        return handle
 
-    async def next_command(self, ticket: RequestHandle) -> RequestCommand:
-        return await ticket.commands.get()
+    async def next_command(self, handle: RequestHandle) -> RequestCommand:
+        return await handle.commands.get()
 
-    def report_attempt(self, ticket: RequestHandle, dispatch: int, ended: ExchangeOutcome) -> None:
-        ticket.in_flight.discard(dispatch)
-        first = ended.result is AttemptResult.SUCCEEDED and not ticket.answered
-        ticket.answered = ticket.answered or first
-        server = ticket.endpoints[dispatch]
-        over = ticket.answered
+    def report_attempt(self, handle: RequestHandle, attempt: int, outcome: ExchangeOutcome) -> None:
+        handle.in_flight.discard(attempt)
+        first = outcome.result is AttemptResult.SUCCEEDED and not handle.answered
+        handle.answered = handle.answered or first
+        endpoint = handle.endpoints[attempt]
+        final = handle.answered
         self._balancer.attempt_ended(
             AttemptOutcome(
-                ticket.number,
-                dispatch,
-                server,
-                ended.result,
-                ended.seconds,
-                over,
-                ended.load,
-                ended.unrepeatable,
+                handle.number,
+                attempt,
+                endpoint,
+                outcome.result,
+                outcome.seconds,
+                final,
+                outcome.load,
+                outcome.unrepeatable,
             )
         )
         if first:
-            ticket.commands.put_nowait(ForwardResponse(dispatch))
-        self._release(ticket)
+            handle.commands.put_nowait(ForwardResponse(attempt))
+        self._release(handle)
 
-    def report_body_complete(self, ticket: RequestHandle, most: float = math.inf) -> None:
+    def report_body_complete(self, handle: RequestHandle, time_left: float = math.inf) -> None:
         """The job's last byte has come: its time counts from now, and is so many seconds at most."""
-        if not ticket.answered:
-            self._balancer.body_completed(ticket.number, most)
+        if not handle.answered:
+            self._balancer.body_completed(handle.number, time_left)
 
-    def is_wanted(self, ticket: RequestHandle, dispatch: int) -> bool:
+    def is_wanted(self, handle: RequestHandle, attempt: int) -> bool:
         """Whether a dispatch that was ordered is still wanted; orders against it may wait to be picked."""
-        return not ticket.answered and dispatch not in ticket.cancelled
+        return not handle.answered and attempt not in handle.cancelled
 
-    def repeatable_until(self, ticket: RequestHandle, dispatch: int) -> float:
+    def repeatable_until(self, handle: RequestHandle, attempt: int) -> float:
         """Until when (s) a dispatch can't make an effect happen twice; inf: always, -inf: it may already."""
-        return self._balancer.repeatable_until(ticket.number, dispatch)
+        return self._balancer.repeatable_until(handle.number, attempt)
 
     def now(self) -> float:
         """Unix time (s) that never jumps."""
         return self._clock()
 
-    def report_response_started(self, ticket: RequestHandle, dispatch: int) -> bool:
+    def report_response_started(self, handle: RequestHandle, attempt: int) -> bool:
         """A large answer has begun to come; false where the job has its answer, or recalled this one."""
-        if ticket.response_started or not self.is_wanted(ticket, dispatch):
+        if handle.response_started or not self.is_wanted(handle, attempt):
             return False
-        ticket.response_started = True
-        ticket.commands.put_nowait(StartResponse(dispatch))
-        self._balancer.response_started(ticket.number, dispatch)
+        handle.response_started = True
+        handle.commands.put_nowait(StartResponse(attempt))
+        self._balancer.response_started(handle.number, attempt)
         return True
 
-    def cancel(self, ticket: RequestHandle) -> None:
+    def cancel(self, handle: RequestHandle) -> None:
         """The caller has gone, or the node itself failed the job."""
-        if not ticket.answered:
-            ticket.answered = True
+        if not handle.answered:
+            handle.answered = True
             try:
-                self._balancer.request_cancelled(ticket.number)
+                self._balancer.request_cancelled(handle.number)
             finally:
-                ticket.commands.put_nowait(DropRequest())
-                self._release(ticket)
+                handle.commands.put_nowait(DropRequest())
+                self._release(handle)
 
-    def apply_settings(self, terms: BalancerSettings, names: SettingNames) -> None:
+    def apply_settings(self, settings: BalancerSettings, names: SettingNames) -> None:
         """New terms for what comes from now on; jobs that are held keep the profile they were taken with."""
         self._tenants = {name: index for index, name in enumerate(names.tenants)}
-        if terms.zone < len(names.zones):
+        if settings.zone < len(names.zones):
             # Guards against a list of zones in another order: servers keep the numbers that they have.
-            name = names.zones[terms.zone]
-            terms = replace(terms, zone=self._zones.setdefault(name, len(self._zones)))
-        self._settings = replace(terms, process_count=self._settings.process_count)
-        self._number_request_classes(terms, names)
+            name = names.zones[settings.zone]
+            settings = replace(settings, zone=self._zones.setdefault(name, len(self._zones)))
+        self._settings = replace(settings, process_count=self._settings.process_count)
+        self._number_request_classes(settings, names)
         self._balancer.settings_changed(self._settings, self._numbered_classes())
 
     async def next_node_command(self) -> NodeCommand:
         return await self._node_commands.get()
 
-    def report_probe(self, server: str, ended: ExchangeOutcome) -> None:
-        if server in self._endpoint_numbers:  # it may have left the list meanwhile
-            self._balancer.probe_ended(self._endpoint_numbers[server], ended.result, ended.load)
+    def report_probe(self, endpoint: str, outcome: ExchangeOutcome) -> None:
+        if endpoint in self._endpoint_numbers:  # it may have left the list meanwhile
+            self._balancer.probe_ended(self._endpoint_numbers[endpoint], outcome.result, outcome.load)
 
-    def apply_list_update(self, news: ListUpdate, listed: Sequence[ListedEndpoint] = ()) -> None:
-        self._balancer.list_updated(news, [self._entry(server) for server in listed])
-        if news is ListUpdate.FAILED:
+    def apply_list_update(self, update: ListUpdate, listed: Sequence[ListedEndpoint] = ()) -> None:
+        self._balancer.list_updated(update, [self._entry(endpoint) for endpoint in listed])
+        if update is ListUpdate.FAILED:
             return
-        if news is not ListUpdate.CACHED:
+        if update is not ListUpdate.CACHED:
             self._start_times.list_received(self._clock())
         # Guards against growing with every server that ever was. Numbers are never given out again.
-        gone = {server.name for server in listed if server.state is EndpointState.REMOVED}
-        if news is not ListUpdate.CHANGES:
-            gone |= self._endpoint_numbers.keys() - {server.name for server in listed}
-        for name in gone:
+        removed = {endpoint.name for endpoint in listed if endpoint.state is EndpointState.REMOVED}
+        if update is not ListUpdate.CHANGES:
+            removed |= self._endpoint_numbers.keys() - {endpoint.name for endpoint in listed}
+        for name in removed:
             self._endpoint_names.pop(self._endpoint_numbers.pop(name))
             self._numbers_by_hash.pop(endpoint_hash(name), None)
             self._removed_names.append(name)
 
-    def receive_gossip(self, peer: int, note: bytes) -> None:
+    def receive_gossip(self, peer: int, datagram: bytes) -> None:
         """A peer's note; what is not in the own list is passed over, and what can't be read."""
-        if told := self._gossip.peer_outcomes(peer, note, self._numbers_by_hash):
-            self._balancer.gossip_received(told)
+        if outcomes := self._gossip.peer_outcomes(peer, datagram, self._numbers_by_hash):
+            self._balancer.gossip_received(outcomes)
 
     @property
     def ignored_reports(self) -> int:
         return self._gossip.ignored
 
-    def ban(self, server: str, known: bool = False) -> bool:
+    def ban(self, endpoint: str, known: bool = False) -> bool:
         """An operator takes a server out of use; false where nobody has heard of it."""
-        if not known and not self._is_known(server):
+        if not known and not self._is_known(endpoint):
             return False
-        self.banned.add(server)
-        if server in self._endpoint_numbers:
-            self._balancer.ban_changed(self._endpoint_numbers[server], True)
+        self.banned.add(endpoint)
+        if endpoint in self._endpoint_numbers:
+            self._balancer.ban_changed(self._endpoint_numbers[endpoint], True)
         return True
 
-    def lift_ban(self, server: str) -> bool:
+    def lift_ban(self, endpoint: str) -> bool:
         """An operator gives a server back, however often it was taken out."""
-        if not self._is_known(server):
+        if not self._is_known(endpoint):
             return False
-        self.banned.discard(server)
-        if server in self._endpoint_numbers:
-            self._balancer.ban_changed(self._endpoint_numbers[server], False)
+        self.banned.discard(endpoint)
+        if endpoint in self._endpoint_numbers:
+            self._balancer.ban_changed(self._endpoint_numbers[endpoint], False)
         return True
 
     def export_state(self) -> dict[str, Any]:
         """What was learned so far, by names: for a process that follows this one."""
-        found = self._balancer.export_state()
+        exported = self._balancer.export_state()
         return {
-            "clearing": found["clearing"],
-            "servers": {self._endpoint_names[index]: known for index, known in found["servers"].items()},
-            "spent": {name: found["spent"][kind.number] for name, kind in self._request_classes.items()},
+            "clearing": exported["clearing"],
+            "servers": {self._endpoint_names[index]: known for index, known in exported["servers"].items()},
+            "spent": {
+                name: exported["spent"][numbered.number] for name, numbered in self._request_classes.items()
+            },
         }
 
     def start_ages(self) -> Mapping[str, Sequence[float]]:
@@ -374,16 +376,18 @@
         """Takes that over, before any list is; TypeError, ValueError or AttributeError where it is none."""
         self._start_times.restore(ages, self._clock())
 
-    def restore_state(self, lessons: Mapping[str, Any]) -> None:
+    def restore_state(self, learned_state: Mapping[str, Any]) -> None:
         """Takes over what another process learned, of servers and profiles that are known here too."""
-        servers, spent = lessons["servers"], lessons["spent"]
+        endpoints, spent = learned_state["servers"], learned_state["spent"]
         known = {
-            "clearing": lessons["clearing"],
+            "clearing": learned_state["clearing"],
             "servers": {
-                index: servers[name] for index, name in self._endpoint_names.items() if name in servers
+                index: endpoints[name] for index, name in self._endpoint_names.items() if name in endpoints
             },
             "spent": {
-                kind.number: spent[name] for name, kind in self._request_classes.items() if name in spent
+                numbered.number: spent[name]
+                for name, numbered in self._request_classes.items()
+                if name in spent
             },
         }
         self._balancer.restore_state(known)
@@ -393,8 +397,10 @@
         self._settings = replace(self._settings, process_count=processes)
         self._balancer.settings_changed(self._settings, self._numbered_classes())
 
-    def _is_known(self, server: str) -> bool:
-        return server in self._endpoint_numbers or server in self.banned or server in self._removed_names
+    def _is_known(self, endpoint: str) -> bool:
+        return (
+            endpoint in self._endpoint_numbers or endpoint in self.banned or endpoint in self._removed_names
+        )
 
     def run_due_timers(self) -> None:
         now = self._clock()
@@ -410,7 +416,7 @@
 
     @property
     def in_flight(self) -> int:
-        return sum(1 for ticket in self._handles.values() if not ticket.answered)
+        return sum(1 for handle in self._handles.values() if not handle.answered)
 
     @property
     def tracked(self) -> int:
@@ -418,30 +424,30 @@
 
     # What the module's actions become.
 
-    def _command(self, job: int, order: RequestCommand) -> None:
-        ticket = self._handles[job]
-        ticket.commands.put_nowait(order)
-        if isinstance(order, CancelAttempt):
-            ticket.cancelled.add(order.attempt)
-        if isinstance(order, RejectRequest | FailRequest):
-            ticket.answered = True
-            self._release(ticket)
-
-    def _send_attempt(self, job: int, server: int, within: float) -> None:
-        ticket = self._handles[job]
-        dispatch = len(ticket.endpoints)
-        ticket.endpoints.append(server)
-        ticket.in_flight.add(dispatch)
-        self._command(job, SendAttempt(dispatch, self._endpoint_names[server], self._clock() + within))
-
-    def _send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
+    def _command(self, request: int, command: RequestCommand) -> None:
+        handle = self._handles[request]
+        handle.commands.put_nowait(command)
+        if isinstance(command, CancelAttempt):
+            handle.cancelled.add(command.attempt)
+        if isinstance(command, RejectRequest | FailRequest):
+            handle.answered = True
+            self._release(handle)
+
+    def _send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        handle = self._handles[request]
+        attempt = len(handle.endpoints)
+        handle.endpoints.append(endpoint)
+        handle.in_flight.add(attempt)
+        self._command(request, SendAttempt(attempt, self._endpoint_names[endpoint], self._clock() + timeout))
+
+    def _send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
         # Numbers are never given out again: a server that has left the list is told of without a tag.
-        tags = [endpoint_hash(self._endpoint_names.get(each.endpoint, "")) for each in told]
-        words = [
-            OutcomeReport(tag, each.age, each.success, each.seconds)
-            for tag, each in zip(tags, told, strict=True)
+        hashes = [endpoint_hash(self._endpoint_names.get(outcome.endpoint, "")) for outcome in outcomes]
+        reports = [
+            OutcomeReport(name_hash, outcome.age, outcome.success, outcome.seconds)
+            for name_hash, outcome in zip(hashes, outcomes, strict=True)
         ]
-        self._node_commands.put_nowait(SendGossip(peer, self._gossip.encode(newest, words)))
+        self._node_commands.put_nowait(SendGossip(peer, self._gossip.encode(newest, reports)))
 
     def _set_timer(self, delay: float, token: int) -> None:
         heapq.heappush(self._timers, (self._clock() + delay, token))
@@ -454,39 +460,45 @@
 
     # Numbers for names.
 
-    def _release(self, ticket: RequestHandle) -> None:
-        if ticket.answered and not ticket.in_flight:
-            self._handles.pop(ticket.number, None)
+    def _release(self, handle: RequestHandle) -> None:
+        if handle.answered and not handle.in_flight:
+            self._handles.pop(handle.number, None)
 
-    def _number_request_classes(self, terms: BalancerSettings, names: SettingNames) -> None:
+    def _number_request_classes(self, settings: BalancerSettings, names: SettingNames) -> None:
         """A number for each profile, and one for its copy that a job gets whose method and key contradict it.
 
         A profile that has changed is another one: a number never changes its meaning.
         """
-        kinds: dict[str, NumberedClass] = {}
-        for name, profile in zip(names.request_classes, terms.request_classes, strict=False):
-            kind = self._request_classes.get(name)
-            if kind is None or kind.request_class != profile:
-                kind = NumberedClass(profile, self._class_numbers_given, self._class_numbers_given + 1)
+        classes: dict[str, NumberedClass] = {}
+        for name, request_class in zip(names.request_classes, settings.request_classes, strict=False):
+            numbered = self._request_classes.get(name)
+            if numbered is None or numbered.request_class != request_class:
+                numbered = NumberedClass(
+                    request_class, self._class_numbers_given, self._class_numbers_given + 1
+                )
                 self._class_numbers_given += 2
-            kinds[name] = kind
-        self._request_classes = kinds
+            classes[name] = numbered
+        self._request_classes = classes
 
     def _numbered_classes(self) -> dict[int, RequestClass]:
-        kinds = self._request_classes
-        numbered = {kind.number: kind.request_class for kind in kinds.values()}
-        cautious = {
-            kind.non_idempotent_number: replace(kind.request_class, idempotency=Idempotency.NON_IDEMPOTENT)
-            for kind in kinds.values()
+        classes = self._request_classes
+        numbered = {numbered.number: numbered.request_class for numbered in classes.values()}
+        non_idempotent = {
+            numbered.non_idempotent_number: replace(
+                numbered.request_class, idempotency=Idempotency.NON_IDEMPOTENT
+            )
+            for numbered in classes.values()
         }
-        return numbered | cautious
+        return numbered | non_idempotent
 
-    def _class_number(self, ask: RequestSpec) -> int:
-        kind = self._request_classes.get(ask.request_class)
-        if kind is None:
+    def _class_number(self, spec: RequestSpec) -> int:
+        numbered = self._request_classes.get(spec.request_class)
+        if numbered is None:
             return UNKNOWN
         return (
-            kind.number if kind.request_class.idempotency is ask.idempotency else kind.non_idempotent_number
+            numbered.number
+            if numbered.request_class.idempotency is spec.idempotency
+            else numbered.non_idempotent_number
         )
 
     def _entry(self, listed: ListedEndpoint) -> EndpointEntry:
@@ -500,35 +512,35 @@
         number = self._endpoint_numbers[listed.name]
         # Guards against repeats outside the group: servers of an unknown cell or zone share it with nobody.
         zone = self._zones.setdefault(listed.zone, len(self._zones)) if listed.zone else -1 - number
-        cell = -1 - number if listed.deduplication_group is None else listed.deduplication_group
-        tag = endpoint_hash(listed.name)
+        group = -1 - number if listed.deduplication_group is None else listed.deduplication_group
+        name_hash = endpoint_hash(listed.name)
         started_at = self._start_times.started_at(listed.name, listed.started_at, self._clock(), self._wall())
-        return EndpointEntry(number, listed.state, started_at, zone, cell, name_hash=tag)
+        return EndpointEntry(number, listed.state, started_at, zone, group, name_hash=name_hash)
 
 
 class _EngineHost:
     """The module's Host: its actions become orders."""
 
-    def __init__(self, decider: BalancerEngine) -> None:
-        self._engine = decider
+    def __init__(self, engine: BalancerEngine) -> None:
+        self._engine = engine
 
     def now(self) -> float:
         return self._engine._clock()
 
-    def send_attempt(self, job: int, server: int, within: float) -> None:
-        self._engine._send_attempt(job, server, within)
+    def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        self._engine._send_attempt(request, endpoint, timeout)
 
-    def cancel_attempt(self, job: int, dispatch: int) -> None:
-        self._engine._command(job, CancelAttempt(dispatch))
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        self._engine._command(request, CancelAttempt(attempt))
 
-    def send_probe(self, server: int) -> None:
-        self._engine._node_commands.put_nowait(SendProbe(self._engine._endpoint_names[server]))
+    def send_probe(self, endpoint: int) -> None:
+        self._engine._node_commands.put_nowait(SendProbe(self._engine._endpoint_names[endpoint]))
 
-    def reject(self, job: int, come_back_in: float) -> None:
-        self._engine._command(job, RejectRequest(come_back_in))
+    def reject(self, request: int, retry_after: float) -> None:
+        self._engine._command(request, RejectRequest(retry_after))
 
-    def fail(self, job: int) -> None:
-        self._engine._command(job, FailRequest())
+    def fail(self, request: int) -> None:
+        self._engine._command(request, FailRequest())
 
     def set_timer(self, delay: float, token: int) -> None:
         self._engine._set_timer(delay, token)
@@ -536,8 +548,10 @@
     def poll_list(self) -> None:
         self._engine._node_commands.put_nowait(PollList())
 
-    def report_ejection(self, server: int, seconds: float) -> None:
-        self._engine._node_commands.put_nowait(ReportEjection(self._engine._endpoint_names[server], seconds))
+    def report_ejection(self, endpoint: int, seconds: float) -> None:
+        self._engine._node_commands.put_nowait(
+            ReportEjection(self._engine._endpoint_names[endpoint], seconds)
+        )
 
-    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
-        self._engine._send_gossip(peer, newest, told)
+    def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
+        self._engine._send_gossip(peer, newest, outcomes)
--- a/notchjunction/balancing/outcome_gossip.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -44,44 +44,47 @@
         self._newest_by_peer: OrderedDict[int, tuple[int, int]] = OrderedDict()
         self.ignored = 0
 
-    def encode(self, newest: int, words: Sequence[OutcomeReport]) -> bytes:
-        words = words[:ITEMS_MOST]
-        head = HEAD.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(words))
+    def encode(self, newest: int, reports: Sequence[OutcomeReport]) -> bytes:
+        reports = reports[:ITEMS_MOST]
+        head = HEAD.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(reports))
         return head + b"".join(
             ITEM.pack(
-                word.endpoint_hash,
-                min(max(0, round(word.age * 100)), 0xFFFF),
-                min(max(0, round(word.latency * 1000)), 0xFFFF),
-                word.success,
+                report.endpoint_hash,
+                min(max(0, round(report.age * 100)), 0xFFFF),
+                min(max(0, round(report.latency * 1000)), 0xFFFF),
+                report.success,
             )
-            for word in words
+            for report in reports
         )
 
-    def decode(self, peer: int, note: bytes) -> list[OutcomeReport]:
+    def decode(self, peer: int, datagram: bytes) -> list[OutcomeReport]:
         """What is new in a note, oldest first; nothing where it can't be read."""
-        if len(note) < HEAD.size or len(note) > MOST or note[0] != VERSION:
+        if len(datagram) < HEAD.size or len(datagram) > MOST or datagram[0] != VERSION:
             self.ignored += 1
             return []
-        _, start, newest, count = HEAD.unpack_from(note)
-        if len(note) != HEAD.size + count * ITEM.size:
+        _, start, newest, count = HEAD.unpack_from(datagram)
+        if len(datagram) != HEAD.size + count * ITEM.size:
             self.ignored += 1
             return []
-        known, had = self._newest_by_peer.pop(peer, (start, 0))
+        known, last_known = self._newest_by_peer.pop(peer, (start, 0))
         # Guards against an earlier start's numbers hiding what a peer tells after its restart.
-        had = had if known == start else 0
-        self._newest_by_peer[peer] = (start, max(had, newest))
+        last_known = last_known if known == start else 0
+        self._newest_by_peer[peer] = (start, max(last_known, newest))
         if len(self._newest_by_peer) > PEERS_KEPT:
             self._newest_by_peer.popitem(last=False)
         # Guards against counting an outcome twice: notes overlap, and may come doubled or out of order.
-        new = min(count, max(0, newest - had))
-        items = list(ITEM.iter_unpack(note[HEAD.size :]))[:new]
-        return [OutcomeReport(tag, ago / 100, good == 1, ms / 1000) for tag, ago, ms, good in reversed(items)]
+        new = min(count, max(0, newest - last_known))
+        items = list(ITEM.iter_unpack(datagram[HEAD.size :]))[:new]
+        return [
+            OutcomeReport(name_hash, age / 100, success == 1, latency_ms / 1000)
+            for name_hash, age, latency_ms, success in reversed(items)
+        ]
 
-    def peer_outcomes(self, peer: int, note: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
+    def peer_outcomes(self, peer: int, datagram: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
         """What is new in it of the host's own servers, whose numbers are given by their tags."""
-        words = self.decode(peer, note)
+        reports = self.decode(peer, datagram)
         return [
-            PeerOutcome(numbers[word.endpoint_hash], *word[1:])
-            for word in words
-            if word.endpoint_hash in numbers
+            PeerOutcome(numbers[report.endpoint_hash], *report[1:])
+            for report in reports
+            if report.endpoint_hash in numbers
         ]
--- a/notchjunction/balancing/records.py
+++ b/notchjunction/balancing/records.py
@@ -81,12 +81,12 @@
             "wait": [self.probe_latency, min(now - self.probe_ended_at, LONG_AGO)],
         }
 
-    def restore_state(self, lessons: Mapping[str, Any], now: float) -> None:
-        self.recent_successes.extend(bool(good) for good in lessons["last"])
-        self.recent_latencies.extend(float(seconds) for seconds in lessons["seconds"])
-        self.ejected_until = max(self.ejected_until, now + float(lessons["back_in"]))
-        wait, ago = lessons["wait"]
-        self.probe_latency, self.probe_ended_at = float(wait), now - float(ago)
+    def restore_state(self, learned_state: Mapping[str, Any], now: float) -> None:
+        self.recent_successes.extend(bool(success) for success in learned_state["last"])
+        self.recent_latencies.extend(float(seconds) for seconds in learned_state["seconds"])
+        self.ejected_until = max(self.ejected_until, now + float(learned_state["back_in"]))
+        probe, age = learned_state["wait"]
+        self.probe_latency, self.probe_ended_at = float(probe), now - float(age)
 
 
 @dataclass(slots=True, eq=False)
--- a/notchjunction/balancing/throughput.py
+++ b/notchjunction/balancing/throughput.py
@@ -25,14 +25,14 @@
         self._stretch: list[float] = []
         self._calm: deque[float] = deque(maxlen=CALM_MOST)
 
-    def record_success(self, contract_time: float, seconds: float, now: float) -> None:
+    def record_success(self, latency_objective: float, latency: float, now: float) -> None:
         """A server has done a job in so many seconds."""
-        self._answers.append((now, contract_time))
-        self.record_latency(seconds, now)
+        self._answers.append((now, latency_objective))
+        self.record_latency(latency, now)
 
-    def record_latency(self, seconds: float, now: float) -> None:
+    def record_latency(self, latency: float, now: float) -> None:
         """A server has done a job, of this node or of a peer, in so many seconds."""
-        self._stretch.append(seconds)
+        self._stretch.append(latency)
         if len(self._stretch) >= STRETCH_LEAST and now >= self._stretch_ends:
             self._calm.append(median(self._stretch, 1.0))
             self._stretch, self._stretch_ends = [], now + RATE_SPAN
@@ -42,13 +42,19 @@
         self._prune(now)
         return len(self._answers) / RATE_SPAN
 
-    def capacity(self, hold_share: float, calm_times: float, now: float) -> float:
+    def capacity(self, objective_share: float, stable_multiple: float, now: float) -> float:
         """Jobs out that this rate clears within so much of their contract time, or so many calm times."""
         self._prune(now)
         span = min(RATE_SPAN, max(now - self._began, RATE_LEAST))
         # Guards against servers that turn slow from holding too much, long before the contract time is full.
-        most = calm_times * min(self._calm, default=math.inf)
-        return sum(min(contract * hold_share, most) for _, contract in self._answers) / span
+        max_per_request = stable_multiple * min(self._calm, default=math.inf)
+        return (
+            sum(
+                min(latency_objective * objective_share, max_per_request)
+                for _, latency_objective in self._answers
+            )
+            / span
+        )
 
     def is_stable(self) -> bool:
         return len(self._calm) > 1 and self._calm[-1] <= SLOWER_TIMES * min(self._calm)
@@ -58,14 +64,17 @@
         self._prune(now)
         return {
             "began": now - self._began,
-            "answers": [[now - at, contract] for at, contract in self._answers],
+            "answers": [[now - at, latency_objective] for at, latency_objective in self._answers],
             "calm": list(self._calm),
         }
 
-    def restore_state(self, lessons: Mapping[str, Any], now: float) -> None:
-        self._began = now - float(lessons["began"])
-        self._answers.extend((now - float(ago), float(contract)) for ago, contract in lessons["answers"])
-        self._calm.extend(float(seconds) for seconds in lessons["calm"])
+    def restore_state(self, learned_state: Mapping[str, Any], now: float) -> None:
+        self._began = now - float(learned_state["began"])
+        self._answers.extend(
+            (now - float(age), float(latency_objective))
+            for age, latency_objective in learned_state["answers"]
+        )
+        self._calm.extend(float(latency) for latency in learned_state["calm"])
 
     def _prune(self, now: float) -> None:
         while self._answers and self._answers[0][0] < now - RATE_SPAN:
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -141,7 +141,7 @@
         self, seconds: Mapping[int, float], result: AttemptResult = AttemptResult.SUCCEEDED
     ) -> None:
         """Traffic until those named, else all, have been probed; an answer takes as told, or 5 ms."""
-        missing, seen = set(seconds) or set(self.core._servers), len(self.did)
+        missing, seen = set(seconds) or set(self.core._endpoints), len(self.did)
         while missing:
             self.serve(1, every=0.01)
             rows, seen = [row for row in self.did[seen:] if row[0] == "send_probe"], len(self.did)
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -392,24 +392,24 @@
     sent = [host.sent(job)[0] for job in jobs]
     number = max(set(sent), key=sent.count)
     stays = [job for job, to in zip(jobs, sent, strict=True) if to == number]
-    server = host.core._servers[number]
+    server = host.core._endpoints[number]
     host.advance(0.3)
     for job in set(jobs) - set(stays):
         host.end(job)  # the others answer
     host.advance(0.3)
-    assert server in host.core._silent(host.clock)
+    assert server in host.core._unresponsive(host.clock)
     host.end(stays[1], result)
-    assert (server in host.core._silent(host.clock)) is silent
+    assert (server in host.core._unresponsive(host.clock)) is silent
 
 
 def test_a_probe_that_fails_at_once_is_not_taken_for_a_quick_one() -> None:
     host = FakeHost(3, node_count=9, probes=False)
     for server, seconds in ((0, 0.1), (1, 0.1), (2, 0.1), (0, 0.5)):
-        host.core._ready = [host.core._servers[server]]
-        host.core._probe()
+        host.core._active = [host.core._endpoints[server]]
+        host.core._send_next_probe()
         host.advance(seconds)
         host.answer(server)
-    host.core._probe()  # to server 0 again
+    host.core._send_next_probe()  # to server 0 again
     host.core.probe_ended(0, AttemptResult.NO_CONNECTION, None)
     host.list_servers(2, state=EndpointState.DRAINING)
     host.advance(0.2)
@@ -422,7 +422,7 @@
     host.serve(100)
     jobs = [host.take(time_left=20.0) for _ in range(200)]
     out = [host.sent(job)[0] for job in jobs if host.sent(job)]
-    host.core._servers[0].ejected_until = host.clock + 5.0
+    host.core._endpoints[0].ejected_until = host.clock + 5.0
     more = [host.take(time_left=20.0) for _ in range(200)]
     assert 0 < out.count(0) <= len([job for job in more if host.sent(job)])
 
@@ -464,7 +464,7 @@
     swallow(host)
     host.serve(10, every=0.06)
     jobs = [host.take() for _ in range(6)]
-    assert host.core._silent(host.clock)
+    assert host.core._unresponsive(host.clock)
     assert all(host.sent(job) != [0] for job in jobs)
 
 
@@ -576,7 +576,7 @@
     last = host.take(time_left=1.9, repeat=True)
     first = host.take(time_left=0.8)
     assert host.sent(last) and host.sent(first)
-    while not host.core._scarce(host.clock):
+    while not host.core._is_capacity_scarce(host.clock):
         host.take(time_left=1.9, repeat=True)
     last = host.take(time_left=1.9, repeat=True)
     first = host.take(time_left=0.8)
@@ -613,9 +613,9 @@
     jobs = [host.take(), host.take(), host.take()]
     for job in jobs[:2]:
         host.end(job)
-    assert host.core._linked(host.core._servers[0], host.clock)
+    assert host.core._linked(host.core._endpoints[0], host.clock)
     host.end(jobs[2], AttemptResult.RESET)
-    assert not host.core._linked(host.core._servers[0], host.clock)
+    assert not host.core._linked(host.core._endpoints[0], host.clock)
 
 
 def test_a_late_report_brings_no_dropped_server_back() -> None:
@@ -647,14 +647,16 @@
     given_back = host.clock
     host.core.ban_changed(0, False)
     assert host.did[-1] == ("send_probe", 0) and host.count("send_probe") == probes + 1
-    server = host.core._servers[0]
+    server = host.core._endpoints[0]
     assert (
-        not server.recent_successes and not server.in_flight and host.core._is_cold(server, host.clock + 9.0)
+        not server.recent_successes
+        and not server.in_flight
+        and host.core._is_warming_up(server, host.clock + 9.0)
     )
     host.list_servers(0, started_at=0.0)  # word from before the ban
-    assert host.core._is_cold(host.core._servers[0], host.clock + 9.0)
+    assert host.core._is_warming_up(host.core._endpoints[0], host.clock + 9.0)
     host.list_servers(0, started_at=given_back - 2.0)  # it started while it was out: the list tells when
-    assert not host.core._is_cold(host.core._servers[0], given_back + 9.0)
+    assert not host.core._is_warming_up(host.core._endpoints[0], given_back + 9.0)
     host.serve(100)
     sent = [at for at, server in host.sent_at if server == 0 and at > given_back]
     assert sent and sent[0] < given_back + 5.0 and len(sent) < 25
@@ -664,10 +666,10 @@
     host = FakeHost(slow_start_time=10.0)
     host.core.ban_changed(1, True)
     host.list_servers(1, started_at=host.clock + 1.0)
-    assert [server.entry.number for server in host.core._ready] == [0, 2, 3]
+    assert [server.entry.number for server in host.core._active] == [0, 2, 3]
     host.advance(2.0)
     host.core.ban_changed(1, False)
-    assert host.core._servers[1].entry.started_at == 1001.0 and len(host.core._ready) == 4
+    assert host.core._endpoints[1].entry.started_at == 1001.0 and len(host.core._active) == 4
 
 
 def test_a_late_report_of_a_server_taken_out_brings_it_no_job() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -83,20 +83,20 @@
 
     def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
-        host.reject = lambda job, come_back_in: None  # type: ignore[method-assign]
+        host.reject = lambda request, retry_after: None  # type: ignore[method-assign]
 
 
 class Twice(Balancer):
     """Sends again whatever was reset, and turns back what it gives up."""
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
-        held = self._held.get(outcome.request)
+        held = self._pending.get(outcome.request)
         if held is not None and outcome.result is AttemptResult.RESET:
-            other = next(server for server in self._ready if server.entry.number != outcome.endpoint)
+            other = next(server for server in self._active if server.entry.number != outcome.endpoint)
             self._host.send_attempt(outcome.request, other.entry.number, 1.0)
         super().attempt_ended(outcome)
 
-    def _turn_back_is_harmless(self, held: object) -> bool:
+    def _is_rejection_safe(self, held: object) -> bool:
         return True
 
 
@@ -133,21 +133,21 @@
 class Eager(Balancer):
     """Takes each server for warm."""
 
-    def _is_cold(self, server: object, now: float) -> bool:
+    def _is_warming_up(self, endpoint: object, now: float) -> bool:
         return False
 
 
 class Stubborn(Balancer):
     """Knows no budget for further dispatches."""
 
-    def _budget_left(self) -> bool:
+    def _has_retry_budget(self) -> bool:
         return True
 
 
 class Blind(Balancer):
     """Probes nothing."""
 
-    def _probe(self) -> None:
+    def _send_next_probe(self) -> None:
         pass
 
 
@@ -158,9 +158,9 @@
         super().__init__(terms, host)
         once = host.reject
 
-        def turn_back(job: int, come_back_in: float) -> None:
-            once(job, come_back_in)
-            host.fail(job)
+        def turn_back(request: int, retry_after: float) -> None:
+            once(request, retry_after)
+            host.fail(request)
 
         host.reject = turn_back  # type: ignore[method-assign]
 
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -289,15 +289,15 @@
     new.decider.restore_state(lessons)
     before, after = old.decider._balancer, new.decider._balancer
     assert isinstance(before, Balancer) and isinstance(after, Balancer)
-    assert after._clearing.rate(new.clock) == before._clearing.rate(old.clock) == 10.0
-    assert after._room() == pytest.approx(before._room(), rel=0.3)
-    assert after._quick(0) == before._quick(0) > 0
-    records = {name: after._servers[number] for name, number in new.decider._endpoint_numbers.items()}
+    assert after._throughput.rate(new.clock) == before._throughput.rate(old.clock) == 10.0
+    assert after._capacity() == pytest.approx(before._capacity(), rel=0.3)
+    assert after._fast_latency(0) == before._fast_latency(0) > 0
+    records = {name: after._endpoints[number] for name, number in new.decider._endpoint_numbers.items()}
     assert not records["s9"].recent_successes
     for name in ("s2", "s3"):
         assert (
             records[name].recent_successes
-            == before._servers[old.decider._endpoint_numbers[name]].recent_successes
+            == before._endpoints[old.decider._endpoint_numbers[name]].recent_successes
         )
     for broken in ({}, {**lessons, "clearing": {}}, {**lessons, "spent": 5}):
         with pytest.raises((KeyError, TypeError, ValueError)):
@@ -308,7 +308,7 @@
     old, new = Story(), Story()
     core = old.decider._balancer
     assert isinstance(core, Balancer)
-    core._servers[1].ejected_until = old.clock + 2.0
+    core._endpoints[1].ejected_until = old.clock + 2.0
     new.decider.restore_state(old.decider.export_state())
     sent = [
         order.endpoint
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -642,11 +642,11 @@
     host = FakeHost(servers=1)
     host.serve(20)
     job = large(host)
-    assert len(host.sent(job)) == 1 and not host.core._servers[0].in_flight
+    assert len(host.sent(job)) == 1 and not host.core._endpoints[0].in_flight
     host.advance(30.0)
     assert not host.finals(job)
     host.core.body_completed(job)
-    assert len(host.core._servers[0].in_flight) == 1
+    assert len(host.core._endpoints[0].in_flight) == 1
     host.advance(1.9)
     assert not host.finals(job)
     host.advance(0.2)
@@ -686,12 +686,12 @@
     host.core.response_started(job, 1)
     assert ("cancel_attempt", job, 0) in host.did
     second = host.sent(job)[1]
-    assert not host.core._servers[second].in_flight and slow != second
+    assert not host.core._endpoints[second].in_flight and slow != second
     host.core.attempt_ended(AttemptOutcome(job, 0, slow, AttemptResult.CANCELLED, 0.1))
     host.advance(30.0)
     assert not host.finals(job) and len(host.sent(job)) == 2
     host.core.attempt_ended(AttemptOutcome(job, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
-    assert not host.finals(job) and job not in host.core._held
+    assert not host.finals(job) and job not in host.core._pending
 
 
 def test_operators_are_answered_at_once_while_bodies_pass() -> None:
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -167,11 +167,11 @@
     retune(story, new=profile(ONCE), plain=PLAIN)
     kinds = story.decider._request_classes
     core: Any = story.decider._balancer
-    assert len(core._spent[kinds["plain"].number]) == 8 and not core._spent[kinds["new"].number]
+    assert len(core._latencies[kinds["plain"].number]) == 8 and not core._latencies[kinds["new"].number]
     for _ in range(50):
         retune(story, plain=profile(ONCE))
         retune(story, plain=PLAIN)
-    assert len(core._spent) == len(core._lefts) == len(core._profiles) == 2  # nothing grows
+    assert len(core._latencies) == len(core._times_left) == len(core._request_classes) == 2  # nothing grows
 
 
 @pytest.mark.parametrize(("before", "after", "most"), [(5, 2, 2), (2, 5, 2)])
@@ -266,7 +266,7 @@
     retuned = replace(TERMS, zone=1)
     story.decider.apply_settings(retuned, SettingNames(["plain"], [], ["b", "a"]))
     core: Any = story.decider._balancer
-    assert core._terms.zone == 0
+    assert core._settings.zone == 0
     ticket = story.take()
     assert isinstance(story.orders(ticket)[0], SendAttempt)
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -168,8 +168,8 @@
 class Lavish(Balancer):
     """Each node takes the budget of a cold server for itself alone, and keeps to it."""
 
-    def _cold_left(self, server: Endpoint, now: float) -> float:
-        return self._terms.node_count * super()._cold_left(server, now)
+    def _slow_start_credit(self, server: Endpoint, now: float) -> float:
+        return self._settings.node_count * super()._slow_start_credit(server, now)
 
 
 @pytest.mark.parametrize("window", [(16.9, False), (17.2, True)])
