--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -23,15 +23,14 @@
     AttemptResult,
     BalancerHost,
     BalancerSettings,
-    DeduplicationScope,
     EndpointEntry,
-    Idempotency,
     ListUpdate,
     LoadReport,
     NewRequest,
     PeerOutcome,
     RequestClass,
 )
+from notchjunction.balancing.recent_events import EVENT_SPAN_S, RecentEvents
 from notchjunction.balancing.records import (
     LAST_FEW,
     Attempt,
@@ -43,13 +42,20 @@
     TypicalLatencies,
     median,
 )
+from notchjunction.balancing.retry_policy import (
+    NEVER_RAN,
+    RetryBudget,
+    is_endpoint_fault,
+    is_rejection_safe,
+    repeatable_until,
+)
+from notchjunction.balancing.slow_start import MAX_EVEN_SHARES, SlowStart, begin_credit, spend_credit
+from notchjunction.balancing.tenant_quota import TenantQuotas
 from notchjunction.balancing.throughput import ServedRate, ThroughputEstimate
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import renewal_pause
 
 # Constants: unit, and why this size.
-RETRY_SHARE = 0.2  # retries per first send; the design's upper bound, rounded down, no floor
-RETRY_SPAN = 10.0  # s over which that share holds; the design's bound, long enough for nodes with few jobs
 PROBE_EVERY = 5  # first sends a probe; twice the design's least, so that two fresh answers are the usual case
 FAMILIAR = 12  # servers a node keeps connections to where they are priced; enough to find two that are free
 PROBE_SPAN = 2.5  # s between probes without sends; half the design's most, to survive one lost answer
@@ -75,14 +81,10 @@
 FLOOR_EACH = 6.0  # jobs that all nodes send an able server before anything is learned: a small machine's
 FLOOR_CALM = 9.0  # the same while answers come in calm times; servers that do well hold more
 CROWD_SHARE = 0.35  # of the contract time that the middle job may take; a few times that, and many are late
-SERVER_SPREAD = 2.0  # times an even share of the node's jobs that one server may hold; unequal machines
 OVERDUE_TIMES = 8.0  # times the usual seconds before a second copy; rarer than a large job on a sound server
 OVERDUE_SHARE = 0.5  # of the contract time at most, beside clients; the rest is for the next server
 PATIENCE = 4.0  # times the usual seconds before a dispatch counts as unanswered; jobs differ in size
 SILENT_MOST = 0.5  # share of ready servers passed over as silent at most; more is a trouble common to all
-COLD_CARE = 0.6  # of the cold budget used; jobs differ in size, servers in speed, and nodes may coincide
-COLD_SPAN = 3.0  # s in which all nodes together may send a warm server one job, whatever they learned
-COLD_SPREAD = 0.25  # of a send, at random, by which nodes wait more or less, so as not to fall in step
 NEAR_WORTH = 20.0  # times the far server's score, for a crossing price of 1, that a near one may be worse
 NEAR_SPARE = 0.5  # of an even share of own jobs out that does not count against a near server; it is chance
 GUARD_TICKS = 2  # host ticks before the abandon time at which the last answer is given
@@ -121,11 +123,10 @@
         self._pending: dict[int, PendingRequest] = {}
         self._in_flight: dict[tuple[int, int], Attempt] = {}
         self._queue: list[PendingRequest] = []
-        self._firsts: deque[tuple[float]] = deque()
-        self._retries: deque[tuple[float]] = deque()
+        self._retry_budget = RetryBudget()
         self._recent: deque[Attempt] = deque()
         self._own: deque[tuple[float, RecentOutcome]] = deque(maxlen=TOLD_MOST)
-        self._notes: deque[tuple[float]] = deque()
+        self._peer_reports = RecentEvents()
         self._throughput, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
         self._links: deque[tuple[float, bool]] = deque(maxlen=LAST_FEW)
         self._latencies: dict[int, deque[float]] = {}
@@ -145,7 +146,7 @@
     def gossip_received(self, outcomes: Sequence[PeerOutcome]) -> None:
         """Outcomes that a peer tells of: they make this node careful, and open or prove nothing."""
         now = self._host.now()
-        self._notes.append((now,))
+        self._peer_reports.record(now)
         for peer_outcome in outcomes:
             endpoint, at = self._endpoints.get(peer_outcome.endpoint), now - peer_outcome.age
             # Guards against judging a server by what it was before its start, or by older than own news.
@@ -183,8 +184,9 @@
         # The first tier alone: what a deeper one turns away has had work spent on it above.
         self._calm_times = math.inf if settings.tier else CALM_TIMES
         self._young_share = YOUNG_SHARE * tiers_left / max(1, settings.tier_count)
-        self._quotas = () if settings.tier else settings.tenant_quotas  # the first tier's matter
-        self._asked: list[deque[tuple[float]]] = [deque() for _ in self._quotas]
+        # Quotas are the first tier's matter.
+        self._tenant_quotas = TenantQuotas(() if settings.tier else settings.tenant_quotas)
+        self._slow_start = SlowStart(settings)
         self._revenue = (
             sum(request_class.priority_weight for request_class in request_classes.values())
             / max(1, len(request_classes))
@@ -207,8 +209,8 @@
         request_class = self._request_classes.get(request.request_class, UNKNOWN_PROFILE)
         age = self._age(request, request_class, now)
         contract_end = now - age + min(request_class.latency_objective, request_class.deadline)
-        past_share, key = (
-            self._past_share(request.tenant, now),
+        over_quota, key = (
+            self._is_over_quota(request.tenant, now),
             request.affinity_key if self._settings.key_affinity else "",
         )
         most, end = self._settings.max_attempts, now + request.time_left
@@ -220,7 +222,7 @@
             now,
             contract_end,
             end,
-            past_share,
+            over_quota,
             request.complete,
             key,
         )
@@ -274,8 +276,7 @@
             if outcome.final:
                 self._step(pending, RequestEvent.COMPLETED)
             else:
-                owned = OWNED_DEEPEST if self._deepest else OWNED_ANYWHERE
-                fault = outcome.result in owned or attempt.cancelled_for_retry
+                fault = is_endpoint_fault(outcome.result, self._deepest) or attempt.cancelled_for_retry
                 self._step(pending, RequestEvent.ENDPOINT_FAULT if fault else RequestEvent.OTHER_FAILURE)
         self._turn()
 
@@ -388,7 +389,7 @@
 
     def _find_cold(self) -> None:
         now = self._host.now()
-        self._cold = [endpoint for endpoint in self._active if self._is_warming_up(endpoint, now)]
+        self._cold = [endpoint for endpoint in self._active if self._slow_start.is_warming_up(endpoint, now)]
 
     # The loop and what it reads.
 
@@ -469,19 +470,15 @@
     def _others_out(self, pending: PendingRequest) -> bool:
         return any(attempt.in_flight for attempt in pending.attempts)
 
-    def _lately(self, kept: deque[tuple[float]]) -> int:
-        """How many of these there were in the span of the retries' budget."""
-        self._prune(kept, self._host.now() - RETRY_SPAN)
-        return len(kept)
-
-    def _has_retry_budget(self) -> bool:
-        return self._lately(self._retries) + 1 <= RETRY_SHARE * self._lately(self._firsts)
-
     def _may_retry(self, pending: PendingRequest) -> bool:
         most = min(
             pending.max_attempts, self._settings.max_attempts
         )  # the stricter, if the terms have changed
-        if not self._has_retry_budget() or len(pending.attempts) >= most or self._hopeless(pending):
+        if (
+            not self._retry_budget.allows_retry(self._host.now())
+            or len(pending.attempts) >= most
+            or self._hopeless(pending)
+        ):
             return False
         pending.chosen_endpoint = self._pick(pending)
         return pending.chosen_endpoint is not None
@@ -513,14 +510,14 @@
     def _send_first(self, pending: PendingRequest) -> None:
         if pending in self._queue:
             self._queue.remove(pending)
-        self._firsts.append((self._host.now(),))
+        self._retry_budget.first_attempts.record(self._host.now())
         self._send(pending)
         self._unprobed += 1
         if self._settings.probes and self._unprobed >= PROBE_EVERY:
             self._send_next_probe()
 
     def _send_again(self, pending: PendingRequest) -> None:
-        self._retries.append((self._host.now(),))
+        self._retry_budget.record_retry(self._host.now())
         self._send(pending)
 
     def _send(self, pending: PendingRequest) -> None:
@@ -535,9 +532,8 @@
         pending.attempts.append(attempt)
         if pending.complete:
             self._fly(attempt, now)
-        if self._is_warming_up(endpoint, now):
-            endpoint.slow_start_credit_from = now
-            endpoint.slow_start_credit_needed = self._random.uniform(1 - COLD_SPREAD, 1 + COLD_SPREAD)
+        if self._slow_start.is_warming_up(endpoint, now):
+            spend_credit(endpoint, now, self._random)
         end = (
             pending.deadline_at
             if pending.request_class.late_weight
@@ -589,7 +585,7 @@
 
     def _pick(self, pending: PendingRequest) -> Endpoint | None:
         now = self._host.now()
-        most = max(2.0, SERVER_SPREAD * self._capacity() / max(1, len(self._active)))
+        most = max(2.0, MAX_EVEN_SHARES * self._capacity() / max(1, len(self._active)))
 
         def fits(endpoint: Endpoint) -> bool:
             return (
@@ -597,7 +593,7 @@
                 and len(endpoint.in_flight) < most
                 and self._is_open(endpoint)
                 and not (
-                    self._is_warming_up(endpoint, now)
+                    self._slow_start.is_warming_up(endpoint, now)
                     and self._slow_start_credit(endpoint, now) < endpoint.slow_start_credit_needed
                 )
                 and not any(attempt.endpoint is endpoint for attempt in pending.attempts)
@@ -671,7 +667,7 @@
     def _familiar(self, now: float) -> list[Endpoint]:
         """Servers with an open connection, where connections are priced or new ones fail; none elsewhere."""
         # Guards against more connections than servers accept, and new ones failing while open ones serve on.
-        self._prune(self._links, now - RETRY_SPAN)
+        self._prune(self._links, now - EVENT_SPAN_S)
         fail = sum(1 for _, made in self._links if not made) > LAST_FEW / 2
         if not fail and self._settings.connection_cost <= 0:
             return []
@@ -780,11 +776,13 @@
             self._usual_now = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
             self._passed_over = self._find_passed_over(now)
             # Kept with them: going through a large fleet for each job costs more than all its decisions.
-            self._cold = [endpoint for endpoint in self._cold if self._is_warming_up(endpoint, now)]
+            self._cold = [
+                endpoint for endpoint in self._cold if self._slow_start.is_warming_up(endpoint, now)
+            ]
             self._warm = len(self._active) - len(self._cold)
             kept_out = dict.fromkeys([*self._set_aside(now), *self._passed_over])
             self._able = self._warm - sum(
-                1 for endpoint in kept_out if not self._is_warming_up(endpoint, now)
+                1 for endpoint in kept_out if not self._slow_start.is_warming_up(endpoint, now)
             )
         return self._usual_now
 
@@ -793,65 +791,23 @@
     def _may_run_on(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> bool:
         """Whether a further dispatch there cannot make an effect happen twice."""
         # Guards against a repeat that is decided on in time, and comes up when its server has forgotten.
-        return now < self._repeat_until(pending, pending.attempts, endpoint) - self._settings.connect_timeout
-
-    def _repeat_until(self, pending: PendingRequest, earlier: Sequence[Attempt], endpoint: Endpoint) -> float:
-        """Until when a dispatch there cannot make an effect happen twice; -inf where it may at once."""
-        request_class = pending.request_class
-        ran = [attempt for attempt in earlier if attempt.may_have_run]
-        if not ran or request_class.idempotency is Idempotency.IDEMPOTENT:
-            return math.inf
-        if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
-            return -math.inf
-        if not all(self._drops_repeats(request_class, attempt.endpoint, endpoint) for attempt in ran):
-            return -math.inf
-        return ran[0].sent_at + request_class.deduplication_window - self._guard
+        until = repeatable_until(pending.request_class, pending.attempts, endpoint, self._guard)
+        return now < until - self._settings.connect_timeout
 
     def repeatable_until(self, request: int, attempt: int) -> float:
-        """The same for a dispatch that was ordered, by what is known now of those before it."""
+        """Return until when (s) an attempt that was sent cannot make an effect happen twice."""
         pending = self._pending.get(request)
         if pending is None:
             return -math.inf
-        return self._repeat_until(pending, pending.attempts[:attempt], pending.attempts[attempt].endpoint)
-
-    def _drops_repeats(self, request_class: RequestClass, first: Endpoint, second: Endpoint) -> bool:
-        near = first.entry.zone == second.entry.zone
-        same = near and (
-            request_class.deduplication_scope is DeduplicationScope.ZONE
-            or first.entry.deduplication_group == second.entry.deduplication_group
-        )
-        return same or request_class.deduplication_scope is DeduplicationScope.ALL
+        earlier, endpoint = pending.attempts[:attempt], pending.attempts[attempt].endpoint
+        return repeatable_until(pending.request_class, earlier, endpoint, self._guard)
 
     def _is_rejection_safe(self, pending: PendingRequest) -> bool:
-        effect, group = pending.request_class.idempotency, pending.request_class.deduplication_scope
-        may_repeat = effect is Idempotency.IDEMPOTENT or (
-            effect is Idempotency.KEYED and group is DeduplicationScope.ALL
-        )
-        return may_repeat or not any(attempt.may_have_run for attempt in pending.attempts)
-
-    def _is_warming_up(self, endpoint: Endpoint, now: float) -> bool:
-        return (
-            endpoint.entry.started_at > 0 and now < endpoint.entry.started_at + self._settings.slow_start_time
-        )
+        return is_rejection_safe(pending.request_class, pending.attempts)
 
     def _slow_start_credit(self, endpoint: Endpoint, now: float) -> float:
-        """Sends that this node's part of the cold budget has come to since the last one there."""
-        self._usual()  # counts the warm ones anew
-        # Guards against one warm server that passes for doing all that the fleet did; none gets so much.
-        part = min(SERVER_SPREAD, len(self._active) / self._warm) if self._warm else 1.0
-        least = 1.0 / (COLD_SPAN * self._settings.node_count * self._settings.process_count)
-        each = max(part * self._take.rate(), least)
-        # Added up as the server warms, and not foretold: many nodes' next sends lie seconds ahead.
-        between = (endpoint.slow_start_credit_from + now) / 2 - endpoint.entry.started_at
-        warmed = min(max(0.0, between) / self._settings.slow_start_time, 1.0)
-        share = self._settings.slow_start_share + (1.0 - self._settings.slow_start_share) * warmed
-        return (
-            (now - endpoint.slow_start_credit_from)
-            * each
-            * share
-            * self._settings.overload_multiple
-            * COLD_CARE
-        )
+        self._usual()  # counts the warm endpoints anew
+        return self._slow_start.credit(endpoint, now, self._take.rate(), len(self._active), self._warm)
 
     # Room, health and the rest.
 
@@ -870,7 +826,9 @@
         if not self._settings.gossips:
             return self._settings.node_count
         # Each outcome of a node is one note to one peer: so many come as a node has outcomes in the mean.
-        return self._settings.node_count * (self._lately(self._notes) + 1) / (self._lately(self._firsts) + 1)
+        now = self._host.now()
+        first_attempts = self._retry_budget.first_attempts.count(now)
+        return self._settings.node_count * (self._peer_reports.count(now) + 1) / (first_attempts + 1)
 
     def _pressing(self, now: float) -> int:
         """Jobs out, still young, and where more may go."""
@@ -965,22 +923,19 @@
     def _fresh(self, entry: EndpointEntry) -> Endpoint:
         now = self._host.now()
         known = self._endpoints[entry.number] = Endpoint(entry)
-        if self._is_warming_up(known, now):
-            known.slow_start_credit_from, known.slow_start_credit_needed = now, self._random.random()
+        if self._slow_start.is_warming_up(known, now):
+            begin_credit(known, now, self._random)
         return known
 
     def _is_open(self, endpoint: Endpoint) -> bool:
         """Whether anything new may go there: the list has it ready, and no operator has it out."""
         return endpoint.entry.state is EndpointState.ACTIVE and endpoint.entry.number not in self._banned
 
-    def _past_share(self, operator: int, now: float) -> bool:
-        if operator >= len(self._quotas) or self._quotas[operator] <= 0:
+    def _is_over_quota(self, tenant: int, now: float) -> bool:
+        quotas = self._tenant_quotas
+        if not quotas.has_quota(tenant):
             return False
-        asked, most = self._asked[operator], self._quotas[operator] * RETRY_SPAN / self._parts()
-        past = self._lately(asked) >= most / self._settings.process_count
-        if not past:
-            asked.append((now,))
-        return past
+        return not quotas.take(tenant, self._parts(), self._settings.process_count, now)
 
     def _age(self, request: NewRequest, request_class: RequestClass, now: float) -> float:
         """How long the client has waited, read off the time left against the longest seen lately."""
@@ -1017,14 +972,6 @@
 
 UNKNOWN_PROFILE = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
 UNHEARD = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
-NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
-OWNED_ANYWHERE = (
-    AttemptResult.REJECTED,
-    AttemptResult.NO_CONNECTION,
-    AttemptResult.RESET,
-    AttemptResult.MALFORMED,
-)
-OWNED_DEEPEST = (*OWNED_ANYWHERE, AttemptResult.ERROR, AttemptResult.TIMED_OUT)
 FAULTS = (
     AttemptResult.ERROR,
     AttemptResult.TIMED_OUT,
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -651,12 +651,12 @@
     assert (
         not server.recent_successes
         and not server.in_flight
-        and host.core._is_warming_up(server, host.clock + 9.0)
+        and host.core._slow_start.is_warming_up(server, host.clock + 9.0)
     )
     host.list_servers(0, started_at=0.0)  # word from before the ban
-    assert host.core._is_warming_up(host.core._endpoints[0], host.clock + 9.0)
+    assert host.core._slow_start.is_warming_up(host.core._endpoints[0], host.clock + 9.0)
     host.list_servers(0, started_at=given_back - 2.0)  # it started while it was out: the list tells when
-    assert not host.core._is_warming_up(host.core._endpoints[0], given_back + 9.0)
+    assert not host.core._slow_start.is_warming_up(host.core._endpoints[0], given_back + 9.0)
     host.serve(100)
     sent = [at for at, server in host.sent_at if server == 0 and at > given_back]
     assert sent and sent[0] < given_back + 5.0 and len(sent) < 25
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 
 import pytest
@@ -14,7 +14,10 @@
     BalancerHost,
     BalancerSettings,
     ListUpdate,
+    RequestClass,
 )
+from notchjunction.balancing.retry_policy import RetryBudget
+from notchjunction.balancing.slow_start import SlowStart
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.emulator import node
@@ -130,18 +133,32 @@
         super().attempt_ended(replace(outcome, final=outcome.final and outcome.request not in self._gone))
 
 
+class NoSlowStart(SlowStart):
+    def is_warming_up(self, endpoint: object, now: float) -> bool:
+        return False
+
+
 class Eager(Balancer):
     """Takes each server for warm."""
 
-    def _is_warming_up(self, endpoint: object, now: float) -> bool:
-        return False
+    def settings_changed(
+        self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
+    ) -> None:
+        super().settings_changed(settings, request_classes)
+        self._slow_start = NoSlowStart(settings)
+
+
+class UnlimitedRetryBudget(RetryBudget):
+    def allows_retry(self, now: float) -> bool:
+        return True
 
 
 class Stubborn(Balancer):
     """Knows no budget for further dispatches."""
 
-    def _has_retry_budget(self) -> bool:
-        return True
+    def __init__(self, settings: BalancerSettings, host: BalancerHost) -> None:
+        super().__init__(settings, host)
+        self._retry_budget = UnlimitedRetryBudget()
 
 
 class Blind(Balancer):
