--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -18,6 +18,7 @@
 from random import Random
 from typing import Any, NamedTuple
 
+from notchjunction.balancing.connection_reuse import ConnectionReuse
 from notchjunction.balancing.interface import (
     AttemptOutcome,
     AttemptResult,
@@ -30,9 +31,9 @@
     PeerOutcome,
     RequestClass,
 )
-from notchjunction.balancing.recent_events import EVENT_SPAN_S, RecentEvents
+from notchjunction.balancing.outlier_ejection import FAILURES, OutlierEjection, ejection_end
+from notchjunction.balancing.recent_events import RecentEvents
 from notchjunction.balancing.records import (
-    LAST_FEW,
     Attempt,
     Endpoint,
     PendingRequest,
@@ -57,7 +58,6 @@
 
 # Constants: unit, and why this size.
 PROBE_EVERY = 5  # first sends a probe; twice the design's least, so that two fresh answers are the usual case
-FAMILIAR = 12  # servers a node keeps connections to where they are priced; enough to find two that are free
 PROBE_SPAN = 2.5  # s between probes without sends; half the design's most, to survive one lost answer
 USUAL_SPAN = 0.1  # s for which the fleet's usual figures stand; short against any trouble
 FRESH_SPAN = 10.0  # s an answer counts; the weight of an old one is small long before
@@ -68,11 +68,6 @@
 WAIT_TIMES = 4.0  # times the usual past which its server counts as slow; past chance and unequal machines
 WAIT_PART = 0.05  # of a job's usual time; a probe that takes less tells of nothing that harms one
 WAIT_SPAN = 3.0  # s that such a probe counts; time to rest, and about the time between two probes of a server
-LAST_ALL = 64  # outcomes kept of all servers together; what is usual, in a second or a few of traffic
-HEALTH_GAP = 0.35  # share of successes by which a server must trail the others; under it is chance in eight
-ASIDE_SPAN = 2.0  # s set aside at least; short against troubles of many seconds, long against a blip
-ASIDE_RANDOM = 2.0  # s more at most, at random, so that nodes do not return together
-ASIDE_MOST = 0.5  # share of ready servers set aside at most; more failing is a trouble common to all
 HOLD_SHARE = 0.5  # of the contract time that jobs out may take to clear; the rest is slack for chance
 YOUNG_SHARE = 0.75  # of the contract time after which a dispatch counts as stuck and takes up no room
 TURN_SPAN = 0.05  # s between looks at waiting jobs without an outcome; short against any contract time
@@ -112,14 +107,12 @@
         self._active: list[Endpoint] = []
         # Of the ready ones, those that a look at all of them would find: a large fleet has few such.
         self._cold: list[Endpoint] = []  # may still be cold
-        self._linked_lately: dict[Endpoint, None] = {}  # may have an open connection of this node
-        self._resting: dict[Endpoint, None] = {}  # may be set aside
         self._waited: deque[tuple[float, Endpoint]] = (
             deque()
         )  # probed within the span that such a wait counts
         self._owed: list[Endpoint] = []
         self._pool: deque[Endpoint] = deque(maxlen=POOL_MOST)
-        self._ends: deque[RecentOutcome] = deque(maxlen=LAST_ALL)
+        self._ejection = OutlierEjection()
         self._pending: dict[int, PendingRequest] = {}
         self._in_flight: dict[tuple[int, int], Attempt] = {}
         self._queue: list[PendingRequest] = []
@@ -128,7 +121,7 @@
         self._own: deque[tuple[float, RecentOutcome]] = deque(maxlen=TOLD_MOST)
         self._peer_reports = RecentEvents()
         self._throughput, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
-        self._links: deque[tuple[float, bool]] = deque(maxlen=LAST_FEW)
+        self._connections = ConnectionReuse(settings)
         self._latencies: dict[int, deque[float]] = {}
         self._times_left: dict[int, deque[tuple[float, bool]]] = {}
         self.settings_changed(settings, dict(enumerate(settings.request_classes)))
@@ -187,6 +180,7 @@
         # Quotas are the first tier's matter.
         self._tenant_quotas = TenantQuotas(() if settings.tier else settings.tenant_quotas)
         self._slow_start = SlowStart(settings)
+        self._connections.apply_settings(settings)
         self._revenue = (
             sum(request_class.priority_weight for request_class in request_classes.values())
             / max(1, len(request_classes))
@@ -260,7 +254,7 @@
         self._landed(attempt)
         if outcome.result not in UNHEARD:
             attempt.endpoint.last_response_at = now
-        self._noted_link(attempt, outcome.result, now)
+        self._connections.record_result(attempt, outcome.result, now)
         if outcome.load is not None:
             self._answered(attempt.endpoint, outcome.load, now)
         ours = attempt.cancelled_for_retry or now - attempt.sent_at >= attempt.latency_objective
@@ -368,7 +362,7 @@
         self._throughput.restore_state(learned_state["clearing"], now)
         for index, known in learned_state["servers"].items():
             self._endpoints[index].restore_state(known, now)
-            self._resting[self._endpoints[index]] = None
+            self._ejection.restore(self._endpoints[index])
             self._waited.append((now, self._endpoints[index]))
         for index, times in learned_state["spent"].items():
             self._latencies[index].extend(float(seconds) for seconds in times)
@@ -379,8 +373,7 @@
         self._active = [endpoint for endpoint in self._endpoints.values() if self._is_open(endpoint)]
         self._owed = [endpoint for endpoint in self._active if endpoint.awaits_first_attempt]
         self._find_cold()
-        # Guards against growing with every server that ever was.
-        self._linked_lately = {endpoint: None for endpoint in self._linked_lately if self._is_known(endpoint)}
+        self._connections.keep_known(self._is_known)
         known = (
             endpoint for endpoint in self._pool if self._endpoints.get(endpoint.entry.number) is endpoint
         )
@@ -524,9 +517,7 @@
         now, endpoint, pending.chosen_endpoint = self._host.now(), pending.chosen_endpoint, None
         assert endpoint is not None
         endpoint.awaits_first_attempt = False
-        connected = self._linked(endpoint, now)
-        if connected and self._settings.streams_per_connection <= 1:
-            endpoint.idle_connections.pop()
+        connected = self._connections.use_connection(endpoint, now)
         attempt = Attempt(endpoint, now, pending.request_class.latency_objective, connected)
         self._in_flight[pending.id, len(pending.attempts)] = attempt
         pending.attempts.append(attempt)
@@ -553,7 +544,7 @@
         attempt.sent_at = now
         self._recent.append(attempt)
         attempt.endpoint.in_flight.append(attempt)
-        self._linked_lately[attempt.endpoint] = None
+        self._connections.record_attempt(attempt.endpoint)
 
     def _landed(self, attempt: Attempt) -> None:
         if attempt in attempt.endpoint.in_flight:
@@ -609,7 +600,7 @@
         )
         if owed is not None:
             return owed
-        known = [endpoint for endpoint in self._familiar(now) if fits(endpoint)]
+        known = [endpoint for endpoint in self._connections.preferred(now, self._is_in_use) if fits(endpoint)]
         pool = known or [endpoint for endpoint in self._pool if fits(endpoint)]
         ready = known or self._active
         choice = self._better(pool, ready, fits, now)
@@ -664,23 +655,6 @@
         fitting = [endpoint for endpoint in ready if fits(endpoint)]
         return self._random.sample(fitting, min(2, len(fitting)))
 
-    def _familiar(self, now: float) -> list[Endpoint]:
-        """Servers with an open connection, where connections are priced or new ones fail; none elsewhere."""
-        # Guards against more connections than servers accept, and new ones failing while open ones serve on.
-        self._prune(self._links, now - EVENT_SPAN_S)
-        fail = sum(1 for _, made in self._links if not made) > LAST_FEW / 2
-        if not fail and self._settings.connection_cost <= 0:
-            return []
-        connected = [endpoint for endpoint in list(self._linked_lately) if self._has_link(endpoint, now)]
-        return connected if fail or len(connected) >= FAMILIAR else []
-
-    def _has_link(self, endpoint: Endpoint, now: float) -> bool:
-        """Whether it is ready and linked; where it has no link at all, it is not looked at again."""
-        connected = self._linked(endpoint, now)
-        if not (connected or endpoint.in_flight):
-            del self._linked_lately[endpoint]
-        return connected and self._is_in_use(endpoint)
-
     def _is_known(self, endpoint: Endpoint) -> bool:
         """Whether it is in the list, and not the record of a server that left or restarted."""
         return self._endpoints.get(endpoint.entry.number) is endpoint
@@ -689,22 +663,6 @@
         """Whether it is one of the ready ones."""
         return self._is_known(endpoint) and self._is_open(endpoint)
 
-    def _linked(self, endpoint: Endpoint, now: float) -> bool:
-        shared = self._settings.streams_per_connection > 1 and len(endpoint.in_flight) > 0
-        return shared or (
-            len(endpoint.idle_connections) > 0
-            and endpoint.idle_connections[-1] > now - self._settings.connection_idle_timeout
-        )
-
-    def _noted_link(self, attempt: Attempt, result: AttemptResult, now: float) -> None:
-        if not attempt.reused_connection and result is not AttemptResult.NOT_SENT:
-            self._links.append((now, result is not AttemptResult.NO_CONNECTION))
-        if result in (AttemptResult.NO_CONNECTION, AttemptResult.RESET):
-            attempt.endpoint.idle_connections.clear()
-        elif result not in (AttemptResult.NOT_SENT, AttemptResult.MALFORMED):
-            attempt.endpoint.idle_connections.append(now)
-            self._linked_lately[attempt.endpoint] = None
-
     def _score(self, endpoint: Endpoint, now: float, spare: float = 0.0) -> float:
         """The answer's load, less as it ages, plus own sends still out, less those spared, by its pace."""
         answer = endpoint.load_report or LoadReport()
@@ -753,12 +711,6 @@
         ]
         return found if len(found) <= SILENT_MOST * len(self._active) else []
 
-    def _set_aside(self, now: float) -> list[Endpoint]:
-        """The ready servers that are set aside."""
-        for endpoint in [endpoint for endpoint in self._resting if endpoint.ejected_until <= now]:
-            del self._resting[endpoint]
-        return [endpoint for endpoint in self._resting if self._is_in_use(endpoint)]
-
     def _takes_more(self, endpoint: Endpoint, now: float) -> bool:
         return endpoint.ejected_until <= now and endpoint not in self._passed_over
 
@@ -768,9 +720,11 @@
             self._usual_until = now + USUAL_SPAN
             self._take.advance(now, self._warm)
             # One time a server: quick servers answer more jobs and would pass for the usual.
-            latest = {end.endpoint.entry.number: end.latency for end in self._ends if end.latency}
+            latest = {
+                end.endpoint.entry.number: end.latency for end in self._ejection.outcomes if end.latency
+            }
             waits = (endpoint.probe_latency for endpoint in self._pool if endpoint.probe_latency)
-            seconds = (end.latency for end in self._ends if end.latency)
+            seconds = (end.latency for end in self._ejection.outcomes if end.latency)
             # Guards against a start that passes for crowded: without news of times, nothing is.
             figures = (median(latest.values(), 1.0), median(waits, 1.0), median(seconds, 0.0))
             self._usual_now = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
@@ -780,7 +734,7 @@
                 endpoint for endpoint in self._cold if self._slow_start.is_warming_up(endpoint, now)
             ]
             self._warm = len(self._active) - len(self._cold)
-            kept_out = dict.fromkeys([*self._set_aside(now), *self._passed_over])
+            kept_out = dict.fromkeys([*self._ejection.ejected(now, self._is_in_use), *self._passed_over])
             self._able = self._warm - sum(
                 1 for endpoint in kept_out if not self._slow_start.is_warming_up(endpoint, now)
             )
@@ -852,8 +806,8 @@
         good = outcome.result is AttemptResult.SUCCEEDED
         if outcome.result is AttemptResult.REJECTED:
             # Guards against a second refusal there: a full server has room when a job of the usual time ends.
-            self._rest(endpoint, max(endpoint.ejected_until, now + self._usual().per_endpoint))
-        if not good and outcome.result not in FAULTS:
+            self._ejection.eject(endpoint, max(endpoint.ejected_until, now + self._usual().per_endpoint))
+        if not good and outcome.result not in FAILURES:
             return
         seconds = outcome.seconds if good or outcome.result is AttemptResult.TIMED_OUT else 0.0
         endpoint.last_own_outcome_at = now
@@ -861,27 +815,15 @@
         self._learned(endpoint, good, seconds, now)
 
     def _learned(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
-        endpoint.recent_successes.append(good)
-        if seconds:
-            endpoint.recent_latencies.append(seconds)
-        self._ends.append(RecentOutcome(endpoint, good, seconds))
-        # Guards against setting aside what has left the list, or was restarted: nobody knows it any more.
-        if good or self._endpoints.get(endpoint.entry.number) is not endpoint:
+        self._ejection.record_outcome(endpoint, good, seconds)
+        # Guards against ejecting what has left the list, or was restarted: nobody knows it any more.
+        if good or not self._is_known(endpoint):
             return
-        others = [end.success for end in self._ends if end.endpoint is not endpoint]
-        usual = sum(others) / len(others) if others else 1.0
-        aside = len(self._set_aside(now))
-        # Guards against setting the fleet aside in a trouble common to all.
-        if sum(endpoint.recent_successes) / len(
-            endpoint.recent_successes
-        ) < usual - HEALTH_GAP and aside < ASIDE_MOST * len(self._active):
-            self._rest(endpoint, now + ASIDE_SPAN + self._random.uniform(0, ASIDE_RANDOM))
+        ejected = len(self._ejection.ejected(now, self._is_in_use))
+        if self._ejection.is_outlier(endpoint, ejected, len(self._active)):
+            self._ejection.eject(endpoint, ejection_end(now, self._random))
             self._host.report_ejection(endpoint.entry.number, endpoint.ejected_until - now)
 
-    def _rest(self, endpoint: Endpoint, until: float) -> None:
-        endpoint.ejected_until = until
-        self._resting[endpoint] = None
-
     def _answered(self, endpoint: Endpoint, load: LoadReport, now: float) -> None:
         endpoint.load_report, endpoint.load_reported_at = load, now
         if endpoint in self._pool:
@@ -900,8 +842,9 @@
         if self._active:
             self._odd_probe = not self._odd_probe
             # Every other probe asks a server that is likely to be sent to; the rest keep the design's share.
-            asked = (self._familiar(self._host.now()) if self._odd_probe else []) or self._active
-            self._ask(self._random.choice(asked))
+            connections = self._connections
+            preferred = connections.preferred(self._host.now(), self._is_in_use) if self._odd_probe else []
+            self._ask(self._random.choice(preferred or self._active))
 
     def _ask(self, endpoint: Endpoint) -> None:
         endpoint.probe_sent_at = self._host.now()
@@ -972,14 +915,6 @@
 
 UNKNOWN_PROFILE = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
 UNHEARD = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
-FAULTS = (
-    AttemptResult.ERROR,
-    AttemptResult.TIMED_OUT,
-    AttemptResult.NO_CONNECTION,
-    AttemptResult.RESET,
-    AttemptResult.MALFORMED,
-)
-
 B, S, E = Balancer, RequestState, RequestEvent
 TABLE = (
     # state, input, judgement, next state, effect; the first row whose judgement holds is taken
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -613,9 +613,9 @@
     jobs = [host.take(), host.take(), host.take()]
     for job in jobs[:2]:
         host.end(job)
-    assert host.core._linked(host.core._endpoints[0], host.clock)
+    assert host.core._connections.is_connected(host.core._endpoints[0], host.clock)
     host.end(jobs[2], AttemptResult.RESET)
-    assert not host.core._linked(host.core._endpoints[0], host.clock)
+    assert not host.core._connections.is_connected(host.core._endpoints[0], host.clock)
 
 
 def test_a_late_report_brings_no_dropped_server_back() -> None:
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -71,7 +71,8 @@
     def sizes() -> list[int]:
         core = story.decider._balancer
         assert isinstance(core, Balancer)
-        owners = (story.decider, core, core._tenant_quotas, core._retry_budget)
+        parts = (core._tenant_quotas, core._retry_budget, core._connections, core._ejection)
+        owners = (story.decider, core, *parts)
         held = [each for owner in owners for each in vars(owner).values()]
         kept = [each for each in held if isinstance(each, dict | list | set)]
         return [len(each) for each in kept if each is not story.decider._zones]
