--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -232,12 +232,12 @@
             max(left - self._guard, left / 2), lambda: self._tell(pending.id, RequestEvent.DEADLINE_NEAR)
         )
 
-    def body_completed(self, request: int, most: float = math.inf) -> None:
+    def body_completed(self, request: int, time_left: float = math.inf) -> None:
         """A large job's last byte has come: its time and load count from now, and it is not sent again."""
         pending, now = self._pending.get(request), self._host.now()
         if pending is not None and not pending.complete:
             pending.objective_at += now - pending.arrived_at
-            pending.deadline_at = min(pending.deadline_at + now - pending.arrived_at, now + most)
+            pending.deadline_at = min(pending.deadline_at + now - pending.arrived_at, now + time_left)
             pending.complete, pending.max_attempts = True, 0
             for attempt in pending.attempts:
                 if attempt.in_flight:
--- a/notchjunction/balancing/outcome_gossip.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -1,7 +1,8 @@
-"""What nodes tell one another: a few of their last outcomes, in at most `MOST` bytes. Pure; decides nothing.
+"""The datagrams of gossip: a few of a node's last outcomes, for one of its peers. Pure; decides nothing.
 
-A note may be lost, late, cut, doubled, out of order, or from an earlier start of its peer: `Notes.read` takes
-only what it has not had before and counts what it passes over. Ages are relative, as clocks of nodes differ.
+A datagram may be lost, late, cut, doubled, out of order, or from an earlier start of its peer:
+`OutcomeGossip.decode` returns only what it has not had before and counts what it ignores. Ages are relative,
+as the clocks of nodes differ.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from notchjunction.balancing.interface import PeerOutcome
 
 VERSION = 1
-MOST = 256  # bytes of a note
-PEERS_KEPT = 1024  # peers of whom it is known what they have told; more than there are nodes
-HEAD = struct.Struct(">BIIB")  # version, start of the teller, number of its newest outcome, count
-ITEM = struct.Struct(">IHHB")  # tag of the server, age in 0.01 s, milliseconds, whether it was good
-ITEMS_MOST = (MOST - HEAD.size) // ITEM.size
+MAX_DATAGRAM_BYTES = 256
+MAX_PEERS = 1024  # of which the newest outcome is remembered; more than there are nodes
+HEADER = struct.Struct(">BIIB")  # version, start of the sender, number of its newest outcome, count
+REPORT = struct.Struct(">IHHB")  # endpoint hash, age in 0.01 s, latency in ms, whether it succeeded
+MAX_REPORTS = (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT.size
 
 
 class OutcomeReport(NamedTuple):
-    """One outcome, newest first in a note."""
+    """One outcome of an attempt; `age` and `latency` in seconds."""
 
     endpoint_hash: int
     age: float
@@ -32,12 +33,18 @@
 
 
 def endpoint_hash(name: str) -> int:
-    """The same at all nodes; not Python's own hash, which differs from process to process."""
+    """Return a hash of an endpoint's name that is the same at all nodes.
+
+    Python's own hash differs from process to process.
+    """
     return zlib.crc32(name.encode())
 
 
 class OutcomeGossip:
-    """One node's side of the talk. `start` tells this start of the node from its earlier ones."""
+    """Encoder and decoder of one node.
+
+    `start` tells this start of the node from its earlier ones; `ignored` counts datagrams that can't be read.
+    """
 
     def __init__(self, start: int) -> None:
         self._start = start & 0xFFFFFFFF
@@ -45,10 +52,14 @@
         self.ignored = 0
 
     def encode(self, newest: int, reports: Sequence[OutcomeReport]) -> bytes:
-        reports = reports[:ITEMS_MOST]
-        head = HEAD.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(reports))
-        return head + b"".join(
-            ITEM.pack(
+        """Return a datagram of the first reports, newest first, as many as fit.
+
+        `newest` is the number of the newest one, counted since this start.
+        """
+        reports = reports[:MAX_REPORTS]
+        header = HEADER.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(reports))
+        return header + b"".join(
+            REPORT.pack(
                 report.endpoint_hash,
                 min(max(0, round(report.age * 100)), 0xFFFF),
                 min(max(0, round(report.latency * 1000)), 0xFFFF),
@@ -58,30 +69,33 @@
         )
 
     def decode(self, peer: int, datagram: bytes) -> list[OutcomeReport]:
-        """What is new in a note, oldest first; nothing where it can't be read."""
-        if len(datagram) < HEAD.size or len(datagram) > MOST or datagram[0] != VERSION:
+        """Return what is new in a datagram, oldest first; nothing where it can't be read."""
+        if len(datagram) < HEADER.size or len(datagram) > MAX_DATAGRAM_BYTES or datagram[0] != VERSION:
             self.ignored += 1
             return []
-        _, start, newest, count = HEAD.unpack_from(datagram)
-        if len(datagram) != HEAD.size + count * ITEM.size:
+        _, start, newest, count = HEADER.unpack_from(datagram)
+        if len(datagram) != HEADER.size + count * REPORT.size:
             self.ignored += 1
             return []
         known, last_known = self._newest_by_peer.pop(peer, (start, 0))
-        # Guards against an earlier start's numbers hiding what a peer tells after its restart.
+        # Guards against an earlier start's numbers hiding what a peer sends after its restart.
         last_known = last_known if known == start else 0
         self._newest_by_peer[peer] = (start, max(last_known, newest))
-        if len(self._newest_by_peer) > PEERS_KEPT:
+        if len(self._newest_by_peer) > MAX_PEERS:
             self._newest_by_peer.popitem(last=False)
-        # Guards against counting an outcome twice: notes overlap, and may come doubled or out of order.
+        # Guards against counting an outcome twice: datagrams overlap, and may come doubled or out of order.
         new = min(count, max(0, newest - last_known))
-        items = list(ITEM.iter_unpack(datagram[HEAD.size :]))[:new]
+        items = list(REPORT.iter_unpack(datagram[HEADER.size :]))[:new]
         return [
             OutcomeReport(name_hash, age / 100, success == 1, latency_ms / 1000)
             for name_hash, age, latency_ms, success in reversed(items)
         ]
 
     def peer_outcomes(self, peer: int, datagram: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
-        """What is new in it of the host's own servers, whose numbers are given by their tags."""
+        """Return what is new in a datagram of the node's own endpoints, oldest first.
+
+        `numbers` gives their numbers by endpoint hash; other endpoints are left out.
+        """
         reports = self.decode(peer, datagram)
         return [
             PeerOutcome(numbers[report.endpoint_hash], *report[1:])
--- a/notchjunction/net/gossip_socket.py
+++ b/notchjunction/net/gossip_socket.py
@@ -8,7 +8,7 @@
 from typing import cast
 
 from notchjunction.addresses import Address, text_of
-from notchjunction.balancing.outcome_gossip import MOST
+from notchjunction.balancing.outcome_gossip import MAX_DATAGRAM_BYTES
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
 
@@ -54,7 +54,7 @@
     def datagram_received(self, data: bytes, source: Address) -> None:
         number = self._numbers.get((source[0], source[1]))
         # Guards against words from anyone who finds the port, and against more than a note holds.
-        if number is None or len(data) > MOST:
+        if number is None or len(data) > MAX_DATAGRAM_BYTES:
             self._counters.add("gossip_unknown_sender" if number is None else "gossip_oversized")
             return
         self._counters.add("gossip_received")
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -27,7 +27,12 @@
     NewRequest,
     PeerOutcome,
 )
-from notchjunction.balancing.outcome_gossip import MOST, OutcomeGossip, OutcomeReport, endpoint_hash
+from notchjunction.balancing.outcome_gossip import (
+    MAX_DATAGRAM_BYTES,
+    OutcomeGossip,
+    OutcomeReport,
+    endpoint_hash,
+)
 from notchjunction.config import settings, validation
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.net.gossip_socket import GossipSocket
@@ -237,7 +242,13 @@
         ]
         for talk in talks:
             await talk.open()
-        for peer, note in ((1, b"one"), (1, b"one"), (1, b"x" * (MOST + 1)), (2, b"gone"), (9, b"none")):
+        for peer, note in (
+            (1, b"one"),
+            (1, b"one"),
+            (1, b"x" * (MAX_DATAGRAM_BYTES + 1)),
+            (2, b"gone"),
+            (9, b"none"),
+        ):
             talks[0].send(peer, note)
         with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as stranger:
             stranger.sendto(b"one", addresses[1])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -234,7 +234,7 @@
 
 def test_a_new_process_takes_its_first_jobs_for_no_rate() -> None:
     take = ServedRate(0.0)
-    take.record_success(warm=4, ready=4)
+    take.record_success(warm=4, active=4)
     take.advance(0.1, warm=4)
     assert take.rate() < 0.03  # and not a quarter of a job in a tenth of a second
 
@@ -243,7 +243,7 @@
     takes = [ServedRate(0.0), ServedRate(0.0)]
     sums = []
     for step in range(2000):
-        takes[step >= 1000].record_success(warm=10, ready=10)  # ten a second in all, one a server
+        takes[step >= 1000].record_success(warm=10, active=10)  # ten a second in all, one a server
         for take in takes:
             take.advance(step / 10, warm=10)
         sums.append(sum(take.rate() for take in takes))
