--- a/notchjunction/balancing/connection_reuse.py
+++ b/notchjunction/balancing/connection_reuse.py
@@ -7,7 +7,7 @@
 
 from notchjunction.balancing.interface import AttemptResult, BalancerSettings
 from notchjunction.balancing.recent_events import EVENT_SPAN_S
-from notchjunction.balancing.records import LAST_FEW, Attempt, Endpoint
+from notchjunction.balancing.records import MAX_RECENT_OUTCOMES, Attempt, Endpoint
 
 MIN_CONNECTED = 12  # endpoints a node keeps to where connections are priced; enough to find two that are free
 
@@ -19,7 +19,7 @@
         # Of all endpoints, those that a look at all of them would find: a large fleet has few such.
         self._connected: dict[Endpoint, None] = {}
         self._new_connections: deque[tuple[float, bool]] = deque(
-            maxlen=LAST_FEW
+            maxlen=MAX_RECENT_OUTCOMES
         )  # when, and whether it came up
         self.apply_settings(settings)
 
@@ -63,7 +63,7 @@
         recent = self._new_connections
         while recent and recent[0][0] < now - EVENT_SPAN_S:
             recent.popleft()
-        failing = sum(1 for _, came_up in recent if not came_up) > LAST_FEW / 2
+        failing = sum(1 for _, came_up in recent if not came_up) > MAX_RECENT_OUTCOMES / 2
         if not failing and not self._is_priced:
             return []
         connected = [
