--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -57,37 +57,65 @@
 from notchjunction.discovery.watch_state import renewal_pause
 
 # Constants: unit, and why this size.
-PROBE_EVERY = 5  # first sends a probe; twice the design's least, so that two fresh answers are the usual case
-PROBE_SPAN = 2.5  # s between probes without sends; half the design's most, to survive one lost answer
-USUAL_SPAN = 0.1  # s for which the fleet's usual figures stand; short against any trouble
-FRESH_SPAN = 10.0  # s an answer counts; the weight of an old one is small long before
-POOL_MOST = 48  # newest answers that are looked at; bounds the work of a pick, however large the fleet
-LOOKS_MOST = 32  # random looks for two servers that fit, before all are gone through
+ATTEMPTS_PER_PROBE = (
+    5  # first sends a probe; twice the design's least, so that two fresh answers are the usual case
+)
+PROBE_INTERVAL_S = 2.5  # s between probes without sends; half the design's most, to survive one lost answer
+TYPICAL_REFRESH_S = 0.1  # s for which the fleet's usual figures stand; short against any trouble
+LOAD_REPORT_MAX_AGE_S = 10.0  # s an answer counts; the weight of an old one is small long before
+MAX_POOL_SIZE = 48  # newest answers that are looked at; bounds the work of a pick, however large the fleet
+MAX_RANDOM_TRIES = 32  # random looks for two servers that fit, before all are gone through
 POOL_SHARE = 0.34  # of the fresh answers, the best, that make up the pool; random enough against herds
-WAIT_NOISE = 2.0  # times the usual seconds that a probe may take by chance, as on a new connection
-WAIT_TIMES = 4.0  # times the usual past which its server counts as slow; past chance and unequal machines
-WAIT_PART = 0.05  # of a job's usual time; a probe that takes less tells of nothing that harms one
-WAIT_SPAN = 3.0  # s that such a probe counts; time to rest, and about the time between two probes of a server
-HOLD_SHARE = 0.5  # of the contract time that jobs out may take to clear; the rest is slack for chance
-YOUNG_SHARE = 0.75  # of the contract time after which a dispatch counts as stuck and takes up no room
-TURN_SPAN = 0.05  # s between looks at waiting jobs without an outcome; short against any contract time
-WAIT_SHARE = 0.25  # of the contract time that a job may expect to wait at the node
-CALM_TIMES = 2.5  # times the calmest middle time that jobs out may take to clear; past it servers only queue
-FLOOR_EACH = 6.0  # jobs that all nodes send an able server before anything is learned: a small machine's
-FLOOR_CALM = 9.0  # the same while answers come in calm times; servers that do well hold more
-CROWD_SHARE = 0.35  # of the contract time that the middle job may take; a few times that, and many are late
-OVERDUE_TIMES = 8.0  # times the usual seconds before a second copy; rarer than a large job on a sound server
-OVERDUE_SHARE = 0.5  # of the contract time at most, beside clients; the rest is for the next server
-PATIENCE = 4.0  # times the usual seconds before a dispatch counts as unanswered; jobs differ in size
-SILENT_MOST = 0.5  # share of ready servers passed over as silent at most; more is a trouble common to all
-NEAR_WORTH = 20.0  # times the far server's score, for a crossing price of 1, that a near one may be worse
-NEAR_SPARE = 0.5  # of an even share of own jobs out that does not count against a near server; it is chance
-GUARD_TICKS = 2  # host ticks before the abandon time at which the last answer is given
-KEY_SERVERS = 2  # that a key goes to first; more would share what one remembers, one alone may be hot
-KEY_SLACK = 2.5  # times the pool's choice that one of them may score; a met key takes far less work
-TOLD_MOST = 12  # last outcomes of its own that a node tells with each; each is told to about so many peers
-TOLD_SPAN = 10.0  # s that an outcome is worth telling; older ones are of another trouble
-ADVICE_LEAST = 0.25  # s a turned back client is asked to wait at least
+PROBE_NOISE_RATIO = 2.0  # times the usual seconds that a probe may take by chance, as on a new connection
+SLOW_PROBE_RATIO = (
+    4.0  # times the usual past which its server counts as slow; past chance and unequal machines
+)
+MIN_SLOW_PROBE_SHARE = 0.05  # of a job's usual time; a probe that takes less tells of nothing that harms one
+SLOW_PROBE_SPAN_S = (
+    3.0  # s that such a probe counts; time to rest, and about the time between two probes of a server
+)
+CAPACITY_OBJECTIVE_SHARE = (
+    0.5  # of the contract time that jobs out may take to clear; the rest is slack for chance
+)
+LOAD_OBJECTIVE_SHARE = (
+    0.75  # of the contract time after which a dispatch counts as stuck and takes up no room
+)
+QUEUE_INTERVAL_S = 0.05  # s between looks at waiting jobs without an outcome; short against any contract time
+MAX_QUEUE_SHARE = 0.25  # of the contract time that a job may expect to wait at the node
+MAX_STABLE_MULTIPLE = (
+    2.5  # times the calmest middle time that jobs out may take to clear; past it servers only queue
+)
+MIN_CAPACITY_PER_ENDPOINT = (
+    6.0  # jobs that all nodes send an able server before anything is learned: a small machine's
+)
+MIN_STABLE_CAPACITY_PER_ENDPOINT = (
+    9.0  # the same while answers come in calm times; servers that do well hold more
+)
+MAX_MEDIAN_SHARE = (
+    0.35  # of the contract time that the middle job may take; a few times that, and many are late
+)
+OVERDUE_RATIO = 8.0  # times the usual seconds before a second copy; rarer than a large job on a sound server
+MAX_OVERDUE_SHARE = 0.5  # of the contract time at most, beside clients; the rest is for the next server
+UNRESPONSIVE_RATIO = (
+    4.0  # times the usual seconds before a dispatch counts as unanswered; jobs differ in size
+)
+MAX_AVOIDED_SHARE = (
+    0.5  # share of ready servers passed over as silent at most; more is a trouble common to all
+)
+NEAR_ZONE_WEIGHT = (
+    20.0  # times the far server's score, for a crossing price of 1, that a near one may be worse
+)
+NEAR_ZONE_SPARE_SHARE = (
+    0.5  # of an even share of own jobs out that does not count against a near server; it is chance
+)
+DEADLINE_GUARD_TICKS = 2  # host ticks before the abandon time at which the last answer is given
+AFFINITY_ENDPOINTS = 2  # that a key goes to first; more would share what one remembers, one alone may be hot
+AFFINITY_MAX_RATIO = 2.5  # times the pool's choice that one of them may score; a met key takes far less work
+MAX_GOSSIP_OUTCOMES = (
+    12  # last outcomes of its own that a node tells with each; each is told to about so many peers
+)
+GOSSIP_MAX_AGE_S = 10.0  # s that an outcome is worth telling; older ones are of another trouble
+MIN_RETRY_AFTER_S = 0.25  # s a turned back client is asked to wait at least
 
 
 class Transition(NamedTuple):
@@ -106,33 +134,35 @@
         self._banned: dict[int, float] = {}
         self._active: list[Endpoint] = []
         # Of the ready ones, those that a look at all of them would find: a large fleet has few such.
-        self._cold: list[Endpoint] = []  # may still be cold
-        self._waited: deque[tuple[float, Endpoint]] = (
+        self._warming_up: list[Endpoint] = []  # may still be cold
+        self._probed: deque[tuple[float, Endpoint]] = (
             deque()
         )  # probed within the span that such a wait counts
-        self._owed: list[Endpoint] = []
-        self._pool: deque[Endpoint] = deque(maxlen=POOL_MOST)
+        self._unbanned: list[Endpoint] = []
+        self._pool: deque[Endpoint] = deque(maxlen=MAX_POOL_SIZE)
         self._ejection = OutlierEjection()
         self._pending: dict[int, PendingRequest] = {}
         self._in_flight: dict[tuple[int, int], Attempt] = {}
         self._queue: list[PendingRequest] = []
         self._retry_budget = RetryBudget()
-        self._recent: deque[Attempt] = deque()
-        self._own: deque[tuple[float, RecentOutcome]] = deque(maxlen=TOLD_MOST)
+        self._recent_attempts: deque[Attempt] = deque()
+        self._own_outcomes: deque[tuple[float, RecentOutcome]] = deque(maxlen=MAX_GOSSIP_OUTCOMES)
         self._peer_reports = RecentEvents()
-        self._throughput, self._take = ThroughputEstimate(host.now()), ServedRate(host.now())
+        self._throughput, self._served_rate = ThroughputEstimate(host.now()), ServedRate(host.now())
         self._connections = ConnectionReuse(settings)
         self._latencies: dict[int, deque[float]] = {}
         self._times_left: dict[int, deque[tuple[float, bool]]] = {}
         self.settings_changed(settings, dict(enumerate(settings.request_classes)))
-        self._unprobed = self._failures = self._owns = self._token = self._warm = self._able = 0
-        self._odd_probe = self._turn_due = False
+        self._attempts_since_probe = self._poll_failures = self._own_outcome_count = self._last_token = (
+            self._warm_count
+        ) = self._able_count = 0
+        self._probes_preferred = self._queue_timer_set = False
         self._timers: dict[int, Callable[[], None]] = {}
-        self._usual_until, self._usual_now = -math.inf, TypicalLatencies(1.0, 1.0, 0.001)
-        self._passed_over: list[Endpoint] = []
+        self._typical_until, self._typical = -math.inf, TypicalLatencies(1.0, 1.0, 0.001)
+        self._avoided: list[Endpoint] = []
         if settings.polls_list:
             host.poll_list()
-        self._after(self._random.uniform(0, PROBE_SPAN), self._probe_on)
+        self._start_timer(self._random.uniform(0, PROBE_INTERVAL_S), self._probe_on_timer)
 
     # What the host calls.
 
@@ -145,25 +175,27 @@
             # Guards against judging a server by what it was before its start, or by older than own news.
             if (
                 endpoint is None
-                or peer_outcome.age > TOLD_SPAN
+                or peer_outcome.age > GOSSIP_MAX_AGE_S
                 or at <= max(endpoint.entry.started_at, endpoint.last_own_outcome_at)
             ):
                 continue
             if peer_outcome.success:
                 endpoint.last_response_at = max(endpoint.last_response_at, at)
                 self._throughput.record_latency(peer_outcome.seconds, now)
-            self._learned(endpoint, peer_outcome.success, peer_outcome.seconds, now)
+            self._record_outcome(endpoint, peer_outcome.success, peer_outcome.seconds, now)
 
-    def _tell_on(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
-        self._own.appendleft((now, RecentOutcome(endpoint, good, seconds)))
-        self._owns += 1
+    def _send_gossip(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
+        self._own_outcomes.appendleft((now, RecentOutcome(endpoint, good, seconds)))
+        self._own_outcome_count += 1
         if self._settings.gossips and self._settings.node_count > 1:
             peer = self._random.randrange(self._settings.node_count - 1)
             outcomes = [
                 PeerOutcome(end.endpoint.entry.number, now - at, end.success, end.latency)
-                for at, end in self._own
+                for at, end in self._own_outcomes
             ]
-            self._host.send_gossip(peer + (peer >= self._settings.node_index), self._owns, outcomes)
+            self._host.send_gossip(
+                peer + (peer >= self._settings.node_index), self._own_outcome_count, outcomes
+            )
 
     def settings_changed(
         self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
@@ -171,37 +203,37 @@
         """The terms for what comes from now on; what was learned of servers stays."""
         self._settings = settings
         self._request_classes = dict(request_classes)
-        self._deepest = settings.tier is not None and settings.tier == settings.tier_count - 1
+        self._is_deepest_tier = settings.tier is not None and settings.tier == settings.tier_count - 1
         tiers_left = settings.tier_count - settings.tier if settings.tier is not None else 1
-        self._hold_share = HOLD_SHARE * tiers_left / max(1, settings.tier_count)
+        self._capacity_share = CAPACITY_OBJECTIVE_SHARE * tiers_left / max(1, settings.tier_count)
         # The first tier alone: what a deeper one turns away has had work spent on it above.
-        self._calm_times = math.inf if settings.tier else CALM_TIMES
-        self._young_share = YOUNG_SHARE * tiers_left / max(1, settings.tier_count)
+        self._stable_multiple = math.inf if settings.tier else MAX_STABLE_MULTIPLE
+        self._load_share = LOAD_OBJECTIVE_SHARE * tiers_left / max(1, settings.tier_count)
         # Quotas are the first tier's matter.
         self._tenant_quotas = TenantQuotas(() if settings.tier else settings.tenant_quotas)
         self._slow_start = SlowStart(settings)
         self._connections.apply_settings(settings)
-        self._revenue = (
+        self._mean_priority_weight = (
             sum(request_class.priority_weight for request_class in request_classes.values())
             / max(1, len(request_classes))
             or 1.0
         )
-        self._contract = min(
+        self._min_latency_objective = min(
             (request_class.latency_objective for request_class in request_classes.values()), default=1.0
         )
         # Guards against a contract time that ends before several usual ones.
-        self._patience_most = OVERDUE_SHARE * self._contract if settings.sidecar else math.inf
-        self._find_cold()
-        self._near_slack = 1.0 + NEAR_WORTH * settings.cross_zone_cost
-        self._guard = GUARD_TICKS * settings.tick
+        self._max_patience = MAX_OVERDUE_SHARE * self._min_latency_objective if settings.sidecar else math.inf
+        self._find_warming_up()
+        self._near_zone_factor = 1.0 + NEAR_ZONE_WEIGHT * settings.cross_zone_cost
+        self._deadline_guard = DEADLINE_GUARD_TICKS * settings.tick
         # What was learned of a profile goes with it; a job that is held still knows its own.
         self._latencies = {index: self._latencies.get(index, deque(maxlen=16)) for index in request_classes}
         self._times_left = {index: self._times_left.get(index, deque(maxlen=32)) for index in request_classes}
 
     def request_arrived(self, request: NewRequest) -> None:
         now = self._host.now()
-        request_class = self._request_classes.get(request.request_class, UNKNOWN_PROFILE)
-        age = self._age(request, request_class, now)
+        request_class = self._request_classes.get(request.request_class, UNKNOWN_CLASS)
+        age = self._client_age(request, request_class, now)
         contract_end = now - age + min(request_class.latency_objective, request_class.deadline)
         over_quota, key = (
             self._is_over_quota(request.tenant, now),
@@ -222,14 +254,15 @@
         )
         self._pending[request.id] = pending
         if request.complete:
-            self._count_time(pending, now)
+            self._start_deadline_timer(pending, now)
         self._step(pending, RequestEvent.ARRIVED)
 
-    def _count_time(self, pending: PendingRequest, now: float) -> None:
+    def _start_deadline_timer(self, pending: PendingRequest, now: float) -> None:
         # Guards against a job left unanswered when nothing else happens before its abandon time.
         left = pending.deadline_at - now
-        self._after(
-            max(left - self._guard, left / 2), lambda: self._tell(pending.id, RequestEvent.DEADLINE_NEAR)
+        self._start_timer(
+            max(left - self._deadline_guard, left / 2),
+            lambda: self._handle_event(pending.id, RequestEvent.DEADLINE_NEAR),
         )
 
     def body_completed(self, request: int, time_left: float = math.inf) -> None:
@@ -241,8 +274,8 @@
             pending.complete, pending.max_attempts = True, 0
             for attempt in pending.attempts:
                 if attempt.in_flight:
-                    self._fly(attempt, now)
-            self._count_time(pending, now)
+                    self._add_in_flight(attempt, now)
+            self._start_deadline_timer(pending, now)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
         attempt = self._in_flight.pop((outcome.request, outcome.attempt), None)
@@ -251,34 +284,38 @@
         now = self._host.now()
         attempt.in_flight = False
         attempt.may_have_run = outcome.result not in NEVER_RAN
-        self._landed(attempt)
-        if outcome.result not in UNHEARD:
+        self._remove_in_flight(attempt)
+        if outcome.result not in SILENT_RESULTS:
             attempt.endpoint.last_response_at = now
         self._connections.record_result(attempt, outcome.result, now)
         if outcome.load is not None:
-            self._answered(attempt.endpoint, outcome.load, now)
+            self._record_load_report(attempt.endpoint, outcome.load, now)
         ours = attempt.cancelled_for_retry or now - attempt.sent_at >= attempt.latency_objective
         if self._settings.sidecar and outcome.result is AttemptResult.CANCELLED and ours:
             # Guards against judging by quick jobs alone: what the node recalls for its time has timed out.
             outcome = replace(outcome, result=AttemptResult.TIMED_OUT, seconds=now - attempt.sent_at)
-        self._judge(attempt.endpoint, outcome, now)
+        self._assess_outcome(attempt.endpoint, outcome, now)
         pending = self._pending.get(outcome.request)
         if outcome.result is AttemptResult.SUCCEEDED and not attempt.response_started:
-            self._cleared(pending, attempt, outcome.seconds, now)
+            self._record_response(pending, attempt, outcome.seconds, now)
         if pending is not None:
             pending.max_attempts = 0 if outcome.unrepeatable else pending.max_attempts
             if outcome.final:
                 self._step(pending, RequestEvent.COMPLETED)
             else:
-                fault = is_endpoint_fault(outcome.result, self._deepest) or attempt.cancelled_for_retry
+                fault = (
+                    is_endpoint_fault(outcome.result, self._is_deepest_tier) or attempt.cancelled_for_retry
+                )
                 self._step(pending, RequestEvent.ENDPOINT_FAULT if fault else RequestEvent.OTHER_FAILURE)
-        self._turn()
+        self._serve_queue()
 
-    def _cleared(self, pending: PendingRequest | None, attempt: Attempt, seconds: float, now: float) -> None:
+    def _record_response(
+        self, pending: PendingRequest | None, attempt: Attempt, seconds: float, now: float
+    ) -> None:
         """A server has done a job: what the room and the usual times are worked out from."""
         self._throughput.record_success(attempt.latency_objective, seconds, now)
         # Guards against budgets learned from what dead or overdriven servers refuse, as clients come again.
-        self._take.record_success(self._warm, max(1, len(self._active)))
+        self._served_rate.record_success(self._warm_count, max(1, len(self._active)))
         if pending is not None and pending.class_number in self._latencies:
             self._latencies[pending.class_number].append(seconds)
 
@@ -291,14 +328,14 @@
         if flight is not None and not flight.response_started:
             # Its server has done the job: what remains is the way, as slow as the caller reads.
             flight.response_started, flight.endpoint.last_response_at = True, now
-            self._landed(flight)
-            self._cleared(pending, flight, now - flight.sent_at, now)
+            self._remove_in_flight(flight)
+            self._record_response(pending, flight, now - flight.sent_at, now)
         if pending is not None:
-            self._recall_all(pending, attempt)  # the answer that has begun is the final one
-        self._tell(request, RequestEvent.RESPONSE_STARTED)
+            self._cancel_attempts(pending, attempt)  # the answer that has begun is the final one
+        self._handle_event(request, RequestEvent.RESPONSE_STARTED)
 
     def request_cancelled(self, request: int) -> None:
-        self._tell(request, RequestEvent.CLIENT_CANCELLED)
+        self._handle_event(request, RequestEvent.CLIENT_CANCELLED)
 
     def probe_ended(self, endpoint: int, result: AttemptResult, load: LoadReport | None) -> None:
         now, known = self._host.now(), self._endpoints.get(endpoint)
@@ -309,9 +346,9 @@
         # Guards against taking a probe that failed at once for a quick one.
         if waited > known.probe_latency or (waited >= 0 and result is AttemptResult.SUCCEEDED):
             known.probe_latency, known.probe_ended_at = waited, now
-            self._waited.append((now, known))
+            self._probed.append((now, known))
         if result is AttemptResult.SUCCEEDED:
-            self._answered(known, load or LoadReport(), now)
+            self._record_load_report(known, load or LoadReport(), now)
         else:
             known.load_reported_at = -math.inf
 
@@ -320,21 +357,21 @@
 
     def list_updated(self, update: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
         if update is ListUpdate.FAILED:
-            self._failures += 1
+            self._poll_failures += 1
             # Guards against all nodes asking a troubled list service again at the same moment.
             most = self._settings.poll_interval / 4 or math.inf
-            self._after(renewal_pause(self._failures, self._random, most), self._host.poll_list)
+            self._start_timer(renewal_pause(self._poll_failures, self._random, most), self._host.poll_list)
             return
-        self._failures = 0
+        self._poll_failures = 0
         if update is not ListUpdate.CHANGES:
             named = {entry.number for entry in entries}
             self._endpoints = {index: known for index, known in self._endpoints.items() if index in named}
         for entry in entries:
-            self._enter(entry)
+            self._apply_entry(entry)
         self._banned = {
             endpoint: since for endpoint, since in self._banned.items() if endpoint in self._endpoints
         }
-        self._count_ready()
+        self._refresh_endpoints()
 
     def ban_changed(self, endpoint: int, out: bool) -> None:
         """An operator takes a server out of use or gives it back; the list has no say in that."""
@@ -344,11 +381,11 @@
         elif (since := self._banned.pop(endpoint, None)) is not None and known is not None:
             # Guards against judging it by what it was before: it was very likely restarted meanwhile.
             start = known.entry.started_at if known.entry.started_at > since else now
-            known = self._fresh(replace(known.entry, started_at=start))
+            known = self._add_endpoint(replace(known.entry, started_at=start))
             known.banned_since, known.awaits_first_attempt = since, True
             if self._settings.probes:
-                self._ask(known)
-        self._count_ready()
+                self._send_probe(known)
+        self._refresh_endpoints()
 
     def export_state(self) -> dict[str, Any]:
         """What was learned so far, for a process that follows this one; servers and profiles by number."""
@@ -363,26 +400,28 @@
         for index, known in learned_state["servers"].items():
             self._endpoints[index].restore_state(known, now)
             self._ejection.restore(self._endpoints[index])
-            self._waited.append((now, self._endpoints[index]))
+            self._probed.append((now, self._endpoints[index]))
         for index, times in learned_state["spent"].items():
             self._latencies[index].extend(float(seconds) for seconds in times)
 
-    def _count_ready(self) -> None:
-        self._usual_until = -math.inf  # its counts are of the servers before this news
+    def _refresh_endpoints(self) -> None:
+        self._typical_until = -math.inf  # its counts are of the servers before this news
         # Kept between news: going through a large fleet for each job costs more than all its decisions.
-        self._active = [endpoint for endpoint in self._endpoints.values() if self._is_open(endpoint)]
-        self._owed = [endpoint for endpoint in self._active if endpoint.awaits_first_attempt]
-        self._find_cold()
+        self._active = [endpoint for endpoint in self._endpoints.values() if self._is_available(endpoint)]
+        self._unbanned = [endpoint for endpoint in self._active if endpoint.awaits_first_attempt]
+        self._find_warming_up()
         self._connections.keep_known(self._is_known)
         known = (
             endpoint for endpoint in self._pool if self._endpoints.get(endpoint.entry.number) is endpoint
         )
-        self._pool = deque(known, maxlen=POOL_MOST)
-        self._turn()
+        self._pool = deque(known, maxlen=MAX_POOL_SIZE)
+        self._serve_queue()
 
-    def _find_cold(self) -> None:
+    def _find_warming_up(self) -> None:
         now = self._host.now()
-        self._cold = [endpoint for endpoint in self._active if self._slow_start.is_warming_up(endpoint, now)]
+        self._warming_up = [
+            endpoint for endpoint in self._active if self._slow_start.is_warming_up(endpoint, now)
+        ]
 
     # The loop and what it reads.
 
@@ -393,7 +432,7 @@
                 row.action(self, pending)
                 return
 
-    def _turn(self) -> None:
+    def _serve_queue(self) -> None:
         """Gives waiting jobs their turn, the most pressing first, while room lasts."""
         while self._queue:
             head = self._queue[0]
@@ -401,66 +440,68 @@
             if head.state is RequestState.QUEUED:
                 return
 
-    def _turn_on(self) -> None:
-        self._turn_due = False
-        self._turn()
-        self._look_again()
+    def _serve_queue_on_timer(self) -> None:
+        self._queue_timer_set = False
+        self._serve_queue()
+        self._start_queue_timer()
 
-    def _look_again(self) -> None:
+    def _start_queue_timer(self) -> None:
         # Guards against jobs that wait for a cold server, or one set aside, while no outcome wakes them.
-        if self._queue and not self._turn_due:
-            self._turn_due = True
-            self._after(TURN_SPAN, self._turn_on)
+        if self._queue and not self._queue_timer_set:
+            self._queue_timer_set = True
+            self._start_timer(QUEUE_INTERVAL_S, self._serve_queue_on_timer)
 
-    def _tell(self, request: int, event: RequestEvent) -> None:
+    def _handle_event(self, request: int, event: RequestEvent) -> None:
         if (pending := self._pending.get(request)) is not None:
             self._step(pending, event)
-            self._turn()
+            self._serve_queue()
 
     # Judgements: what the table asks.
 
     def _always(self, pending: PendingRequest) -> bool:
         return True
 
-    def _hopeless(self, pending: PendingRequest) -> bool:
+    def _is_hopeless(self, pending: PendingRequest) -> bool:
         """No server could answer it in time for any revenue; late answers count only while none waits."""
         now, quick = self._host.now(), self._fast_latency(pending.class_number)
         late = pending.objective_at - now < quick and (
             not pending.request_class.late_weight or self._is_capacity_scarce(now)
         )
-        return late or pending.deadline_at - now - self._guard < quick
+        return late or pending.deadline_at - now - self._deadline_guard < quick
 
-    def _crowded_out(self, pending: PendingRequest) -> bool:
+    def _is_shed(self, pending: PendingRequest) -> bool:
         """By chance, as many as servers would do too late, those of little revenue first."""
         # Guards where nodes sit beside clients: what a thin one has out says nothing of what servers hold.
-        part = CROWD_SHARE * pending.request_class.latency_objective / self._usual().median
+        part = MAX_MEDIAN_SHARE * pending.request_class.latency_objective / self._typical_latencies().median
         revenue = pending.request_class.priority_weight * (
             self._settings.over_quota_weight if pending.over_quota else 1.0
         )
-        chance = part * part * math.sqrt(revenue / self._revenue)
+        chance = part * part * math.sqrt(revenue / self._mean_priority_weight)
         return self._settings.sidecar and self._random.random() > chance
 
     def _is_capacity_scarce(self, now: float) -> bool:
-        return bool(self._queue) or self._pressing(now) >= self._capacity()
+        return bool(self._queue) or self._load(now) >= self._capacity()
 
-    def _finds_place(self, pending: PendingRequest) -> bool:
+    def _finds_endpoint(self, pending: PendingRequest) -> bool:
         overtakes = not self._queue or self._queue[0].rank() >= pending.rank()
         room = self._capacity()  # finds anew who is passed over: what is out there does not press
-        if self._pressing(self._host.now()) >= room or not overtakes:
+        if self._load(self._host.now()) >= room or not overtakes:
             return False
-        pending.chosen_endpoint = self._pick(pending)
+        pending.chosen_endpoint = self._select_endpoint(pending)
         return pending.chosen_endpoint is not None
 
-    def _may_wait(self, pending: PendingRequest) -> bool:
+    def _may_queue(self, pending: PendingRequest) -> bool:
         now = self._host.now()
         ahead = sum(1 for other in self._queue if other.rank() < pending.rank())
         wait = (ahead + 1) / max(self._throughput.rate(now), 1.0)
         if self._settings.sidecar:
-            wait = min(wait, (ahead + 1) * self._usual().per_endpoint / max(1, len(self._in_flight)))
+            wait = min(
+                wait, (ahead + 1) * self._typical_latencies().per_endpoint / max(1, len(self._in_flight))
+            )
         slack = pending.objective_at - now - self._fast_latency(pending.class_number)
-        return wait <= min(slack, WAIT_SHARE * pending.request_class.latency_objective)
+        return wait <= min(slack, MAX_QUEUE_SHARE * pending.request_class.latency_objective)
 
-    def _others_out(self, pending: PendingRequest) -> bool:
+    def _has_attempt_in_flight(self, pending: PendingRequest) -> bool:
         return any(attempt.in_flight for attempt in pending.attempts)
 
     def _may_retry(self, pending: PendingRequest) -> bool:
@@ -470,46 +511,46 @@
         if (
             not self._retry_budget.allows_retry(self._host.now())
             or len(pending.attempts) >= most
-            or self._hopeless(pending)
+            or self._is_hopeless(pending)
         ):
             return False
-        pending.chosen_endpoint = self._pick(pending)
+        pending.chosen_endpoint = self._select_endpoint(pending)
         return pending.chosen_endpoint is not None
 
-    def _swallowed(self, pending: PendingRequest) -> bool:
+    def _is_stalled(self, pending: PendingRequest) -> bool:
         """Its server answers nothing while most others do: its own fault, seen before the time-out."""
         # Guards against jobs lost in servers that take work and answer none. Acts at any tier, in the budget.
         last = pending.attempts[-1]
         waits = pending.complete and last.in_flight and not last.cancelled_for_retry
         return waits and last.endpoint in self._unresponsive(self._host.now()) and self._may_retry(pending)
 
-    def _copy_due(self, pending: PendingRequest) -> bool:
-        return self._settings.hedging and self._swallowed(pending)
+    def _is_hedge_due(self, pending: PendingRequest) -> bool:
+        return self._settings.hedging and self._is_stalled(pending)
 
-    def _recall_due(self, pending: PendingRequest) -> bool:
+    def _is_cancellation_due(self, pending: PendingRequest) -> bool:
         # Guards against sound servers that were merely not heard of: the newest outcome there was a failure.
         doubted = not all(list(pending.attempts[-1].endpoint.recent_successes)[-1:])
-        return not self._settings.hedging and doubted and self._swallowed(pending)
+        return not self._settings.hedging and doubted and self._is_stalled(pending)
 
     # Effects: what the table does.
 
-    def _nothing(self, pending: PendingRequest) -> None:
+    def _do_nothing(self, pending: PendingRequest) -> None:
         pass
 
-    def _wait(self, pending: PendingRequest) -> None:
+    def _enqueue(self, pending: PendingRequest) -> None:
         insort(self._queue, pending, key=PendingRequest.rank)
-        self._look_again()
+        self._start_queue_timer()
 
-    def _send_first(self, pending: PendingRequest) -> None:
+    def _send_first_attempt(self, pending: PendingRequest) -> None:
         if pending in self._queue:
             self._queue.remove(pending)
         self._retry_budget.first_attempts.record(self._host.now())
         self._send(pending)
-        self._unprobed += 1
-        if self._settings.probes and self._unprobed >= PROBE_EVERY:
+        self._attempts_since_probe += 1
+        if self._settings.probes and self._attempts_since_probe >= ATTEMPTS_PER_PROBE:
             self._send_next_probe()
 
-    def _send_again(self, pending: PendingRequest) -> None:
+    def _send_retry(self, pending: PendingRequest) -> None:
         self._retry_budget.record_retry(self._host.now())
         self._send(pending)
 
@@ -522,7 +563,7 @@
         self._in_flight[pending.id, len(pending.attempts)] = attempt
         pending.attempts.append(attempt)
         if pending.complete:
-            self._fly(attempt, now)
+            self._add_in_flight(attempt, now)
         if self._slow_start.is_warming_up(endpoint, now):
             spend_credit(endpoint, now, self._random)
         end = (
@@ -532,39 +573,39 @@
         )
         self._host.send_attempt(pending.id, endpoint.entry.number, max(end - now, 0.001))
         if self._settings.hedging or (self._settings.sidecar and self._settings.cancellation):
-            delay = min(OVERDUE_TIMES * self._usual().per_endpoint, self._patience_most)
-            self._after(delay, lambda: self._step(pending, RequestEvent.OVERDUE))
+            delay = min(OVERDUE_RATIO * self._typical_latencies().per_endpoint, self._max_patience)
+            self._start_timer(delay, lambda: self._step(pending, RequestEvent.OVERDUE))
 
-    def _take_back(self, pending: PendingRequest) -> None:
+    def _cancel_stalled_attempt(self, pending: PendingRequest) -> None:
         """Recalls what its server has swallowed; it is sent elsewhere once that outcome is there."""
         pending.attempts[-1].cancelled_for_retry = True
         self._host.cancel_attempt(pending.id, len(pending.attempts) - 1)
 
-    def _fly(self, attempt: Attempt, now: float) -> None:
+    def _add_in_flight(self, attempt: Attempt, now: float) -> None:
         attempt.sent_at = now
-        self._recent.append(attempt)
+        self._recent_attempts.append(attempt)
         attempt.endpoint.in_flight.append(attempt)
         self._connections.record_attempt(attempt.endpoint)
 
-    def _landed(self, attempt: Attempt) -> None:
+    def _remove_in_flight(self, attempt: Attempt) -> None:
         if attempt in attempt.endpoint.in_flight:
             attempt.endpoint.in_flight.remove(attempt)
 
     def _give_up(self, pending: PendingRequest) -> None:
         """The final answer: a turn-back where trying again is surely harmless, else a write-off."""
-        self._leave(pending)
+        self._finish(pending)
         if self._is_rejection_safe(pending):
-            self._host.reject(pending.id, self._advice())
+            self._host.reject(pending.id, self._retry_after())
         else:
             self._host.fail(pending.id)
 
-    def _leave(self, pending: PendingRequest) -> None:
+    def _finish(self, pending: PendingRequest) -> None:
         del self._pending[pending.id]
         if pending in self._queue:
             self._queue.remove(pending)
-        self._recall_all(pending)
+        self._cancel_attempts(pending)
 
-    def _recall_all(self, pending: PendingRequest, but: int = -1) -> None:
+    def _cancel_attempts(self, pending: PendingRequest, but: int = -1) -> None:
         # Guards against servers working on for nobody.
         out = (
             number for number, attempt in enumerate(pending.attempts) if attempt.in_flight and number != but
@@ -574,21 +615,21 @@
 
     # Which server.
 
-    def _pick(self, pending: PendingRequest) -> Endpoint | None:
+    def _select_endpoint(self, pending: PendingRequest) -> Endpoint | None:
         now = self._host.now()
         most = max(2.0, MAX_EVEN_SHARES * self._capacity() / max(1, len(self._active)))
 
         def fits(endpoint: Endpoint) -> bool:
             return (
-                self._takes_more(endpoint, now)
+                self._accepts_requests(endpoint, now)
                 and len(endpoint.in_flight) < most
-                and self._is_open(endpoint)
+                and self._is_available(endpoint)
                 and not (
                     self._slow_start.is_warming_up(endpoint, now)
                     and self._slow_start_credit(endpoint, now) < endpoint.slow_start_credit_needed
                 )
                 and not any(attempt.endpoint is endpoint for attempt in pending.attempts)
-                and (not pending.attempts or self._may_run_on(pending, endpoint, now))
+                and (not pending.attempts or self._is_repeat_safe(pending, endpoint, now))
             )
 
         def is_near(endpoint: Endpoint) -> bool:
@@ -596,57 +637,62 @@
 
         # Guards against a server given back that is never met: nothing is known of it.
         owed = next(
-            (endpoint for endpoint in self._owed if endpoint.awaits_first_attempt and fits(endpoint)), None
+            (endpoint for endpoint in self._unbanned if endpoint.awaits_first_attempt and fits(endpoint)),
+            None,
         )
         if owed is not None:
             return owed
         known = [endpoint for endpoint in self._connections.preferred(now, self._is_in_use) if fits(endpoint)]
         pool = known or [endpoint for endpoint in self._pool if fits(endpoint)]
         ready = known or self._active
-        choice = self._better(pool, ready, fits, now)
+        choice = self._select_from_pool(pool, ready, fits, now)
         if choice is not None and pending.affinity_key:
-            most = KEY_SLACK * self._score(choice, now)
-            likely = (endpoint for endpoint in self._likely_met(pending.affinity_key) if fits(endpoint))
+            most = AFFINITY_MAX_RATIO * self._score(choice, now)
+            likely = (
+                endpoint for endpoint in self._affinity_endpoints(pending.affinity_key) if fits(endpoint)
+            )
             met = min(likely, key=lambda endpoint: self._score(endpoint, now), default=choice)
             choice = met if self._score(met, now) <= most else choice
-        elif choice is not None and self._near_slack > 1.0 and choice.entry.zone != self._settings.zone:
+        elif choice is not None and self._near_zone_factor > 1.0 and choice.entry.zone != self._settings.zone:
             # Acts only where crossing zones is priced: a near server wins unless clearly worse.
             pool = [endpoint for endpoint in pool if is_near(endpoint)]
-            near = self._better(pool, ready, lambda endpoint: is_near(endpoint) and fits(endpoint), now)
-            spare = math.floor(NEAR_SPARE * len(self._in_flight) / len(self._active))
-            most = self._near_slack * self._score(choice, now)
+            near = self._select_from_pool(
+                pool, ready, lambda endpoint: is_near(endpoint) and fits(endpoint), now
+            )
+            spare = math.floor(NEAR_ZONE_SPARE_SHARE * len(self._in_flight) / len(self._active))
+            most = self._near_zone_factor * self._score(choice, now)
             if near is not None and self._score(near, now, spare) <= most:
                 return near
         return choice
 
-    def _likely_met(self, key: str) -> list[Endpoint]:
+    def _affinity_endpoints(self, key: str) -> list[Endpoint]:
         """The servers that all nodes send a key's jobs to first: a rank by hash, weighted by size."""
 
         def rank(endpoint: Endpoint) -> float:
             digest = blake2b(f"{endpoint.entry.name_hash} {key}".encode(), digest_size=6).digest()
             return -math.log((1 + int.from_bytes(digest)) / 2**48) / max(endpoint.entry.size, 0.01)
 
-        return sorted(self._active, key=rank)[:KEY_SERVERS]
+        return sorted(self._active, key=rank)[:AFFINITY_ENDPOINTS]
 
-    def _better(
+    def _select_from_pool(
         self, pool: list[Endpoint], ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool], now: float
     ) -> Endpoint | None:
         """The better of two random entries of the pool; under two fresh, of two ready ones by own jobs."""
-        fresh = [endpoint for endpoint in pool if now - endpoint.load_reported_at <= FRESH_SPAN]
+        fresh = [endpoint for endpoint in pool if now - endpoint.load_reported_at <= LOAD_REPORT_MAX_AGE_S]
         if len(fresh) >= 2:
             scored = sorted(
                 (self._score(endpoint, now), self._random.random(), endpoint) for endpoint in fresh
             )
             best = scored[: max(2, math.ceil(len(scored) * POOL_SHARE))]
             return min(self._random.sample(best, 2))[2]
-        two = self._two_of(ready, fits)
+        two = self._sample_two(ready, fits)
         return min(two, key=lambda endpoint: len(endpoint.in_flight), default=None)
 
-    def _two_of(self, ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool]) -> list[Endpoint]:
+    def _sample_two(self, ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool]) -> list[Endpoint]:
         """Two random servers that fit, or as many as there are."""
         found: dict[Endpoint, None] = {}
         # Guards against going through a large fleet for each job: mostly the first few looks are enough.
-        for _ in range(LOOKS_MOST if len(ready) > LOOKS_MOST else 0):
+        for _ in range(MAX_RANDOM_TRIES if len(ready) > MAX_RANDOM_TRIES else 0):
             endpoint = self._random.choice(ready)
             if fits(endpoint):
                 found[endpoint] = None
@@ -661,16 +707,16 @@
 
     def _is_in_use(self, endpoint: Endpoint) -> bool:
         """Whether it is one of the ready ones."""
-        return self._is_known(endpoint) and self._is_open(endpoint)
+        return self._is_known(endpoint) and self._is_available(endpoint)
 
     def _score(self, endpoint: Endpoint, now: float, spare: float = 0.0) -> float:
         """The answer's load, less as it ages, plus own sends still out, less those spared, by its pace."""
         answer = endpoint.load_report or LoadReport()
-        usual = self._usual()
+        usual = self._typical_latencies()
         reported = answer.in_flight if answer.in_flight is not None else answer.queued or 0.0
         weight = usual.per_endpoint / (usual.per_endpoint + now - endpoint.load_reported_at)
         pending = max(0.0, weight * reported + len(endpoint.in_flight) - spare)
-        late = max(0.0, endpoint.probe_latency / usual.probe / WAIT_NOISE - 1.0)
+        late = max(0.0, endpoint.probe_latency / usual.probe / PROBE_NOISE_RATIO - 1.0)
         late *= usual.per_endpoint / (usual.per_endpoint + now - endpoint.probe_ended_at)
         # Guards against herds: among idle servers a noisy pace would decide alone, so it counts half.
         return (
@@ -682,7 +728,7 @@
 
     def _unresponsive(self, now: float) -> list[Endpoint]:
         """Servers from which nothing was heard since an overdue dispatch; none if that is most of them."""
-        due = now - min(PATIENCE * self._usual().per_endpoint, self._patience_most)
+        due = now - min(UNRESPONSIVE_RATIO * self._typical_latencies().per_endpoint, self._max_patience)
         flying = dict.fromkeys(attempt.endpoint for attempt in self._in_flight.values())
         holding = [
             endpoint
@@ -692,33 +738,36 @@
         silent = [
             endpoint for endpoint in holding if endpoint.last_response_at < endpoint.in_flight[0].sent_at
         ]
-        return silent if len(silent) <= SILENT_MOST * len(self._active) else []
+        return silent if len(silent) <= MAX_AVOIDED_SHARE * len(self._active) else []
 
-    def _find_passed_over(self, now: float) -> list[Endpoint]:
+    def _find_avoided(self, now: float) -> list[Endpoint]:
         """Servers that are silent or slow; none if that is most of them."""
         # Guards against jobs at overdriven servers: a probe tells of those seconds before a job does.
-        usual = self._usual_now
-        least, silent = max(WAIT_TIMES * usual.probe, WAIT_PART * usual.per_endpoint), self._unresponsive(now)
-        self._prune(self._waited, now - WAIT_SPAN)
-        waited = dict.fromkeys(endpoint for _, endpoint in self._waited)
+        usual = self._typical
+        least, silent = (
+            max(SLOW_PROBE_RATIO * usual.probe, MIN_SLOW_PROBE_SHARE * usual.per_endpoint),
+            self._unresponsive(now),
+        )
+        self._prune(self._probed, now - SLOW_PROBE_SPAN_S)
+        waited = dict.fromkeys(endpoint for _, endpoint in self._probed)
         slow = [
             endpoint
             for endpoint in waited
-            if endpoint.probe_latency > least and now - endpoint.probe_ended_at < WAIT_SPAN
+            if endpoint.probe_latency > least and now - endpoint.probe_ended_at < SLOW_PROBE_SPAN_S
         ]
         found = silent + [
             endpoint for endpoint in slow if endpoint not in silent and self._is_in_use(endpoint)
         ]
-        return found if len(found) <= SILENT_MOST * len(self._active) else []
+        return found if len(found) <= MAX_AVOIDED_SHARE * len(self._active) else []
 
-    def _takes_more(self, endpoint: Endpoint, now: float) -> bool:
-        return endpoint.ejected_until <= now and endpoint not in self._passed_over
+    def _accepts_requests(self, endpoint: Endpoint, now: float) -> bool:
+        return endpoint.ejected_until <= now and endpoint not in self._avoided
 
-    def _usual(self) -> TypicalLatencies:
+    def _typical_latencies(self) -> TypicalLatencies:
         now = self._host.now()
-        if now >= self._usual_until:
-            self._usual_until = now + USUAL_SPAN
-            self._take.advance(now, self._warm)
+        if now >= self._typical_until:
+            self._typical_until = now + TYPICAL_REFRESH_S
+            self._served_rate.advance(now, self._warm_count)
             # One time a server: quick servers answer more jobs and would pass for the usual.
             latest = {
                 end.endpoint.entry.number: end.latency for end in self._ejection.outcomes if end.latency
@@ -727,25 +776,25 @@
             seconds = (end.latency for end in self._ejection.outcomes if end.latency)
             # Guards against a start that passes for crowded: without news of times, nothing is.
             figures = (median(latest.values(), 1.0), median(waits, 1.0), median(seconds, 0.0))
-            self._usual_now = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
-            self._passed_over = self._find_passed_over(now)
+            self._typical = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
+            self._avoided = self._find_avoided(now)
             # Kept with them: going through a large fleet for each job costs more than all its decisions.
-            self._cold = [
-                endpoint for endpoint in self._cold if self._slow_start.is_warming_up(endpoint, now)
+            self._warming_up = [
+                endpoint for endpoint in self._warming_up if self._slow_start.is_warming_up(endpoint, now)
             ]
-            self._warm = len(self._active) - len(self._cold)
-            kept_out = dict.fromkeys([*self._ejection.ejected(now, self._is_in_use), *self._passed_over])
-            self._able = self._warm - sum(
+            self._warm_count = len(self._active) - len(self._warming_up)
+            kept_out = dict.fromkeys([*self._ejection.ejected(now, self._is_in_use), *self._avoided])
+            self._able_count = self._warm_count - sum(
                 1 for endpoint in kept_out if not self._slow_start.is_warming_up(endpoint, now)
             )
-        return self._usual_now
+        return self._typical
 
     # The four rules.
 
-    def _may_run_on(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> bool:
+    def _is_repeat_safe(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> bool:
         """Whether a further dispatch there cannot make an effect happen twice."""
         # Guards against a repeat that is decided on in time, and comes up when its server has forgotten.
-        until = repeatable_until(pending.request_class, pending.attempts, endpoint, self._guard)
+        until = repeatable_until(pending.request_class, pending.attempts, endpoint, self._deadline_guard)
         return now < until - self._settings.connect_timeout
 
     def repeatable_until(self, request: int, attempt: int) -> float:
@@ -754,28 +803,34 @@
         if pending is None:
             return -math.inf
         earlier, endpoint = pending.attempts[:attempt], pending.attempts[attempt].endpoint
-        return repeatable_until(pending.request_class, earlier, endpoint, self._guard)
+        return repeatable_until(pending.request_class, earlier, endpoint, self._deadline_guard)
 
     def _is_rejection_safe(self, pending: PendingRequest) -> bool:
         return is_rejection_safe(pending.request_class, pending.attempts)
 
     def _slow_start_credit(self, endpoint: Endpoint, now: float) -> float:
-        self._usual()  # counts the warm endpoints anew
-        return self._slow_start.credit(endpoint, now, self._take.rate(), len(self._active), self._warm)
+        self._typical_latencies()  # counts the warm endpoints anew
+        return self._slow_start.credit(
+            endpoint, now, self._served_rate.rate(), len(self._active), self._warm_count
+        )
 
     # Room, health and the rest.
 
     def _capacity(self) -> float:
         """Jobs out at most: what the last answers' rate clears within a part of the contract time."""
-        learned = self._throughput.capacity(self._hold_share, self._calm_times, self._host.now())
-        self._usual()  # counts the able servers anew
+        learned = self._throughput.capacity(self._capacity_share, self._stable_multiple, self._host.now())
+        self._typical_latencies()  # counts the able servers anew
         # Guards small machines, which the higher floor overdrives: it holds while answers are calm.
-        floor = FLOOR_CALM if self._throughput.is_stable() else FLOOR_EACH
+        floor = (
+            MIN_STABLE_CAPACITY_PER_ENDPOINT if self._throughput.is_stable() else MIN_CAPACITY_PER_ENDPOINT
+        )
         if self._settings.sidecar:
-            floor *= min(1.0, CROWD_SHARE * self._contract / self._usual().median)
-        return max(2.0, floor * self._able / self._parts(), learned)
+            floor *= min(
+                1.0, MAX_MEDIAN_SHARE * self._min_latency_objective / self._typical_latencies().median
+            )
+        return max(2.0, floor * self._able_count / self._traffic_divisor(), learned)
 
-    def _parts(self) -> float:
+    def _traffic_divisor(self) -> float:
         """How many times this node's traffic all nodes have; by their number where nobody tells of his."""
         if not self._settings.gossips:
             return self._settings.node_count
@@ -784,37 +839,41 @@
         first_attempts = self._retry_budget.first_attempts.count(now)
         return self._settings.node_count * (self._peer_reports.count(now) + 1) / (first_attempts + 1)
 
-    def _pressing(self, now: float) -> int:
+    def _load(self, now: float) -> int:
         """Jobs out, still young, and where more may go."""
         # Guards against jobs swallowed, or stuck in resting servers, using up the room of the others.
-        while self._recent:
-            first = self._recent[0]
+        while self._recent_attempts:
+            first = self._recent_attempts[0]
             if (
                 first.in_flight
                 and not first.response_started
-                and now - first.sent_at <= self._young_share * first.latency_objective
+                and now - first.sent_at <= self._load_share * first.latency_objective
             ):
                 break
-            self._recent.popleft()
+            self._recent_attempts.popleft()
         pressing = (
-            attempt.endpoint for attempt in self._recent if attempt.in_flight and not attempt.response_started
+            attempt.endpoint
+            for attempt in self._recent_attempts
+            if attempt.in_flight and not attempt.response_started
         )
-        return sum(1 for endpoint in pressing if self._takes_more(endpoint, now))
+        return sum(1 for endpoint in pressing if self._accepts_requests(endpoint, now))
 
-    def _judge(self, endpoint: Endpoint, outcome: AttemptOutcome, now: float) -> None:
+    def _assess_outcome(self, endpoint: Endpoint, outcome: AttemptOutcome, now: float) -> None:
         """Sets a server aside when its last few outcomes trail the others'."""
         good = outcome.result is AttemptResult.SUCCEEDED
         if outcome.result is AttemptResult.REJECTED:
             # Guards against a second refusal there: a full server has room when a job of the usual time ends.
-            self._ejection.eject(endpoint, max(endpoint.ejected_until, now + self._usual().per_endpoint))
+            self._ejection.eject(
+                endpoint, max(endpoint.ejected_until, now + self._typical_latencies().per_endpoint)
+            )
         if not good and outcome.result not in FAILURES:
             return
         seconds = outcome.seconds if good or outcome.result is AttemptResult.TIMED_OUT else 0.0
         endpoint.last_own_outcome_at = now
-        self._tell_on(endpoint, good, seconds, now)
-        self._learned(endpoint, good, seconds, now)
+        self._send_gossip(endpoint, good, seconds, now)
+        self._record_outcome(endpoint, good, seconds, now)
 
-    def _learned(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
+    def _record_outcome(self, endpoint: Endpoint, good: bool, seconds: float, now: float) -> None:
         self._ejection.record_outcome(endpoint, good, seconds)
         # Guards against ejecting what has left the list, or was restarted: nobody knows it any more.
         if good or not self._is_known(endpoint):
@@ -824,7 +883,7 @@
             self._ejection.eject(endpoint, ejection_end(now, self._random))
             self._host.report_ejection(endpoint.entry.number, endpoint.ejected_until - now)
 
-    def _answered(self, endpoint: Endpoint, load: LoadReport, now: float) -> None:
+    def _record_load_report(self, endpoint: Endpoint, load: LoadReport, now: float) -> None:
         endpoint.load_report, endpoint.load_reported_at = load, now
         if endpoint in self._pool:
             self._pool.remove(endpoint)
@@ -832,45 +891,47 @@
         if self._endpoints.get(endpoint.entry.number) is endpoint:
             self._pool.append(endpoint)
 
-    def _probe_on(self) -> None:
+    def _probe_on_timer(self) -> None:
         if self._settings.probes:
             self._send_next_probe()
-        self._after(PROBE_SPAN, self._probe_on)
+        self._start_timer(PROBE_INTERVAL_S, self._probe_on_timer)
 
     def _send_next_probe(self) -> None:
-        self._unprobed = 0
+        self._attempts_since_probe = 0
         if self._active:
-            self._odd_probe = not self._odd_probe
+            self._probes_preferred = not self._probes_preferred
             # Every other probe asks a server that is likely to be sent to; the rest keep the design's share.
             connections = self._connections
-            preferred = connections.preferred(self._host.now(), self._is_in_use) if self._odd_probe else []
-            self._ask(self._random.choice(preferred or self._active))
+            preferred = (
+                connections.preferred(self._host.now(), self._is_in_use) if self._probes_preferred else []
+            )
+            self._send_probe(self._random.choice(preferred or self._active))
 
-    def _ask(self, endpoint: Endpoint) -> None:
+    def _send_probe(self, endpoint: Endpoint) -> None:
         endpoint.probe_sent_at = self._host.now()
         self._host.send_probe(endpoint.entry.number)
 
-    def _enter(self, entry: EndpointEntry) -> None:
+    def _apply_entry(self, entry: EndpointEntry) -> None:
         known = self._endpoints.get(entry.number)
         if entry.state is EndpointState.REMOVED:
             # Guards against growing with each server that ever was; dispatches there still know its group.
             self._endpoints.pop(entry.number, None)
         elif known is None or entry.started_at > known.entry.started_at:
             # Guards against judging a restarted server by what it was before.
-            self._fresh(entry)
+            self._add_endpoint(entry)
         else:
             # Guards against word from before it was given back: that it is warm.
             start = entry.started_at if entry.started_at > known.banned_since else known.entry.started_at
             known.entry = replace(entry, started_at=start)
 
-    def _fresh(self, entry: EndpointEntry) -> Endpoint:
+    def _add_endpoint(self, entry: EndpointEntry) -> Endpoint:
         now = self._host.now()
         known = self._endpoints[entry.number] = Endpoint(entry)
         if self._slow_start.is_warming_up(known, now):
             begin_credit(known, now, self._random)
         return known
 
-    def _is_open(self, endpoint: Endpoint) -> bool:
+    def _is_available(self, endpoint: Endpoint) -> bool:
         """Whether anything new may go there: the list has it ready, and no operator has it out."""
         return endpoint.entry.state is EndpointState.ACTIVE and endpoint.entry.number not in self._banned
 
@@ -878,9 +939,9 @@
         quotas = self._tenant_quotas
         if not quotas.has_quota(tenant):
             return False
-        return not quotas.take(tenant, self._parts(), self._settings.process_count, now)
+        return not quotas.take(tenant, self._traffic_divisor(), self._settings.process_count, now)
 
-    def _age(self, request: NewRequest, request_class: RequestClass, now: float) -> float:
+    def _client_age(self, request: NewRequest, request_class: RequestClass, now: float) -> float:
         """How long the client has waited, read off the time left against the longest seen lately."""
         lefts = self._times_left.get(request.request_class)
         if lefts is None:
@@ -898,14 +959,14 @@
         spent = self._latencies.get(request_class)
         return sorted(spent)[len(spent) // 4] if spent else 0.0
 
-    def _advice(self) -> float:
-        wait = ADVICE_LEAST + len(self._queue) / max(self._throughput.rate(self._host.now()), 1.0)
+    def _retry_after(self) -> float:
+        wait = MIN_RETRY_AFTER_S + len(self._queue) / max(self._throughput.rate(self._host.now()), 1.0)
         return min(wait * self._random.uniform(1.0, 2.0), self._settings.retry_after_max)
 
-    def _after(self, delay: float, due: Callable[[], None]) -> None:
-        self._token += 1
-        self._timers[self._token] = due
-        self._host.set_timer(delay, self._token)
+    def _start_timer(self, delay: float, due: Callable[[], None]) -> None:
+        self._last_token += 1
+        self._timers[self._last_token] = due
+        self._host.set_timer(delay, self._last_token)
 
     def _prune(self, kept: deque[Any], since: float) -> None:
         """Drops what was noted before; each entry begins with its moment."""
@@ -913,36 +974,36 @@
             kept.popleft()
 
 
-UNKNOWN_PROFILE = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
-UNHEARD = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
+UNKNOWN_CLASS = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
+SILENT_RESULTS = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
 B, S, E = Balancer, RequestState, RequestEvent
 TABLE = (
     # state, input, judgement, next state, effect; the first row whose judgement holds is taken
-    Transition(S.NEW, E.ARRIVED, B._hopeless, S.ENDED, B._give_up),
-    Transition(S.NEW, E.ARRIVED, B._crowded_out, S.ENDED, B._give_up),
-    Transition(S.NEW, E.ARRIVED, B._finds_place, S.IN_FLIGHT, B._send_first),
-    Transition(S.NEW, E.ARRIVED, B._may_wait, S.QUEUED, B._wait),
+    Transition(S.NEW, E.ARRIVED, B._is_hopeless, S.ENDED, B._give_up),
+    Transition(S.NEW, E.ARRIVED, B._is_shed, S.ENDED, B._give_up),
+    Transition(S.NEW, E.ARRIVED, B._finds_endpoint, S.IN_FLIGHT, B._send_first_attempt),
+    Transition(S.NEW, E.ARRIVED, B._may_queue, S.QUEUED, B._enqueue),
     Transition(S.NEW, E.ARRIVED, B._always, S.ENDED, B._give_up),
-    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._hopeless, S.ENDED, B._give_up),
-    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._finds_place, S.IN_FLIGHT, B._send_first),
+    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._is_hopeless, S.ENDED, B._give_up),
+    Transition(S.QUEUED, E.CAPACITY_AVAILABLE, B._finds_endpoint, S.IN_FLIGHT, B._send_first_attempt),
     Transition(S.QUEUED, E.DEADLINE_NEAR, B._always, S.ENDED, B._give_up),
-    Transition(S.QUEUED, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
-    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._others_out, S.IN_FLIGHT, B._nothing),
-    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._may_retry, S.IN_FLIGHT, B._send_again),
+    Transition(S.QUEUED, E.CLIENT_CANCELLED, B._always, S.ENDED, B._finish),
+    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._has_attempt_in_flight, S.IN_FLIGHT, B._do_nothing),
+    Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._may_retry, S.IN_FLIGHT, B._send_retry),
     Transition(S.IN_FLIGHT, E.ENDPOINT_FAULT, B._always, S.ENDED, B._give_up),
-    Transition(S.IN_FLIGHT, E.OTHER_FAILURE, B._others_out, S.IN_FLIGHT, B._nothing),
+    Transition(S.IN_FLIGHT, E.OTHER_FAILURE, B._has_attempt_in_flight, S.IN_FLIGHT, B._do_nothing),
     Transition(S.IN_FLIGHT, E.OTHER_FAILURE, B._always, S.ENDED, B._give_up),
-    Transition(S.IN_FLIGHT, E.OVERDUE, B._copy_due, S.IN_FLIGHT, B._send_again),
-    Transition(S.IN_FLIGHT, E.OVERDUE, B._recall_due, S.IN_FLIGHT, B._take_back),
-    Transition(S.IN_FLIGHT, E.RESPONSE_STARTED, B._always, S.STREAMING, B._nothing),
-    Transition(S.IN_FLIGHT, E.COMPLETED, B._always, S.ENDED, B._leave),
+    Transition(S.IN_FLIGHT, E.OVERDUE, B._is_hedge_due, S.IN_FLIGHT, B._send_retry),
+    Transition(S.IN_FLIGHT, E.OVERDUE, B._is_cancellation_due, S.IN_FLIGHT, B._cancel_stalled_attempt),
+    Transition(S.IN_FLIGHT, E.RESPONSE_STARTED, B._always, S.STREAMING, B._do_nothing),
+    Transition(S.IN_FLIGHT, E.COMPLETED, B._always, S.ENDED, B._finish),
     Transition(S.IN_FLIGHT, E.DEADLINE_NEAR, B._always, S.ENDED, B._give_up),
-    Transition(S.IN_FLIGHT, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
-    Transition(S.STREAMING, E.ENDPOINT_FAULT, B._others_out, S.STREAMING, B._nothing),
+    Transition(S.IN_FLIGHT, E.CLIENT_CANCELLED, B._always, S.ENDED, B._finish),
+    Transition(S.STREAMING, E.ENDPOINT_FAULT, B._has_attempt_in_flight, S.STREAMING, B._do_nothing),
     Transition(S.STREAMING, E.ENDPOINT_FAULT, B._always, S.ENDED, B._give_up),
-    Transition(S.STREAMING, E.OTHER_FAILURE, B._others_out, S.STREAMING, B._nothing),
+    Transition(S.STREAMING, E.OTHER_FAILURE, B._has_attempt_in_flight, S.STREAMING, B._do_nothing),
     Transition(S.STREAMING, E.OTHER_FAILURE, B._always, S.ENDED, B._give_up),
-    Transition(S.STREAMING, E.COMPLETED, B._always, S.ENDED, B._leave),
-    Transition(S.STREAMING, E.CLIENT_CANCELLED, B._always, S.ENDED, B._leave),
+    Transition(S.STREAMING, E.COMPLETED, B._always, S.ENDED, B._finish),
+    Transition(S.STREAMING, E.CLIENT_CANCELLED, B._always, S.ENDED, B._finish),
 )
 ROWS = {key: [row for row in TABLE if row[:2] == key] for key in dict.fromkeys(row[:2] for row in TABLE)}
