--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -1,9 +1,8 @@
-"""Every decision of notchjunction, for one node.
+"""The coordinator of a node's decisions: takes events, keeps the requests, and gives commands.
 
-A host (see `Host` and `Decisions` in interface.py) builds one `Balancer` from the `Terms` it was given and
-calls it for each thing that happens: `take`, `outcome`, `streaming`, `withdrawn`, `probed`, `timer`,
-`listed`, `barred`, `retuned`. It answers through the host: `dispatch`, `recall`, `probe`, `turn_back`, ...
-Each happening becomes an input to a job; TABLE says, by the job's state, what is done; `_step` reads it.
+A host (see `BalancerHost` and `RequestBalancer` in interface.py) builds one `Balancer` from its settings and
+calls it for each event. It answers through the host: `send_attempt`, `reject`, ...
+Each event becomes a `RequestEvent`; TABLE says, by the request's state, what is done; `_step` reads it.
 The design is error ownership on one hop and a probe pool: see docs/design.md.
 """
 
@@ -56,66 +55,43 @@
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import renewal_pause
 
-# Constants: unit, and why this size.
-ATTEMPTS_PER_PROBE = (
-    5  # first sends a probe; twice the design's least, so that two fresh answers are the usual case
-)
-PROBE_INTERVAL_S = 2.5  # s between probes without sends; half the design's most, to survive one lost answer
-TYPICAL_REFRESH_S = 0.1  # s for which the fleet's usual figures stand; short against any trouble
-LOAD_REPORT_MAX_AGE_S = 10.0  # s an answer counts; the weight of an old one is small long before
-MAX_POOL_SIZE = 48  # newest answers that are looked at; bounds the work of a pick, however large the fleet
-MAX_RANDOM_TRIES = 32  # random looks for two servers that fit, before all are gone through
-POOL_SHARE = 0.34  # of the fresh answers, the best, that make up the pool; random enough against herds
-PROBE_NOISE_RATIO = 2.0  # times the usual seconds that a probe may take by chance, as on a new connection
-SLOW_PROBE_RATIO = (
-    4.0  # times the usual past which its server counts as slow; past chance and unequal machines
-)
-MIN_SLOW_PROBE_SHARE = 0.05  # of a job's usual time; a probe that takes less tells of nothing that harms one
-SLOW_PROBE_SPAN_S = (
-    3.0  # s that such a probe counts; time to rest, and about the time between two probes of a server
-)
-CAPACITY_OBJECTIVE_SHARE = (
-    0.5  # of the contract time that jobs out may take to clear; the rest is slack for chance
-)
-LOAD_OBJECTIVE_SHARE = (
-    0.75  # of the contract time after which a dispatch counts as stuck and takes up no room
-)
-QUEUE_INTERVAL_S = 0.05  # s between looks at waiting jobs without an outcome; short against any contract time
-MAX_QUEUE_SHARE = 0.25  # of the contract time that a job may expect to wait at the node
-MAX_STABLE_MULTIPLE = (
-    2.5  # times the calmest middle time that jobs out may take to clear; past it servers only queue
-)
-MIN_CAPACITY_PER_ENDPOINT = (
-    6.0  # jobs that all nodes send an able server before anything is learned: a small machine's
-)
-MIN_STABLE_CAPACITY_PER_ENDPOINT = (
-    9.0  # the same while answers come in calm times; servers that do well hold more
-)
+ATTEMPTS_PER_PROBE = 5  # first attempts; twice the design's least, so that two fresh reports are common
+PROBE_INTERVAL_S = 2.5  # without attempts; half the design's bound, to survive one lost response
+TYPICAL_REFRESH_S = 0.1  # for which the fleet's typical latencies stand; short against any trouble
+LOAD_REPORT_MAX_AGE_S = 10.0  # the weight of an old report is small long before
+MAX_POOL_SIZE = 48  # newest load reports; bounds the work of a selection, however large the fleet
+MAX_RANDOM_TRIES = 32  # for two endpoints that fit, before all are gone through
+POOL_SHARE = 0.34  # of the fresh reports, the best, that make up the pool; random enough against herds
+PROBE_NOISE_RATIO = 2.0  # times the typical latency a probe may take by chance, as on a new connection
+SLOW_PROBE_RATIO = 4.0  # times the typical past which its endpoint is slow; past chance, unequal machines
+MIN_SLOW_PROBE_SHARE = 0.05  # of a request's typical latency; a quicker probe shows nothing that harms one
+SLOW_PROBE_SPAN_S = 3.0  # that a slow probe counts; about the time between two probes of an endpoint
+CAPACITY_OBJECTIVE_SHARE = 0.5  # of the latency objective to serve what is in flight; the rest is slack
+LOAD_OBJECTIVE_SHARE = 0.75  # of the latency objective after which an attempt is stuck: no load any more
+QUEUE_INTERVAL_S = 0.05  # between looks at the queue without an outcome; short against any objective
+MAX_QUEUE_SHARE = 0.25  # of the latency objective that a request may expect to wait in the queue
+MAX_STABLE_MULTIPLE = 2.5  # times the best median latency to serve what is in flight; past it it queues there
+MIN_CAPACITY_PER_ENDPOINT = 6.0  # requests of all nodes before anything is learned: a small machine's
+MIN_STABLE_CAPACITY_PER_ENDPOINT = 9.0  # the same while latencies are stable; good endpoints hold more
 MAX_MEDIAN_SHARE = (
-    0.35  # of the contract time that the middle job may take; a few times that, and many are late
-)
-OVERDUE_RATIO = 8.0  # times the usual seconds before a second copy; rarer than a large job on a sound server
-MAX_OVERDUE_SHARE = 0.5  # of the contract time at most, beside clients; the rest is for the next server
-UNRESPONSIVE_RATIO = (
-    4.0  # times the usual seconds before a dispatch counts as unanswered; jobs differ in size
+    0.35  # of the latency objective for the median request; a few times that, and many are late
 )
-MAX_AVOIDED_SHARE = (
-    0.5  # share of ready servers passed over as silent at most; more is a trouble common to all
+OVERDUE_RATIO = (
+    8.0  # times the typical latency before a hedge; rarer than a large request on a sound endpoint
 )
+MAX_OVERDUE_SHARE = 0.5  # of the latency objective, for a sidecar; the rest is for the next endpoint
+UNRESPONSIVE_RATIO = 4.0  # times the typical latency before an attempt is unanswered; requests differ in size
+MAX_AVOIDED_SHARE = 0.5  # of the active endpoints; more is a trouble common to all
 NEAR_ZONE_WEIGHT = (
-    20.0  # times the far server's score, for a crossing price of 1, that a near one may be worse
-)
-NEAR_ZONE_SPARE_SHARE = (
-    0.5  # of an even share of own jobs out that does not count against a near server; it is chance
-)
-DEADLINE_GUARD_TICKS = 2  # host ticks before the abandon time at which the last answer is given
-AFFINITY_ENDPOINTS = 2  # that a key goes to first; more would share what one remembers, one alone may be hot
-AFFINITY_MAX_RATIO = 2.5  # times the pool's choice that one of them may score; a met key takes far less work
-MAX_GOSSIP_OUTCOMES = (
-    12  # last outcomes of its own that a node tells with each; each is told to about so many peers
+    20.0  # times a far endpoint's score, for a crossing cost of 1, that a near one may be worse
 )
-GOSSIP_MAX_AGE_S = 10.0  # s that an outcome is worth telling; older ones are of another trouble
-MIN_RETRY_AFTER_S = 0.25  # s a turned back client is asked to wait at least
+NEAR_ZONE_SPARE_SHARE = 0.5  # of an even share of own requests that doesn't count against a near endpoint
+DEADLINE_GUARD_TICKS = 2  # host ticks before the deadline at which the final response is given
+AFFINITY_ENDPOINTS = 2  # that a key goes to first; more would share what one remembers, one may be hot
+AFFINITY_MAX_RATIO = 2.5  # times the pool's choice that one may score; a met key takes far less work
+MAX_GOSSIP_OUTCOMES = 12  # own ones in a datagram; each goes to about so many peers
+GOSSIP_MAX_AGE_S = 10.0  # older outcomes are of another trouble
+MIN_RETRY_AFTER_S = 0.25  # that a rejected client is asked to wait
 
 
 class Transition(NamedTuple):
@@ -133,8 +109,8 @@
         self._endpoints: dict[int, Endpoint] = {}
         self._banned: dict[int, float] = {}
         self._active: list[Endpoint] = []
-        # Of the ready ones, those that a look at all of them would find: a large fleet has few such.
-        self._warming_up: list[Endpoint] = []  # may still be cold
+        # Of the active ones, those that a look at all of them would find: a large fleet has few such.
+        self._warming_up: list[Endpoint] = []  # may still be warming up
         self._probed: deque[tuple[float, Endpoint]] = (
             deque()
         )  # probed within the span that such a wait counts
@@ -167,12 +143,12 @@
     # What the host calls.
 
     def gossip_received(self, outcomes: Sequence[PeerOutcome]) -> None:
-        """Outcomes that a peer tells of: they make this node careful, and open or prove nothing."""
+        """Outcomes that a peer reports: they make this node careful, and open or prove nothing."""
         now = self._host.now()
         self._peer_reports.record(now)
         for peer_outcome in outcomes:
             endpoint, at = self._endpoints.get(peer_outcome.endpoint), now - peer_outcome.age
-            # Guards against judging a server by what it was before its start, or by older than own news.
+            # Guards against judging an endpoint by what was before its start, or before an own outcome.
             if (
                 endpoint is None
                 or peer_outcome.age > GOSSIP_MAX_AGE_S
@@ -200,7 +176,7 @@
     def settings_changed(
         self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
     ) -> None:
-        """The terms for what comes from now on; what was learned of servers stays."""
+        """The settings for what comes from now on; what was learned of endpoints stays."""
         self._settings = settings
         self._request_classes = dict(request_classes)
         self._is_deepest_tier = settings.tier is not None and settings.tier == settings.tier_count - 1
@@ -221,12 +197,12 @@
         self._min_latency_objective = min(
             (request_class.latency_objective for request_class in request_classes.values()), default=1.0
         )
-        # Guards against a contract time that ends before several usual ones.
+        # Guards against a latency objective that ends before several typical ones.
         self._max_patience = MAX_OVERDUE_SHARE * self._min_latency_objective if settings.sidecar else math.inf
         self._find_warming_up()
         self._near_zone_factor = 1.0 + NEAR_ZONE_WEIGHT * settings.cross_zone_cost
         self._deadline_guard = DEADLINE_GUARD_TICKS * settings.tick
-        # What was learned of a profile goes with it; a job that is held still knows its own.
+        # What was learned of a request class goes with it; a request that is pending still knows its own.
         self._latencies = {index: self._latencies.get(index, deque(maxlen=16)) for index in request_classes}
         self._times_left = {index: self._times_left.get(index, deque(maxlen=32)) for index in request_classes}
 
@@ -258,7 +234,7 @@
         self._step(pending, RequestEvent.ARRIVED)
 
     def _start_deadline_timer(self, pending: PendingRequest, now: float) -> None:
-        # Guards against a job left unanswered when nothing else happens before its abandon time.
+        # Guards against a request left unanswered when nothing else happens before its deadline.
         left = pending.deadline_at - now
         self._start_timer(
             max(left - self._deadline_guard, left / 2),
@@ -266,7 +242,7 @@
         )
 
     def body_completed(self, request: int, time_left: float = math.inf) -> None:
-        """A large job's last byte has come: its time and load count from now, and it is not sent again."""
+        """A large request's last byte has come: time and load count from now, and it is not retried."""
         pending, now = self._pending.get(request), self._host.now()
         if pending is not None and not pending.complete:
             pending.objective_at += now - pending.arrived_at
@@ -292,7 +268,7 @@
             self._record_load_report(attempt.endpoint, outcome.load, now)
         ours = attempt.cancelled_for_retry or now - attempt.sent_at >= attempt.latency_objective
         if self._settings.sidecar and outcome.result is AttemptResult.CANCELLED and ours:
-            # Guards against judging by quick jobs alone: what the node recalls for its time has timed out.
+            # Guards against judging by quick requests alone: what is cancelled for its time has timed out.
             outcome = replace(outcome, result=AttemptResult.TIMED_OUT, seconds=now - attempt.sent_at)
         self._assess_outcome(attempt.endpoint, outcome, now)
         pending = self._pending.get(outcome.request)
@@ -312,9 +288,9 @@
     def _record_response(
         self, pending: PendingRequest | None, attempt: Attempt, seconds: float, now: float
     ) -> None:
-        """A server has done a job: what the room and the usual times are worked out from."""
+        """An endpoint has served a request: capacity and typical latencies are worked out from this."""
         self._throughput.record_success(attempt.latency_objective, seconds, now)
-        # Guards against budgets learned from what dead or overdriven servers refuse, as clients come again.
+        # Guards against budgets learned from what dead or overloaded endpoints reject, as clients come again.
         self._served_rate.record_success(self._warm_count, max(1, len(self._active)))
         if pending is not None and pending.class_number in self._latencies:
             self._latencies[pending.class_number].append(seconds)
@@ -326,7 +302,7 @@
             self._host.now(),
         )
         if flight is not None and not flight.response_started:
-            # Its server has done the job: what remains is the way, as slow as the caller reads.
+            # Its endpoint has done the request: what remains is the way, as slow as the client reads.
             flight.response_started, flight.endpoint.last_response_at = True, now
             self._remove_in_flight(flight)
             self._record_response(pending, flight, now - flight.sent_at, now)
@@ -374,7 +350,7 @@
         self._refresh_endpoints()
 
     def ban_changed(self, endpoint: int, out: bool) -> None:
-        """An operator takes a server out of use or gives it back; the list has no say in that."""
+        """An operator takes an endpoint out of use or gives it back; the list has no say in that."""
         now, known = self._host.now(), self._endpoints.get(endpoint)
         if out:
             self._banned.setdefault(endpoint, now)
@@ -388,7 +364,7 @@
         self._refresh_endpoints()
 
     def export_state(self) -> dict[str, Any]:
-        """What was learned so far, for a process that follows this one; servers and profiles by number."""
+        """What was learned so far, for a process that follows this one; by numbers."""
         now = self._host.now()
         endpoints = {index: endpoint.export_state(now) for index, endpoint in self._endpoints.items()}
         spent = {index: list(times) for index, times in self._latencies.items()}
@@ -405,8 +381,8 @@
             self._latencies[index].extend(float(seconds) for seconds in times)
 
     def _refresh_endpoints(self) -> None:
-        self._typical_until = -math.inf  # its counts are of the servers before this news
-        # Kept between news: going through a large fleet for each job costs more than all its decisions.
+        self._typical_until = -math.inf  # its counts are of the endpoints before this update
+        # Kept between updates: a look through a large fleet for each request costs more than all else.
         self._active = [endpoint for endpoint in self._endpoints.values() if self._is_available(endpoint)]
         self._unbanned = [endpoint for endpoint in self._active if endpoint.awaits_first_attempt]
         self._find_warming_up()
@@ -433,7 +409,7 @@
                 return
 
     def _serve_queue(self) -> None:
-        """Gives waiting jobs their turn, the most pressing first, while room lasts."""
+        """Gives waiting requests their turn, the most pressing first, while capacity lasts."""
         while self._queue:
             head = self._queue[0]
             self._step(head, RequestEvent.CAPACITY_AVAILABLE)
@@ -446,7 +422,7 @@
         self._start_queue_timer()
 
     def _start_queue_timer(self) -> None:
-        # Guards against jobs that wait for a cold server, or one set aside, while no outcome wakes them.
+        # Guards against requests that wait for a warming or ejected endpoint while no outcome wakes them.
         if self._queue and not self._queue_timer_set:
             self._queue_timer_set = True
             self._start_timer(QUEUE_INTERVAL_S, self._serve_queue_on_timer)
@@ -462,7 +438,7 @@
         return True
 
     def _is_hopeless(self, pending: PendingRequest) -> bool:
-        """No server could answer it in time for any revenue; late answers count only while none waits."""
+        """No endpoint could answer it in time for any revenue; late answers count only while none waits."""
         now, quick = self._host.now(), self._fast_latency(pending.class_number)
         late = pending.objective_at - now < quick and (
             not pending.request_class.late_weight or self._is_capacity_scarce(now)
@@ -470,8 +446,8 @@
         return late or pending.deadline_at - now - self._deadline_guard < quick
 
     def _is_shed(self, pending: PendingRequest) -> bool:
-        """By chance, as many as servers would do too late, those of little revenue first."""
-        # Guards where nodes sit beside clients: what a thin one has out says nothing of what servers hold.
+        """By chance, as many as endpoints would do too late, those of little revenue first."""
+        # Guards where nodes sit beside clients: what a thin one has out says nothing of what endpoints hold.
         part = MAX_MEDIAN_SHARE * pending.request_class.latency_objective / self._typical_latencies().median
         revenue = pending.request_class.priority_weight * (
             self._settings.over_quota_weight if pending.over_quota else 1.0
@@ -507,7 +483,7 @@
     def _may_retry(self, pending: PendingRequest) -> bool:
         most = min(
             pending.max_attempts, self._settings.max_attempts
-        )  # the stricter, if the terms have changed
+        )  # the stricter, if the settings have changed
         if (
             not self._retry_budget.allows_retry(self._host.now())
             or len(pending.attempts) >= most
@@ -518,8 +494,8 @@
         return pending.chosen_endpoint is not None
 
     def _is_stalled(self, pending: PendingRequest) -> bool:
-        """Its server answers nothing while most others do: its own fault, seen before the time-out."""
-        # Guards against jobs lost in servers that take work and answer none. Acts at any tier, in the budget.
+        """Its endpoint answers nothing while most others do: its own fault, seen before the time-out."""
+        # Guards against requests lost in endpoints that accept all and answer none, at any tier.
         last = pending.attempts[-1]
         waits = pending.complete and last.in_flight and not last.cancelled_for_retry
         return waits and last.endpoint in self._unresponsive(self._host.now()) and self._may_retry(pending)
@@ -528,7 +504,7 @@
         return self._settings.hedging and self._is_stalled(pending)
 
     def _is_cancellation_due(self, pending: PendingRequest) -> bool:
-        # Guards against sound servers that were merely not heard of: the newest outcome there was a failure.
+        # Guards against sound endpoints without recent responses: the newest outcome there must be a failure.
         doubted = not all(list(pending.attempts[-1].endpoint.recent_successes)[-1:])
         return not self._settings.hedging and doubted and self._is_stalled(pending)
 
@@ -577,7 +553,7 @@
             self._start_timer(delay, lambda: self._step(pending, RequestEvent.OVERDUE))
 
     def _cancel_stalled_attempt(self, pending: PendingRequest) -> None:
-        """Recalls what its server has swallowed; it is sent elsewhere once that outcome is there."""
+        """Cancels a stalled attempt; the request is retried elsewhere once that outcome is there."""
         pending.attempts[-1].cancelled_for_retry = True
         self._host.cancel_attempt(pending.id, len(pending.attempts) - 1)
 
@@ -592,7 +568,7 @@
             attempt.endpoint.in_flight.remove(attempt)
 
     def _give_up(self, pending: PendingRequest) -> None:
-        """The final answer: a turn-back where trying again is surely harmless, else a write-off."""
+        """The final answer: a rejection where trying again is surely harmless, else a failure."""
         self._finish(pending)
         if self._is_rejection_safe(pending):
             self._host.reject(pending.id, self._retry_after())
@@ -606,14 +582,14 @@
         self._cancel_attempts(pending)
 
     def _cancel_attempts(self, pending: PendingRequest, but: int = -1) -> None:
-        # Guards against servers working on for nobody.
+        # Guards against endpoints working on for nobody.
         out = (
             number for number, attempt in enumerate(pending.attempts) if attempt.in_flight and number != but
         )
         for number in out if self._settings.cancellation else ():
             self._host.cancel_attempt(pending.id, number)
 
-    # Which server.
+    # Which endpoint.
 
     def _select_endpoint(self, pending: PendingRequest) -> Endpoint | None:
         now = self._host.now()
@@ -635,7 +611,7 @@
         def is_near(endpoint: Endpoint) -> bool:
             return endpoint.entry.zone == self._settings.zone
 
-        # Guards against a server given back that is never met: nothing is known of it.
+        # Guards against an endpoint given back that is never met: nothing is known of it.
         owed = next(
             (endpoint for endpoint in self._unbanned if endpoint.awaits_first_attempt and fits(endpoint)),
             None,
@@ -654,7 +630,7 @@
             met = min(likely, key=lambda endpoint: self._score(endpoint, now), default=choice)
             choice = met if self._score(met, now) <= most else choice
         elif choice is not None and self._near_zone_factor > 1.0 and choice.entry.zone != self._settings.zone:
-            # Acts only where crossing zones is priced: a near server wins unless clearly worse.
+            # Acts only where crossing zones is priced: a near endpoint wins unless clearly worse.
             pool = [endpoint for endpoint in pool if is_near(endpoint)]
             near = self._select_from_pool(
                 pool, ready, lambda endpoint: is_near(endpoint) and fits(endpoint), now
@@ -666,7 +642,7 @@
         return choice
 
     def _affinity_endpoints(self, key: str) -> list[Endpoint]:
-        """The servers that all nodes send a key's jobs to first: a rank by hash, weighted by size."""
+        """The endpoints that all nodes send a key's requests to first: a rank by hash, weighted by size."""
 
         def rank(endpoint: Endpoint) -> float:
             digest = blake2b(f"{endpoint.entry.name_hash} {key}".encode(), digest_size=6).digest()
@@ -677,7 +653,7 @@
     def _select_from_pool(
         self, pool: list[Endpoint], ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool], now: float
     ) -> Endpoint | None:
-        """The better of two random entries of the pool; under two fresh, of two ready ones by own jobs."""
+        """The better of two random entries of the pool; with less than two, of two active by own load."""
         fresh = [endpoint for endpoint in pool if now - endpoint.load_reported_at <= LOAD_REPORT_MAX_AGE_S]
         if len(fresh) >= 2:
             scored = sorted(
@@ -689,9 +665,9 @@
         return min(two, key=lambda endpoint: len(endpoint.in_flight), default=None)
 
     def _sample_two(self, ready: Sequence[Endpoint], fits: Callable[[Endpoint], bool]) -> list[Endpoint]:
-        """Two random servers that fit, or as many as there are."""
+        """Two random endpoints that fit, or as many as there are."""
         found: dict[Endpoint, None] = {}
-        # Guards against going through a large fleet for each job: mostly the first few looks are enough.
+        # Guards against a look through a large fleet for each request: mostly a few tries are enough.
         for _ in range(MAX_RANDOM_TRIES if len(ready) > MAX_RANDOM_TRIES else 0):
             endpoint = self._random.choice(ready)
             if fits(endpoint):
@@ -702,11 +678,11 @@
         return self._random.sample(fitting, min(2, len(fitting)))
 
     def _is_known(self, endpoint: Endpoint) -> bool:
-        """Whether it is in the list, and not the record of a server that left or restarted."""
+        """Whether it is in the list, and not the record of an endpoint that left or restarted."""
         return self._endpoints.get(endpoint.entry.number) is endpoint
 
     def _is_in_use(self, endpoint: Endpoint) -> bool:
-        """Whether it is one of the ready ones."""
+        """Whether it is one of the active ones."""
         return self._is_known(endpoint) and self._is_available(endpoint)
 
     def _score(self, endpoint: Endpoint, now: float, spare: float = 0.0) -> float:
@@ -718,7 +694,7 @@
         pending = max(0.0, weight * reported + len(endpoint.in_flight) - spare)
         late = max(0.0, endpoint.probe_latency / usual.probe / PROBE_NOISE_RATIO - 1.0)
         late *= usual.per_endpoint / (usual.per_endpoint + now - endpoint.probe_ended_at)
-        # Guards against herds: among idle servers a noisy pace would decide alone, so it counts half.
+        # Guards against herds: among idle endpoints a noisy pace would decide alone, so it counts half.
         return (
             (pending + 1.0)
             * (1.0 + median(endpoint.recent_latencies, usual.per_endpoint) / usual.per_endpoint)
@@ -727,7 +703,7 @@
         )
 
     def _unresponsive(self, now: float) -> list[Endpoint]:
-        """Servers from which nothing was heard since an overdue dispatch; none if that is most of them."""
+        """Endpoints from which nothing was heard since an overdue attempt; none if that is most of them."""
         due = now - min(UNRESPONSIVE_RATIO * self._typical_latencies().per_endpoint, self._max_patience)
         flying = dict.fromkeys(attempt.endpoint for attempt in self._in_flight.values())
         holding = [
@@ -741,8 +717,8 @@
         return silent if len(silent) <= MAX_AVOIDED_SHARE * len(self._active) else []
 
     def _find_avoided(self, now: float) -> list[Endpoint]:
-        """Servers that are silent or slow; none if that is most of them."""
-        # Guards against jobs at overdriven servers: a probe tells of those seconds before a job does.
+        """Endpoints that are silent or slow; none if that is most of them."""
+        # Guards against requests at overloaded endpoints: a probe shows it seconds before a request does.
         usual = self._typical
         least, silent = (
             max(SLOW_PROBE_RATIO * usual.probe, MIN_SLOW_PROBE_SHARE * usual.per_endpoint),
@@ -768,17 +744,17 @@
         if now >= self._typical_until:
             self._typical_until = now + TYPICAL_REFRESH_S
             self._served_rate.advance(now, self._warm_count)
-            # One time a server: quick servers answer more jobs and would pass for the usual.
+            # One time an endpoint: quick endpoints answer more requests and would pass for typical.
             latest = {
                 end.endpoint.entry.number: end.latency for end in self._ejection.outcomes if end.latency
             }
             waits = (endpoint.probe_latency for endpoint in self._pool if endpoint.probe_latency)
             seconds = (end.latency for end in self._ejection.outcomes if end.latency)
-            # Guards against a start that passes for crowded: without news of times, nothing is.
+            # Guards against a start that passes for crowded: without any latencies, nothing is.
             figures = (median(latest.values(), 1.0), median(waits, 1.0), median(seconds, 0.0))
             self._typical = TypicalLatencies(*(max(figure, 0.001) for figure in figures))
             self._avoided = self._find_avoided(now)
-            # Kept with them: going through a large fleet for each job costs more than all its decisions.
+            # Kept with them: a look through a large fleet for each request costs more than all else.
             self._warming_up = [
                 endpoint for endpoint in self._warming_up if self._slow_start.is_warming_up(endpoint, now)
             ]
@@ -792,8 +768,8 @@
     # The four rules.
 
     def _is_repeat_safe(self, pending: PendingRequest, endpoint: Endpoint, now: float) -> bool:
-        """Whether a further dispatch there cannot make an effect happen twice."""
-        # Guards against a repeat that is decided on in time, and comes up when its server has forgotten.
+        """Whether a further attempt there cannot make an effect happen twice."""
+        # Guards against a repeat that is decided on in time, and comes up when its endpoint has forgotten.
         until = repeatable_until(pending.request_class, pending.attempts, endpoint, self._deadline_guard)
         return now < until - self._settings.connect_timeout
 
@@ -814,12 +790,12 @@
             endpoint, now, self._served_rate.rate(), len(self._active), self._warm_count
         )
 
-    # Room, health and the rest.
+    # Capacity, health and the rest.
 
     def _capacity(self) -> float:
-        """Jobs out at most: what the last answers' rate clears within a part of the contract time."""
+        """Requests in flight at most: what the throughput serves within a part of the objective."""
         learned = self._throughput.capacity(self._capacity_share, self._stable_multiple, self._host.now())
-        self._typical_latencies()  # counts the able servers anew
+        self._typical_latencies()  # counts the able endpoints anew
         # Guards small machines, which the higher floor overdrives: it holds while answers are calm.
         floor = (
             MIN_STABLE_CAPACITY_PER_ENDPOINT if self._throughput.is_stable() else MIN_CAPACITY_PER_ENDPOINT
@@ -831,7 +807,7 @@
         return max(2.0, floor * self._able_count / self._traffic_divisor(), learned)
 
     def _traffic_divisor(self) -> float:
-        """How many times this node's traffic all nodes have; by their number where nobody tells of his."""
+        """How many times this node's traffic all nodes have; by their number where no peer reports."""
         if not self._settings.gossips:
             return self._settings.node_count
         # Each outcome of a node is one note to one peer: so many come as a node has outcomes in the mean.
@@ -840,8 +816,8 @@
         return self._settings.node_count * (self._peer_reports.count(now) + 1) / (first_attempts + 1)
 
     def _load(self, now: float) -> int:
-        """Jobs out, still young, and where more may go."""
-        # Guards against jobs swallowed, or stuck in resting servers, using up the room of the others.
+        """Requests in flight, still young, and where more may go."""
+        # Guards against requests stalled, or stuck in ejected endpoints, using up the capacity of the others.
         while self._recent_attempts:
             first = self._recent_attempts[0]
             if (
@@ -859,10 +835,10 @@
         return sum(1 for endpoint in pressing if self._accepts_requests(endpoint, now))
 
     def _assess_outcome(self, endpoint: Endpoint, outcome: AttemptOutcome, now: float) -> None:
-        """Sets a server aside when its last few outcomes trail the others'."""
+        """Ejects an endpoint when its last few outcomes trail the others'."""
         good = outcome.result is AttemptResult.SUCCEEDED
         if outcome.result is AttemptResult.REJECTED:
-            # Guards against a second refusal there: a full server has room when a job of the usual time ends.
+            # Guards against a second rejection there: a full endpoint has capacity after a typical latency.
             self._ejection.eject(
                 endpoint, max(endpoint.ejected_until, now + self._typical_latencies().per_endpoint)
             )
@@ -887,7 +863,7 @@
         endpoint.load_report, endpoint.load_reported_at = load, now
         if endpoint in self._pool:
             self._pool.remove(endpoint)
-        # Guards against sends to a server the list has dropped: a late outcome may still bring its report.
+        # Guards against sends to an endpoint the list has dropped: a late outcome may still bring its report.
         if self._endpoints.get(endpoint.entry.number) is endpoint:
             self._pool.append(endpoint)
 
@@ -900,7 +876,7 @@
         self._attempts_since_probe = 0
         if self._active:
             self._probes_preferred = not self._probes_preferred
-            # Every other probe asks a server that is likely to be sent to; the rest keep the design's share.
+            # Every other probe goes to an endpoint that is likely to be chosen; the others to any.
             connections = self._connections
             preferred = (
                 connections.preferred(self._host.now(), self._is_in_use) if self._probes_preferred else []
@@ -914,10 +890,10 @@
     def _apply_entry(self, entry: EndpointEntry) -> None:
         known = self._endpoints.get(entry.number)
         if entry.state is EndpointState.REMOVED:
-            # Guards against growing with each server that ever was; dispatches there still know its group.
+            # Guards against growing with each endpoint that ever was; attempts there still know its group.
             self._endpoints.pop(entry.number, None)
         elif known is None or entry.started_at > known.entry.started_at:
-            # Guards against judging a restarted server by what it was before.
+            # Guards against judging a restarted endpoint by what it was before.
             self._add_endpoint(entry)
         else:
             # Guards against word from before it was given back: that it is warm.
@@ -932,7 +908,7 @@
         return known
 
     def _is_available(self, endpoint: Endpoint) -> bool:
-        """Whether anything new may go there: the list has it ready, and no operator has it out."""
+        """Whether anything new may go there: the list has it active, and no operator has it out."""
         return endpoint.entry.state is EndpointState.ACTIVE and endpoint.entry.number not in self._banned
 
     def _is_over_quota(self, tenant: int, now: float) -> bool:
@@ -947,7 +923,7 @@
         if lefts is None:
             return 0.0
         lefts.append((request.time_left, request.is_client_retry))
-        # Guards against first tries passing for old beside a last retry; they yield while room is scarce.
+        # Guards against first tries passing for old beside a last retry; they yield while capacity is scarce.
         scarce = any(repeat for _, repeat in lefts) and self._is_capacity_scarce(now)
         usual = max((left for left, repeat in lefts if scarce or not repeat), default=request.time_left)
         if request.is_client_retry:
@@ -974,7 +950,7 @@
             kept.popleft()
 
 
-UNKNOWN_CLASS = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as at-most-once
+UNKNOWN_CLASS = RequestClass(latency_objective=1.0, deadline=math.inf)  # taken as non-idempotent
 SILENT_RESULTS = (AttemptResult.CANCELLED, AttemptResult.TIMED_OUT, AttemptResult.NOT_SENT)
 B, S, E = Balancer, RequestState, RequestEvent
 TABLE = (
