--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -95,6 +95,8 @@
 
 
 class Transition(NamedTuple):
+    """What an event does in a state, if the condition holds."""
+
     state: RequestState
     event: RequestEvent
     condition: Callable[[Balancer, PendingRequest], bool]
@@ -103,6 +105,8 @@
 
 
 class Balancer:
+    """All decisions of one node; see `RequestBalancer` for what the methods are called for."""
+
     def __init__(self, settings: BalancerSettings, host: BalancerHost) -> None:
         self._host = host
         self._random = Random(settings.seed)
@@ -207,6 +211,7 @@
         self._times_left = {index: self._times_left.get(index, deque(maxlen=32)) for index in request_classes}
 
     def request_arrived(self, request: NewRequest) -> None:
+        """Handle a new request."""
         now = self._host.now()
         request_class = self._request_classes.get(request.request_class, UNKNOWN_CLASS)
         age = self._client_age(request, request_class, now)
@@ -254,6 +259,7 @@
             self._start_deadline_timer(pending, now)
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
+        """Handle the end of an attempt."""
         attempt = self._in_flight.pop((outcome.request, outcome.attempt), None)
         if attempt is None:
             return
@@ -296,6 +302,7 @@
             self._latencies[pending.class_number].append(seconds)
 
     def response_started(self, request: int, attempt: int) -> None:
+        """Handle the start of a large response, which is the final one."""
         pending, flight, now = (
             self._pending.get(request),
             self._in_flight.get((request, attempt)),
@@ -311,9 +318,11 @@
         self._handle_event(request, RequestEvent.RESPONSE_STARTED)
 
     def request_cancelled(self, request: int) -> None:
+        """Handle that the client cancelled the request."""
         self._handle_event(request, RequestEvent.CLIENT_CANCELLED)
 
     def probe_ended(self, endpoint: int, result: AttemptResult, load: LoadReport | None) -> None:
+        """Handle the end of a probe."""
         now, known = self._host.now(), self._endpoints.get(endpoint)
         if known is None:
             return
@@ -329,9 +338,11 @@
             known.load_reported_at = -math.inf
 
     def timer_fired(self, token: int) -> None:
+        """Run what a timer was set for."""
         self._timers.pop(token, lambda: None)()
 
     def list_updated(self, update: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
+        """Handle an update of the endpoint list, or a failed poll."""
         if update is ListUpdate.FAILED:
             self._poll_failures += 1
             # Guards against all nodes asking a troubled list service again at the same moment.
@@ -371,6 +382,7 @@
         return {"clearing": self._throughput.export_state(now), "servers": endpoints, "spent": spent}
 
     def restore_state(self, learned_state: Mapping[str, Any]) -> None:
+        """Go on from what an earlier process learned."""
         now = self._host.now()
         self._throughput.restore_state(learned_state["clearing"], now)
         for index, known in learned_state["servers"].items():
--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -1,10 +1,10 @@
 """The decisions behind a small facade in blocking style.
 
-`pick` waits for a job's next order, `report` and its siblings tell how something ended, `tick` runs the
-timers that are due.
+`next_command` waits for a request's next command, `report_attempt` and its siblings report how something
+ended, `run_due_timers` runs the timers that are due.
 
-It owns the module's numbers for jobs, dispatches and servers and the one heap of timers. It knows no sockets
-and decides nothing.
+It owns the numbers of requests, attempts and endpoints and the one heap of timers. It knows no sockets and
+decides nothing.
 """
 
 from __future__ import annotations
@@ -35,14 +35,14 @@
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.discovery.start_times import StartTimes
 
-GONE_KEPT = 1024  # names that left the list and that operators may still speak of; a release of a large fleet
-UNKNOWN = -1  # the number of no profile
-LAGS_KEPT = 256  # last delays of timers; some tens of seconds of ordinary traffic
+MAX_REMOVED_NAMES = 1024  # that left the list and may still be banned; a release of a large fleet
+UNKNOWN_CLASS_NUMBER = -1  # of no request class
+MAX_TIMER_LAGS = 256  # last delays of timers; some tens of seconds of ordinary traffic
 
 
 @dataclass(frozen=True, slots=True)
 class SettingNames:
-    """The words under which callers and the list name what the module numbers."""
+    """The names by which clients and the endpoint list mean what the decisions number."""
 
     request_classes: Sequence[str] = ()
     tenants: Sequence[str] = ()
@@ -51,7 +51,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A job as its caller states it; `effect` is what method and key say."""
+    """A request as its client states it; `idempotency` is what method and key say."""
 
     request_class: str
     time_left: float
@@ -59,88 +59,96 @@
     tenant: str = ""
     is_client_retry: bool = False
     work_hint: float | None = None
-    complete: bool = True  # whether its last byte has come; else `whole` tells of it
+    complete: bool = True  # whether its last byte has come; else see `report_body_complete`
     affinity_key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeOutcome:
-    """How a dispatch or a probe ended, and after how long."""
+    """How an attempt or a probe ended, and after how many seconds."""
 
     result: AttemptResult
     seconds: float
     load: LoadReport | None = None
-    unrepeatable: bool = False  # more of the request was sent on than is kept: there is no other dispatch
+    unrepeatable: bool = False  # more of the request was sent on than is kept: no retry
 
 
 class NumberedClass(NamedTuple):
-    """A profile as it is in force, and its numbers."""
+    """A request class as it is in force, and its numbers."""
 
     request_class: RequestClass
     number: int
     non_idempotent_number: int
 
 
-# Orders about a job.
+# Commands for a request.
 
 
 @dataclass(frozen=True, slots=True)
 class SendAttempt:
+    """Send the request to this endpoint."""
+
     attempt: int
     endpoint: str
-    expires_at: float  # s on the decider's clock: the end of the time that it is given
+    expires_at: float  # s on the engine's clock, when its timeout ends
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
+    """Cancel this attempt; its end is still reported."""
+
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """That dispatch's answer has begun to come and is the final one, whatever becomes of it."""
+    """This attempt's response has begun and is the final one, whatever becomes of it."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardResponse:
-    """That dispatch's answer is the final one."""
+    """This attempt's response is the final one."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
+    """Reject the request; the client may try again after so many seconds."""
+
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    pass
+    """Fail the request: trying again is not surely safe."""
 
 
 @dataclass(frozen=True, slots=True)
 class DropRequest:
-    """The caller has gone; nothing is owed."""
+    """The client has gone; nothing is left to do."""
 
 
-# Orders about no job.
+# Commands for the node.
 
 
 @dataclass(frozen=True, slots=True)
 class SendProbe:
+    """Probe this endpoint."""
+
     endpoint: str
 
 
 @dataclass(frozen=True, slots=True)
 class PollList:
-    pass
+    """Poll the endpoint list."""
 
 
 @dataclass(frozen=True, slots=True)
 class ReportEjection:
-    """To be told to whoever is on call; nothing is to be done."""
+    """An endpoint is ejected for so long: for logs and counters; nothing is to be done."""
 
     endpoint: str
     seconds: float
@@ -148,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """A note for a peer; that it arrives is not counted on."""
+    """Send a datagram to a peer; it may be lost."""
 
     peer: int
     datagram: bytes
@@ -162,21 +170,21 @@
 
 @dataclass(slots=True, eq=False)
 class RequestHandle:
-    """A job that was taken, until its final answer is ordered and its last dispatch reported."""
+    """A request, until its final response is commanded and its last attempt reported."""
 
     number: int
     commands: asyncio.Queue[RequestCommand] = field(default_factory=asyncio.Queue)
-    endpoints: list[int] = field(default_factory=list)  # by dispatch
+    endpoints: list[int] = field(default_factory=list)  # by attempt
     in_flight: set[int] = field(default_factory=set)
-    cancelled: set[int] = field(default_factory=set)  # dispatches, whether or not their Stop was picked
-    response_started: bool = False  # a large answer is on its way
+    cancelled: set[int] = field(default_factory=set)  # attempts, whether or not the command was read
+    response_started: bool = False  # a large response is on its way
     answered: bool = False
 
 
 class BalancerEngine:
     """The facade. `clock` gives Unix time that never jumps, `wake` asks for a `tick` after a delay.
 
-    `wall` gives Unix time as the machine has it now, by which the list tells when servers started.
+    `wall` gives Unix time as the machine has it now, by which the list states when endpoints started.
     """
 
     def __init__(
@@ -197,17 +205,17 @@
         self._zones = {name: index for index, name in enumerate(names.zones)}
         self._endpoint_numbers: dict[str, int] = {}
         self._endpoint_names: dict[int, str] = {}
-        self._numbers_by_hash: dict[int, int] = {}  # the numbers of servers by the tags of their names
+        self._numbers_by_hash: dict[int, int] = {}  # by the hashes of endpoint names
         self._gossip = OutcomeGossip(settings.seed)
         self._endpoint_numbers_given = 0
-        self._removed_names: deque[str] = deque(maxlen=GONE_KEPT)
+        self._removed_names: deque[str] = deque(maxlen=MAX_REMOVED_NAMES)
         self.banned: set[str] = set()  # by operators; whatever the list says
         self._handles: dict[int, RequestHandle] = {}
         self._submitted = 0
         self._node_commands: asyncio.Queue[NodeCommand] = asyncio.Queue()
         self._timers: list[tuple[float, int]] = []
         self._wake_at = math.inf
-        self.timer_lags: deque[float] = deque(maxlen=LAGS_KEPT)
+        self.timer_lags: deque[float] = deque(maxlen=MAX_TIMER_LAGS)
         self._settings = settings
         self._number_request_classes(settings, names)
         self._balancer: RequestBalancer = Balancer(replace(settings, request_classes=[]), _EngineHost(self))
@@ -216,6 +224,7 @@
     # What the node calls.
 
     def submit(self, spec: RequestSpec) -> RequestHandle:
+        """Hand in a new request; its commands follow at `next_command`."""
         self._submitted += 1
         handle = RequestHandle(self._submitted)
         self._handles[handle.number] = handle
@@ -237,9 +246,11 @@
         return handle
 
     async def next_command(self, handle: RequestHandle) -> RequestCommand:
+        """Wait for the next command of a request."""
         return await handle.commands.get()
 
     def report_attempt(self, handle: RequestHandle, attempt: int, outcome: ExchangeOutcome) -> None:
+        """Report how an attempt ended."""
         handle.in_flight.discard(attempt)
         first = outcome.result is AttemptResult.SUCCEEDED and not handle.answered
         handle.answered = handle.answered or first
@@ -262,24 +273,24 @@
         self._release(handle)
 
     def report_body_complete(self, handle: RequestHandle, time_left: float = math.inf) -> None:
-        """The job's last byte has come: its time counts from now, and is so many seconds at most."""
+        """Report the request's last byte: its time counts from now, and is so many seconds at most."""
         if not handle.answered:
             self._balancer.body_completed(handle.number, time_left)
 
     def is_wanted(self, handle: RequestHandle, attempt: int) -> bool:
-        """Whether a dispatch that was ordered is still wanted; orders against it may wait to be picked."""
+        """Return whether an attempt is still wanted; a command to cancel it may not be read yet."""
         return not handle.answered and attempt not in handle.cancelled
 
     def repeatable_until(self, handle: RequestHandle, attempt: int) -> float:
-        """Until when (s) a dispatch can't make an effect happen twice; inf: always, -inf: it may already."""
+        """Return until when (s) an attempt can't make an effect happen twice; inf: always, -inf: never."""
         return self._balancer.repeatable_until(handle.number, attempt)
 
     def now(self) -> float:
-        """Unix time (s) that never jumps."""
+        """Return Unix time (s) that never jumps."""
         return self._clock()
 
     def report_response_started(self, handle: RequestHandle, attempt: int) -> bool:
-        """A large answer has begun to come; false where the job has its answer, or recalled this one."""
+        """Report the start of a large response; false where the request has one, or cancelled this one."""
         if handle.response_started or not self.is_wanted(handle, attempt):
             return False
         handle.response_started = True
@@ -288,7 +299,7 @@
         return True
 
     def cancel(self, handle: RequestHandle) -> None:
-        """The caller has gone, or the node itself failed the job."""
+        """Drop the request: the client has gone, or the node itself failed it."""
         if not handle.answered:
             handle.answered = True
             try:
@@ -298,10 +309,10 @@
                 self._release(handle)
 
     def apply_settings(self, settings: BalancerSettings, names: SettingNames) -> None:
-        """New terms for what comes from now on; jobs that are held keep the profile they were taken with."""
+        """Use these settings from now on; pending requests keep the request class they came with."""
         self._tenants = {name: index for index, name in enumerate(names.tenants)}
         if settings.zone < len(names.zones):
-            # Guards against a list of zones in another order: servers keep the numbers that they have.
+            # Guards against a list of zones in another order: endpoints keep the numbers that they have.
             name = names.zones[settings.zone]
             settings = replace(settings, zone=self._zones.setdefault(name, len(self._zones)))
         self._settings = replace(settings, process_count=self._settings.process_count)
@@ -309,19 +320,22 @@
         self._balancer.settings_changed(self._settings, self._numbered_classes())
 
     async def next_node_command(self) -> NodeCommand:
+        """Wait for the next command that belongs to no request."""
         return await self._node_commands.get()
 
     def report_probe(self, endpoint: str, outcome: ExchangeOutcome) -> None:
+        """Report how a probe ended."""
         if endpoint in self._endpoint_numbers:  # it may have left the list meanwhile
             self._balancer.probe_ended(self._endpoint_numbers[endpoint], outcome.result, outcome.load)
 
     def apply_list_update(self, update: ListUpdate, listed: Sequence[ListedEndpoint] = ()) -> None:
+        """Take in an update of the endpoint list, or a failed poll."""
         self._balancer.list_updated(update, [self._entry(endpoint) for endpoint in listed])
         if update is ListUpdate.FAILED:
             return
         if update is not ListUpdate.CACHED:
             self._start_times.list_received(self._clock())
-        # Guards against growing with every server that ever was. Numbers are never given out again.
+        # Guards against growing with every endpoint that ever was. Numbers are never given out again.
         removed = {endpoint.name for endpoint in listed if endpoint.state is EndpointState.REMOVED}
         if update is not ListUpdate.CHANGES:
             removed |= self._endpoint_numbers.keys() - {endpoint.name for endpoint in listed}
@@ -331,16 +345,17 @@
             self._removed_names.append(name)
 
     def receive_gossip(self, peer: int, datagram: bytes) -> None:
-        """A peer's note; what is not in the own list is passed over, and what can't be read."""
+        """Take in a peer's datagram; endpoints that are not listed and what can't be read are ignored."""
         if outcomes := self._gossip.peer_outcomes(peer, datagram, self._numbers_by_hash):
             self._balancer.gossip_received(outcomes)
 
     @property
     def ignored_reports(self) -> int:
+        """How many gossip datagrams were ignored."""
         return self._gossip.ignored
 
     def ban(self, endpoint: str, known: bool = False) -> bool:
-        """An operator takes a server out of use; false where nobody has heard of it."""
+        """Ban an endpoint for an operator; false where it is unknown, unless `known` is set."""
         if not known and not self._is_known(endpoint):
             return False
         self.banned.add(endpoint)
@@ -349,7 +364,7 @@
         return True
 
     def lift_ban(self, endpoint: str) -> bool:
-        """An operator gives a server back, however often it was taken out."""
+        """Lift an endpoint's ban, however often it was banned; false where it is unknown."""
         if not self._is_known(endpoint):
             return False
         self.banned.discard(endpoint)
@@ -358,7 +373,7 @@
         return True
 
     def export_state(self) -> dict[str, Any]:
-        """What was learned so far, by names: for a process that follows this one."""
+        """Return what was learned so far, by names, for a process that follows this one."""
         exported = self._balancer.export_state()
         return {
             "clearing": exported["clearing"],
@@ -369,15 +384,15 @@
         }
 
     def start_ages(self) -> Mapping[str, Sequence[float]]:
-        """What is known of when servers started, for a process that follows this one (`inherit_starts`)."""
+        """Return what is known of endpoints' start times, for `restore_start_times` of the next process."""
         return self._start_times.ages(self._clock())
 
     def restore_start_times(self, ages: Mapping[str, Sequence[float]]) -> None:
-        """Takes that over, before any list is; TypeError, ValueError or AttributeError where it is none."""
+        """Take those over, before any list; TypeError, ValueError or AttributeError where they are none."""
         self._start_times.restore(ages, self._clock())
 
     def restore_state(self, learned_state: Mapping[str, Any]) -> None:
-        """Takes over what another process learned, of servers and profiles that are known here too."""
+        """Take over what another process learned of endpoints and request classes known here too."""
         endpoints, spent = learned_state["servers"], learned_state["spent"]
         known = {
             "clearing": learned_state["clearing"],
@@ -393,7 +408,7 @@
         self._balancer.restore_state(known)
 
     def set_process_count(self, processes: int) -> None:
-        """So many processes are this one node from now on: each keeps to its part."""
+        """Share this node's part among so many processes from now on."""
         self._settings = replace(self._settings, process_count=processes)
         self._balancer.settings_changed(self._settings, self._numbered_classes())
 
@@ -403,6 +418,7 @@
         )
 
     def run_due_timers(self) -> None:
+        """Run all timers that are due, and ask to be woken for the next."""
         now = self._clock()
         self._wake_at = math.inf
         try:
@@ -416,13 +432,15 @@
 
     @property
     def in_flight(self) -> int:
+        """How many requests have no final response yet."""
         return sum(1 for handle in self._handles.values() if not handle.answered)
 
     @property
     def tracked(self) -> int:
+        """How many requests are kept, cancelled attempts in flight included."""
         return len(self._handles)
 
-    # What the module's actions become.
+    # What the decisions command.
 
     def _command(self, request: int, command: RequestCommand) -> None:
         handle = self._handles[request]
@@ -441,7 +459,7 @@
         self._command(request, SendAttempt(attempt, self._endpoint_names[endpoint], self._clock() + timeout))
 
     def _send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
-        # Numbers are never given out again: a server that has left the list is told of without a tag.
+        # Numbers are never given out again: an endpoint that has left the list is reported without a hash.
         hashes = [endpoint_hash(self._endpoint_names.get(outcome.endpoint, "")) for outcome in outcomes]
         reports = [
             OutcomeReport(name_hash, outcome.age, outcome.success, outcome.seconds)
@@ -465,9 +483,9 @@
             self._handles.pop(handle.number, None)
 
     def _number_request_classes(self, settings: BalancerSettings, names: SettingNames) -> None:
-        """A number for each profile, and one for its copy that a job gets whose method and key contradict it.
+        """Number each request class, and its copy for requests whose method and key contradict it.
 
-        A profile that has changed is another one: a number never changes its meaning.
+        A request class that has changed is another one: a number never changes its meaning.
         """
         classes: dict[str, NumberedClass] = {}
         for name, request_class in zip(names.request_classes, settings.request_classes, strict=False):
@@ -494,7 +512,7 @@
     def _class_number(self, spec: RequestSpec) -> int:
         numbered = self._request_classes.get(spec.request_class)
         if numbered is None:
-            return UNKNOWN
+            return UNKNOWN_CLASS_NUMBER
         return (
             numbered.number
             if numbered.request_class.idempotency is spec.idempotency
@@ -510,7 +528,7 @@
             if listed.name in self.banned:
                 self._balancer.ban_changed(self._endpoint_numbers_given, True)
         number = self._endpoint_numbers[listed.name]
-        # Guards against repeats outside the group: servers of an unknown cell or zone share it with nobody.
+        # Guards against repeats outside the group: an unknown group or zone is shared with no other endpoint.
         zone = self._zones.setdefault(listed.zone, len(self._zones)) if listed.zone else -1 - number
         group = -1 - number if listed.deduplication_group is None else listed.deduplication_group
         name_hash = endpoint_hash(listed.name)
@@ -519,7 +537,7 @@
 
 
 class _EngineHost:
-    """The module's Host: its actions become orders."""
+    """The host of the decisions: their calls become commands."""
 
     def __init__(self, engine: BalancerEngine) -> None:
         self._engine = engine
