--- a/notchjunction/balancing/outcome_gossip.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -1,7 +1,8 @@
-"""What nodes tell one another: a few of their last outcomes, in at most `MOST` bytes. Pure; decides nothing.
+"""The datagrams of gossip: a few of a node's last outcomes, for one of its peers. Pure; decides nothing.
 
-A note may be lost, late, cut, doubled, out of order, or from an earlier start of its peer: `Notes.read` takes
-only what it has not had before and counts what it passes over. Ages are relative, as clocks of nodes differ.
+A datagram may be lost, late, cut, doubled, out of order, or from an earlier start of its peer:
+`OutcomeGossip.decode` returns only what it has not had before and counts what it ignores. Ages are relative,
+as the clocks of nodes differ.
 """
 
 from __future__ import annotations
@@ -15,15 +16,15 @@
 from notchjunction.balancing.interface import PeerOutcome
 
 VERSION = 1
-MOST = 256  # bytes of a note
-PEERS_KEPT = 1024  # peers of whom it is known what they have told; more than there are nodes
-HEAD = struct.Struct(">BIIB")  # version, start of the teller, number of its newest outcome, count
-ITEM = struct.Struct(">IHHB")  # tag of the server, age in 0.01 s, milliseconds, whether it was good
-ITEMS_MOST = (MOST - HEAD.size) // ITEM.size
+MAX_DATAGRAM_BYTES = 256
+MAX_PEERS = 1024  # of which the newest outcome is remembered; more than there are nodes
+HEADER = struct.Struct(">BIIB")  # version, start of the sender, number of its newest outcome, count
+REPORT = struct.Struct(">IHHB")  # endpoint hash, age in 0.01 s, latency in ms, whether it succeeded
+MAX_REPORTS = (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT.size
 
 
 class OutcomeReport(NamedTuple):
-    """One outcome, newest first in a note."""
+    """One outcome of an attempt; `age` and `latency` in seconds."""
 
     endpoint_hash: int
     age: float
@@ -32,56 +33,72 @@
 
 
 def endpoint_hash(name: str) -> int:
-    """The same at all nodes; not Python's own hash, which differs from process to process."""
+    """Return a hash of an endpoint's name that is the same at all nodes.
+
+    Python's own hash differs from process to process.
+    """
     return zlib.crc32(name.encode())
 
 
 class OutcomeGossip:
-    """One node's side of the talk. `start` tells this start of the node from its earlier ones."""
+    """Encoder and decoder of one node.
+
+    `start` tells this start of the node from its earlier ones; `ignored` counts datagrams that can't be read.
+    """
 
     def __init__(self, start: int) -> None:
         self._start = start & 0xFFFFFFFF
         self._newest_by_peer: OrderedDict[int, tuple[int, int]] = OrderedDict()
         self.ignored = 0
 
-    def encode(self, newest: int, words: Sequence[OutcomeReport]) -> bytes:
-        words = words[:ITEMS_MOST]
-        head = HEAD.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(words))
-        return head + b"".join(
-            ITEM.pack(
-                word.endpoint_hash,
-                min(max(0, round(word.age * 100)), 0xFFFF),
-                min(max(0, round(word.latency * 1000)), 0xFFFF),
-                word.success,
+    def encode(self, newest: int, reports: Sequence[OutcomeReport]) -> bytes:
+        """Return a datagram of the first reports, newest first, as many as fit.
+
+        `newest` is the number of the newest one, counted since this start.
+        """
+        reports = reports[:MAX_REPORTS]
+        header = HEADER.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(reports))
+        return header + b"".join(
+            REPORT.pack(
+                report.endpoint_hash,
+                min(max(0, round(report.age * 100)), 0xFFFF),
+                min(max(0, round(report.latency * 1000)), 0xFFFF),
+                report.success,
             )
-            for word in words
+            for report in reports
         )
 
-    def decode(self, peer: int, note: bytes) -> list[OutcomeReport]:
-        """What is new in a note, oldest first; nothing where it can't be read."""
-        if len(note) < HEAD.size or len(note) > MOST or note[0] != VERSION:
+    def decode(self, peer: int, datagram: bytes) -> list[OutcomeReport]:
+        """Return what is new in a datagram, oldest first; nothing where it can't be read."""
+        if len(datagram) < HEADER.size or len(datagram) > MAX_DATAGRAM_BYTES or datagram[0] != VERSION:
             self.ignored += 1
             return []
-        _, start, newest, count = HEAD.unpack_from(note)
-        if len(note) != HEAD.size + count * ITEM.size:
+        _, start, newest, count = HEADER.unpack_from(datagram)
+        if len(datagram) != HEADER.size + count * REPORT.size:
             self.ignored += 1
             return []
-        known, had = self._newest_by_peer.pop(peer, (start, 0))
-        # Guards against an earlier start's numbers hiding what a peer tells after its restart.
-        had = had if known == start else 0
-        self._newest_by_peer[peer] = (start, max(had, newest))
-        if len(self._newest_by_peer) > PEERS_KEPT:
+        known, last_known = self._newest_by_peer.pop(peer, (start, 0))
+        # Guards against an earlier start's numbers hiding what a peer sends after its restart.
+        last_known = last_known if known == start else 0
+        self._newest_by_peer[peer] = (start, max(last_known, newest))
+        if len(self._newest_by_peer) > MAX_PEERS:
             self._newest_by_peer.popitem(last=False)
-        # Guards against counting an outcome twice: notes overlap, and may come doubled or out of order.
-        new = min(count, max(0, newest - had))
-        items = list(ITEM.iter_unpack(note[HEAD.size :]))[:new]
-        return [OutcomeReport(tag, ago / 100, good == 1, ms / 1000) for tag, ago, ms, good in reversed(items)]
-
-    def peer_outcomes(self, peer: int, note: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
-        """What is new in it of the host's own servers, whose numbers are given by their tags."""
-        words = self.decode(peer, note)
+        # Guards against counting an outcome twice: datagrams overlap, and may come doubled or out of order.
+        new = min(count, max(0, newest - last_known))
+        items = list(REPORT.iter_unpack(datagram[HEADER.size :]))[:new]
+        return [
+            OutcomeReport(name_hash, age / 100, success == 1, latency_ms / 1000)
+            for name_hash, age, latency_ms, success in reversed(items)
+        ]
+
+    def peer_outcomes(self, peer: int, datagram: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
+        """Return what is new in a datagram of the node's own endpoints, oldest first.
+
+        `numbers` gives their numbers by endpoint hash; other endpoints are left out.
+        """
+        reports = self.decode(peer, datagram)
         return [
-            PeerOutcome(numbers[word.endpoint_hash], *word[1:])
-            for word in words
-            if word.endpoint_hash in numbers
+            PeerOutcome(numbers[report.endpoint_hash], *report[1:])
+            for report in reports
+            if report.endpoint_hash in numbers
         ]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from dataclasses import replace
 
 import pytest
@@ -14,7 +14,10 @@
     BalancerHost,
     BalancerSettings,
     ListUpdate,
+    RequestClass,
 )
+from notchjunction.balancing.retry_policy import RetryBudget
+from notchjunction.balancing.slow_start import SlowStart
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.emulator import node
@@ -83,20 +86,20 @@
 
     def __init__(self, terms: BalancerSettings, host: BalancerHost) -> None:
         super().__init__(terms, host)
-        host.reject = lambda job, come_back_in: None  # type: ignore[method-assign]
+        host.reject = lambda request, retry_after: None  # type: ignore[method-assign]
 
 
 class Twice(Balancer):
     """Sends again whatever was reset, and turns back what it gives up."""
 
     def attempt_ended(self, outcome: AttemptOutcome) -> None:
-        held = self._held.get(outcome.request)
+        held = self._pending.get(outcome.request)
         if held is not None and outcome.result is AttemptResult.RESET:
-            other = next(server for server in self._ready if server.entry.number != outcome.endpoint)
+            other = next(server for server in self._active if server.entry.number != outcome.endpoint)
             self._host.send_attempt(outcome.request, other.entry.number, 1.0)
         super().attempt_ended(outcome)
 
-    def _turn_back_is_harmless(self, held: object) -> bool:
+    def _is_rejection_safe(self, held: object) -> bool:
         return True
 
 
@@ -130,24 +133,38 @@
         super().attempt_ended(replace(outcome, final=outcome.final and outcome.request not in self._gone))
 
 
+class NoSlowStart(SlowStart):
+    def is_warming_up(self, endpoint: object, now: float) -> bool:
+        return False
+
+
 class Eager(Balancer):
     """Takes each server for warm."""
 
-    def _is_cold(self, server: object, now: float) -> bool:
-        return False
+    def settings_changed(
+        self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
+    ) -> None:
+        super().settings_changed(settings, request_classes)
+        self._slow_start = NoSlowStart(settings)
+
+
+class UnlimitedRetryBudget(RetryBudget):
+    def allows_retry(self, now: float) -> bool:
+        return True
 
 
 class Stubborn(Balancer):
     """Knows no budget for further dispatches."""
 
-    def _budget_left(self) -> bool:
-        return True
+    def __init__(self, settings: BalancerSettings, host: BalancerHost) -> None:
+        super().__init__(settings, host)
+        self._retry_budget = UnlimitedRetryBudget()
 
 
 class Blind(Balancer):
     """Probes nothing."""
 
-    def _probe(self) -> None:
+    def _send_next_probe(self) -> None:
         pass
 
 
@@ -158,9 +175,9 @@
         super().__init__(terms, host)
         once = host.reject
 
-        def turn_back(job: int, come_back_in: float) -> None:
-            once(job, come_back_in)
-            host.fail(job)
+        def turn_back(request: int, retry_after: float) -> None:
+            once(request, retry_after)
+            host.fail(request)
 
         host.reject = turn_back  # type: ignore[method-assign]
 
