--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -210,7 +210,7 @@
         now = self._loop.time()
         if now - self._told_at.get(kind, -FAULT_EVERY) >= FAULT_EVERY:
             self._told_at[kind] = now
-            log.warning("fleet", extra=pairs(kind=kind, what=what, remedy=remedy))
+            log.warning("fleet fault", extra=pairs(kind=kind, what=what, remedy=remedy))
 
     def close(self) -> None:
         self._closed = True
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -165,7 +165,7 @@
         for number, handler in handlers.items():
             self._loop.add_signal_handler(number, handler)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        log.info("start", extra=pairs(node=told.name, listen=text_of(told.listen), depth=told.balancer.tier))
+        log.info("start", extra=pairs(node=told.name, listen=text_of(told.listen), tier=told.balancer.tier))
         inherited = await self._join()
         if inherited is not None:
             self._inherit(inherited)
