--- a/notchjunction/discovery/endpoint_list.py
+++ b/notchjunction/discovery/endpoint_list.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A version of the endpoint list: a whole one (`is_snapshot`), or the changes since an earlier version."""
+    """A version of the list: all of it (`is_snapshot`), or the changes since an earlier version."""
 
     version: int
     is_snapshot: bool
@@ -62,7 +62,7 @@
 
 
 def _parse_address(text: Any) -> Address | None:
-    """Returns None for a port that cannot exist: nothing can be connected there, which must not be a failure."""
+    """Returns None for a port that cannot exist: no connection there must be tried, nor fail the node."""
     address = address_of(text)
     return address if 0 < address[1] <= MAX_PORT else None
 
