--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -31,6 +31,7 @@
     PeerOutcome,
     RequestClass,
 )
+from notchjunction.balancing.records import Endpoint
 from notchjunction.config.node_config import NodeConfig
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.discovery.endpoints import EndpointState
@@ -56,6 +57,11 @@
     )
 
 
+def endpoint_record(number: int = 0, started_at: float = 0.0, zone: int = 0, group: int = 0) -> Endpoint:
+    """Return what a node knows of an active endpoint before it has sent anything there."""
+    return Endpoint(EndpointEntry(number, EndpointState.ACTIVE, started_at, zone, group))
+
+
 class FakeHost:
     def __init__(self, servers: int = 4, **terms: Any) -> None:
         self.clock = 1000.0
