--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -49,14 +49,14 @@
 
 def picks(servers: int) -> float:
     """A job from its taking to its answer, with as many servers in the list."""
-    host = FakeHost(servers=servers)
-    host.serve(200)
+    host = FakeHost(endpoints=servers)
+    host.serve_requests(200)
 
     def one() -> None:
-        job = host.take()
+        job = host.submit()
         host.clock += 0.001
-        host.end(job)
-        host.did.clear()
+        host.end_attempt(job)
+        host.commands.clear()
 
     return timed(one)
 
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -1,4 +1,4 @@
-"""One tiny fake host for the module, and loopback peers for the node, which do as their story says."""
+"""A fake host for the balancer, and loopback peers for the node that behave as a test scripts them."""
 
 from __future__ import annotations
 
@@ -46,14 +46,18 @@
     late_weight=0.5,
     idempotency=Idempotency.IDEMPOTENT,
 )
-TERMS = BalancerSettings(seed=7, request_classes=[PLAIN], tier=0, tier_count=1, max_attempts=5)
+SETTINGS = BalancerSettings(seed=7, request_classes=[PLAIN], tier=0, tier_count=1, max_attempts=5)
 
 
-def profile(
-    effect: Idempotency, group: DeduplicationScope = DeduplicationScope.ALL, late_share: float = 0.5
+def make_request_class(
+    idempotency: Idempotency, scope: DeduplicationScope = DeduplicationScope.ALL, late_weight: float = 0.5
 ) -> RequestClass:
     return replace(
-        PLAIN, idempotency=effect, deduplication_scope=group, deduplication_window=1.5, late_weight=late_share
+        PLAIN,
+        idempotency=idempotency,
+        deduplication_scope=scope,
+        deduplication_window=1.5,
+        late_weight=late_weight,
     )
 
 
@@ -63,116 +67,126 @@
 
 
 class FakeHost:
-    def __init__(self, servers: int = 4, **terms: Any) -> None:
+    """Runs a balancer on a clock of its own, and records its commands."""
+
+    def __init__(self, endpoints: int = 4, **settings: Any) -> None:
         self.clock = 1000.0
-        self.did: list[tuple[Any, ...]] = []
-        self.sent_at: list[tuple[float, int]] = []
+        self.commands: list[tuple[Any, ...]] = []
+        self.sent_attempts: list[tuple[float, int]] = []
         self.timers: list[tuple[float, int]] = []
-        self.jobs = 0
-        self.core = Balancer(replace(TERMS, **terms), self)
-        self.list_servers(*range(servers))
+        self.request_count = 0
+        self.balancer = Balancer(replace(SETTINGS, **settings), self)
+        self.list_endpoints(*range(endpoints))
 
     def now(self) -> float:
         return self.clock
 
-    def send_attempt(self, job: int, server: int, within: float) -> None:
-        self.did.append(("send_attempt", job, server, within))
-        self.sent_at.append((self.clock, server))
+    def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        self.commands.append(("send_attempt", request, endpoint, timeout))
+        self.sent_attempts.append((self.clock, endpoint))
 
-    def cancel_attempt(self, job: int, dispatch: int) -> None:
-        self.did.append(("cancel_attempt", job, dispatch))
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        self.commands.append(("cancel_attempt", request, attempt))
 
-    def send_probe(self, server: int) -> None:
-        self.did.append(("send_probe", server))
+    def send_probe(self, endpoint: int) -> None:
+        self.commands.append(("send_probe", endpoint))
 
-    def reject(self, job: int, come_back_in: float) -> None:
-        self.did.append(("reject", job, come_back_in))
+    def reject(self, request: int, retry_after: float) -> None:
+        self.commands.append(("reject", request, retry_after))
 
-    def fail(self, job: int) -> None:
-        self.did.append(("fail", job))
+    def fail(self, request: int) -> None:
+        self.commands.append(("fail", request))
 
     def set_timer(self, delay: float, token: int) -> None:
         self.timers.append((self.clock + delay, token))
 
     def poll_list(self) -> None:
-        self.did.append(("poll_list",))
-
-    def report_ejection(self, server: int, seconds: float) -> None:
-        self.did.append(("report_ejection", server, seconds))
+        self.commands.append(("poll_list",))
 
-    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
-        self.did.append(("send_gossip", peer, newest, list(told)))
+    def report_ejection(self, endpoint: int, seconds: float) -> None:
+        self.commands.append(("report_ejection", endpoint, seconds))
 
-    # What a story needs.
+    def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
+        self.commands.append(("send_gossip", peer, newest, list(outcomes)))
 
-    def list_servers(self, *servers: int, state: EndpointState = EndpointState.ACTIVE, **entry: Any) -> None:
-        entries = [EndpointEntry(server, state, **entry) for server in servers]
-        self.core.list_updated(ListUpdate.CHANGES, entries)
+    # What tests do with the balancer.
 
-    def take(self, time_left: float = 2.0, profile: int = 0, operator: int = 0, repeat: bool = False) -> int:
-        self.jobs += 1
-        self.core.request_arrived(NewRequest(self.jobs, profile, operator, time_left, repeat))
-        return self.jobs
+    def list_endpoints(
+        self, *endpoints: int, state: EndpointState = EndpointState.ACTIVE, **entry: Any
+    ) -> None:
+        entries = [EndpointEntry(endpoint, state, **entry) for endpoint in endpoints]
+        self.balancer.list_updated(ListUpdate.CHANGES, entries)
+
+    def submit(
+        self, time_left: float = 2.0, request_class: int = 0, tenant: int = 0, is_client_retry: bool = False
+    ) -> int:
+        self.request_count += 1
+        self.balancer.request_arrived(
+            NewRequest(self.request_count, request_class, tenant, time_left, is_client_retry)
+        )
+        return self.request_count
 
-    def end(
+    def end_attempt(
         self,
-        job: int,
+        request: int,
         result: AttemptResult = AttemptResult.SUCCEEDED,
-        dispatch: int = 0,
+        attempt: int = 0,
         seconds: float = 0.1,
     ) -> None:
-        over = result is AttemptResult.SUCCEEDED
-        server = self.sent(job)[dispatch]
-        self.core.attempt_ended(AttemptOutcome(job, dispatch, server, result, seconds, over))
+        final = result is AttemptResult.SUCCEEDED
+        endpoint = self.sent_to(request)[attempt]
+        self.balancer.attempt_ended(AttemptOutcome(request, attempt, endpoint, result, seconds, final))
 
-    def serve(self, count: int, result: AttemptResult = AttemptResult.SUCCEEDED, every: float = 0.05) -> None:
-        """Traffic to learn from: jobs that end one by one."""
+    def serve_requests(
+        self, count: int, result: AttemptResult = AttemptResult.SUCCEEDED, every: float = 0.05
+    ) -> None:
+        """Serve requests one by one, for the balancer to learn from."""
         for _ in range(count):
-            job = self.take()
+            request = self.submit()
             self.advance(every)
-            self.end(job, result)
+            self.end_attempt(request, result)
 
     def advance(self, seconds: float) -> None:
         end = self.clock + seconds
         while due := min((timer for timer in self.timers if timer[0] <= end), default=None):
             self.timers.remove(due)
             self.clock = max(self.clock, due[0])
-            self.core.timer_fired(due[1])
+            self.balancer.timer_fired(due[1])
         self.clock = end
 
-    def answer(self, server: int, **figures: float) -> None:
-        self.core.probe_ended(server, AttemptResult.SUCCEEDED, LoadReport(**figures))
+    def answer_probe(self, endpoint: int, **figures: float) -> None:
+        self.balancer.probe_ended(endpoint, AttemptResult.SUCCEEDED, LoadReport(**figures))
 
     def probe_all(
         self, seconds: Mapping[int, float], result: AttemptResult = AttemptResult.SUCCEEDED
     ) -> None:
-        """Traffic until those named, else all, have been probed; an answer takes as told, or 5 ms."""
-        missing, seen = set(seconds) or set(self.core._endpoints), len(self.did)
+        """Serve requests until these endpoints, else all, were probed; a probe takes as given or 5 ms."""
+        missing, seen = set(seconds) or set(self.balancer._endpoints), len(self.commands)
         while missing:
-            self.serve(1, every=0.01)
-            rows, seen = [row for row in self.did[seen:] if row[0] == "send_probe"], len(self.did)
+            self.serve_requests(1, every=0.01)
+            rows, seen = [row for row in self.commands[seen:] if row[0] == "send_probe"], len(self.commands)
             for row in rows:
                 missing.discard(row[1])
                 self.advance(seconds.get(row[1], 0.005))
-                self.core.probe_ended(
+                self.balancer.probe_ended(
                     row[1], result if row[1] in seconds else AttemptResult.SUCCEEDED, LoadReport()
                 )
 
-    def sent(self, job: int) -> list[int]:
-        return [row[2] for row in self.did if row[0] == "send_attempt" and row[1] == job]
+    def sent_to(self, request: int) -> list[int]:
+        return [row[2] for row in self.commands if row[0] == "send_attempt" and row[1] == request]
 
-    def count(self, name: str) -> int:
-        return sum(1 for row in self.did if row[0] == name)
+    def count_commands(self, name: str) -> int:
+        return sum(1 for row in self.commands if row[0] == name)
 
-    def finals(self, job: int) -> list[str]:
-        return [row[0] for row in self.did if row[0] in ("reject", "fail") and row[1] == job]
+    def final_commands(self, request: int) -> list[str]:
+        return [row[0] for row in self.commands if row[0] in ("reject", "fail") and row[1] == request]
 
-    def until(self, done: Callable[[], bool], tries: int = 200) -> None:
+    def serve_until(self, done: Callable[[], bool], tries: int = 200) -> None:
         for _ in range(tries):
             if done():
                 return
-            self.serve(1)
-        raise AssertionError("never came about")
+            self.serve_requests(1)
+        raise AssertionError("the condition was never met")
 
 
 # Loopback peers.
@@ -381,7 +395,7 @@
         name="n",
         listen=listen,
         discovery=discovery.address if discovery else listen,
-        balancer=replace(TERMS, polls_list=discovery is not None, probes=False, tick=0.005, **terms),
+        balancer=replace(SETTINGS, polls_list=discovery is not None, probes=False, tick=0.005, **terms),
         setting_names=SettingNames(["plain"], [], ["a"]),
         cached_list=read_list({"index": 1, "snapshot": True, "endpoints": rows(*servers)}) if known else None,
         max_descriptors=sockets,
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The facade against a plain clock: orders, reports and timers, without sockets."""
+"""The engine against a plain clock: commands, outcomes and timers, without sockets."""
 
 from __future__ import annotations
 
@@ -34,66 +34,68 @@
 )
 from notchjunction.config import settings
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
-from tests.helpers import PLAIN, TERMS, profile
+from tests.helpers import PLAIN, SETTINGS, make_request_class
 
-SAFE, NUMBERED, ONCE = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
+IDEMPOTENT, KEYED, NON_IDEMPOTENT = Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT
 
 
-class Story:
-    def __init__(self, told: BalancerSettings = TERMS, cell: int | None = 0) -> None:
+class EngineHarness:
+    """Runs an engine with four endpoints on a clock of its own."""
+
+    def __init__(self, balancer_settings: BalancerSettings = SETTINGS, group: int | None = 0) -> None:
         self.clock = 1000.0
-        self.wakes: list[float] = []
+        self.wake_times: list[float] = []
         names = SettingNames(["plain"], [], ["a"])
-        self.decider = BalancerEngine(told, names, lambda: self.clock, self.wakes.append)
-        servers = [
-            ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=cell)
+        self.engine = BalancerEngine(balancer_settings, names, lambda: self.clock, self.wake_times.append)
+        endpoints = [
+            ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=group)
             for i in range(4)
         ]
-        self.decider.apply_list_update(ListUpdate.SNAPSHOT, servers)
+        self.engine.apply_list_update(ListUpdate.SNAPSHOT, endpoints)
 
-    def take(self, effect: Idempotency = SAFE, kind: str = "plain") -> RequestHandle:
-        return self.decider.submit(RequestSpec(kind, 2.0, effect))
+    def submit(self, idempotency: Idempotency = IDEMPOTENT, kind: str = "plain") -> RequestHandle:
+        return self.engine.submit(RequestSpec(kind, 2.0, idempotency))
 
-    def end(self, ticket: RequestHandle, result: AttemptResult, dispatch: int = 0) -> None:
-        self.decider.report_attempt(ticket, dispatch, ExchangeOutcome(result, 0.1))
+    def end_attempt(self, handle: RequestHandle, result: AttemptResult, attempt: int = 0) -> None:
+        self.engine.report_attempt(handle, attempt, ExchangeOutcome(result, 0.1))
 
-    def orders(self, ticket: RequestHandle) -> list[RequestCommand]:
-        async def picked() -> list[RequestCommand]:
-            return [await self.decider.next_command(ticket) for _ in range(ticket.commands.qsize())]
+    def commands(self, handle: RequestHandle) -> list[RequestCommand]:
+        async def queued() -> list[RequestCommand]:
+            return [await self.engine.next_command(handle) for _ in range(handle.commands.qsize())]
 
-        return asyncio.run(picked())
+        return asyncio.run(queued())
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_nothing_grows_with_the_servers_and_jobs_that_have_gone_by(whole: bool) -> None:
-    story = Story()
+@pytest.mark.parametrize("snapshot", [True, False])
+def test_nothing_grows_with_removed_endpoints_and_ended_requests(snapshot: bool) -> None:
+    harness = EngineHarness()
 
     def sizes() -> list[int]:
-        core = story.decider._balancer
-        assert isinstance(core, Balancer)
-        parts = (core._tenant_quotas, core._retry_budget, core._connections, core._ejection)
-        owners = (story.decider, core, *parts)
-        held = [each for owner in owners for each in vars(owner).values()]
-        kept = [each for each in held if isinstance(each, dict | list | set)]
-        return [len(each) for each in kept if each is not story.decider._zones]
+        balancer = harness.engine._balancer
+        assert isinstance(balancer, Balancer)
+        parts = (balancer._tenant_quotas, balancer._retry_budget, balancer._connections, balancer._ejection)
+        owners = (harness.engine, balancer, *parts)
+        values = [each for owner in owners for each in vars(owner).values()]
+        kept = [each for each in values if isinstance(each, dict | list | set)]
+        return [len(each) for each in kept if each is not harness.engine._zones]
 
     def pass_by(count: int) -> None:
         for i in range(count):
             new = [
-                ListedEndpoint(f"n{story.clock}-{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0)
+                ListedEndpoint(f"n{harness.clock}-{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0)
                 for _ in range(1)
             ]
-            story.decider.apply_list_update(ListUpdate.SNAPSHOT if whole else ListUpdate.CHANGES, new)
-            story.end(ticket := story.take(), AttemptResult.SUCCEEDED)
-            story.decider.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
-            gone = [replace(new[0], state=EndpointState.REMOVED)]
-            story.decider.apply_list_update(
-                ListUpdate.SNAPSHOT if whole else ListUpdate.CHANGES, [] if whole else gone
+            harness.engine.apply_list_update(ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, new)
+            harness.end_attempt(handle := harness.submit(), AttemptResult.SUCCEEDED)
+            harness.engine.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
+            removed = [replace(new[0], state=EndpointState.REMOVED)]
+            harness.engine.apply_list_update(
+                ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, [] if snapshot else removed
             )
-            story.decider.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
-            assert ticket.answered
-            story.clock += 0.5
-            story.decider.run_due_timers()
+            harness.engine.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
+            assert handle.answered
+            harness.clock += 0.5
+            harness.engine.run_due_timers()
 
     pass_by(100)
     before = sizes()
@@ -101,125 +103,129 @@
     assert all(now <= then + 8 for then, now in zip(before, sizes(), strict=True))
 
 
-def first_sends(story: Story, count: int = 10) -> None:
-    """Traffic that leaves room in the budget."""
+def fill_retry_budget(harness: EngineHarness, count: int = 10) -> None:
+    """Let enough requests succeed that the retry budget allows a retry."""
     for _ in range(count):
-        story.end(story.take(), AttemptResult.SUCCEEDED)
+        harness.end_attempt(harness.submit(), AttemptResult.SUCCEEDED)
 
 
-def test_a_job_is_sent_passed_on_and_forgotten() -> None:
-    story = Story()
-    ticket = story.take()
-    assert isinstance(story.orders(ticket)[0], SendAttempt) and story.decider.in_flight == 1
-    story.end(ticket, AttemptResult.SUCCEEDED)
-    assert story.orders(ticket) == [ForwardResponse(0)]
-    assert story.decider.in_flight == story.decider.tracked == 0
+def test_a_request_is_sent_its_response_forwarded_and_its_state_dropped() -> None:
+    harness = EngineHarness()
+    handle = harness.submit()
+    assert isinstance(harness.commands(handle)[0], SendAttempt) and harness.engine.in_flight == 1
+    harness.end_attempt(handle, AttemptResult.SUCCEEDED)
+    assert harness.commands(handle) == [ForwardResponse(0)]
+    assert harness.engine.in_flight == harness.engine.tracked == 0
 
 
-def test_a_refused_connection_is_followed_by_another_server() -> None:
-    story = Story()
-    first_sends(story)
-    ticket = story.take()
-    story.end(ticket, AttemptResult.NO_CONNECTION)
-    sends = story.orders(ticket)
+def test_a_refused_connection_is_retried_at_another_endpoint() -> None:
+    harness = EngineHarness()
+    fill_retry_budget(harness)
+    handle = harness.submit()
+    harness.end_attempt(handle, AttemptResult.NO_CONNECTION)
+    sends = harness.commands(handle)
     assert [send.attempt for send in sends if isinstance(send, SendAttempt)] == [0, 1]
     assert len({send.endpoint for send in sends if isinstance(send, SendAttempt)}) == 2
 
 
-def test_a_caller_who_goes_stops_what_is_out_and_the_job_stays_until_its_end_is_told() -> None:
-    story = Story()
-    ticket = story.take()
-    story.decider.cancel(ticket)
-    story.decider.cancel(ticket)
-    assert story.orders(ticket)[1:] == [CancelAttempt(0), DropRequest()]
-    assert (story.decider.in_flight, story.decider.tracked) == (0, 1)
-    story.end(ticket, AttemptResult.SUCCEEDED)
-    assert story.orders(ticket) == [] and story.decider.tracked == 0
+def test_a_cancelled_request_cancels_its_attempt_and_is_tracked_until_the_outcome() -> None:
+    harness = EngineHarness()
+    handle = harness.submit()
+    harness.engine.cancel(handle)
+    harness.engine.cancel(handle)
+    assert harness.commands(handle)[1:] == [CancelAttempt(0), DropRequest()]
+    assert (harness.engine.in_flight, harness.engine.tracked) == (0, 1)
+    harness.end_attempt(handle, AttemptResult.SUCCEEDED)
+    assert harness.commands(handle) == [] and harness.engine.tracked == 0
 
 
 @pytest.mark.parametrize(
-    ("stated", "kind", "profiles", "final"),
+    ("idempotency", "kind", "class_idempotency", "final"),
     [
-        (SAFE, "plain", SAFE, RejectRequest),
-        (NUMBERED, "plain", NUMBERED, RejectRequest),
-        (ONCE, "plain", ONCE, FailRequest),
-        (ONCE, "plain", SAFE, FailRequest),
-        (NUMBERED, "plain", SAFE, FailRequest),
-        (SAFE, "plain", ONCE, FailRequest),
-        (SAFE, "unheard of", SAFE, FailRequest),
+        (IDEMPOTENT, "plain", IDEMPOTENT, RejectRequest),
+        (KEYED, "plain", KEYED, RejectRequest),
+        (NON_IDEMPOTENT, "plain", NON_IDEMPOTENT, FailRequest),
+        (NON_IDEMPOTENT, "plain", IDEMPOTENT, FailRequest),
+        (KEYED, "plain", IDEMPOTENT, FailRequest),
+        (IDEMPOTENT, "plain", NON_IDEMPOTENT, FailRequest),
+        (IDEMPOTENT, "unheard of", IDEMPOTENT, FailRequest),
     ],
 )
-def test_of_two_readings_of_an_effect_the_safer_holds(
-    stated: Idempotency, kind: str, profiles: Idempotency, final: type[RequestCommand]
+def test_the_safer_of_two_stated_idempotencies_applies(
+    idempotency: Idempotency, kind: str, class_idempotency: Idempotency, final: type[RequestCommand]
 ) -> None:
-    story = Story(replace(TERMS, request_classes=[profile(profiles, DeduplicationScope.ALL)]))
-    ticket = story.take(stated, kind)
-    story.end(ticket, AttemptResult.RESET)  # the budget is still empty: no retry
-    assert isinstance(story.orders(ticket)[-1], final)
+    harness = EngineHarness(
+        replace(SETTINGS, request_classes=[make_request_class(class_idempotency, DeduplicationScope.ALL)])
+    )
+    handle = harness.submit(idempotency, kind)
+    harness.end_attempt(handle, AttemptResult.RESET)  # the budget is still empty: no retry
+    assert isinstance(harness.commands(handle)[-1], final)
 
 
-@pytest.mark.parametrize(("cell", "dispatches"), [(0, 2), (None, 1)])
-def test_servers_without_a_cell_share_it_with_nobody(cell: int | None, dispatches: int) -> None:
-    story = Story(replace(TERMS, request_classes=[profile(NUMBERED, DeduplicationScope.GROUP)]), cell)
+@pytest.mark.parametrize(("group", "attempts"), [(0, 2), (None, 1)])
+def test_endpoints_without_a_deduplication_group_share_it_with_none(group: int | None, attempts: int) -> None:
+    harness = EngineHarness(
+        replace(SETTINGS, request_classes=[make_request_class(KEYED, DeduplicationScope.GROUP)]), group
+    )
     for _ in range(10):
-        story.end(story.take(NUMBERED), AttemptResult.SUCCEEDED)
-    ticket = story.take(NUMBERED)
-    story.end(ticket, AttemptResult.RESET)
-    assert sum(isinstance(order, SendAttempt) for order in story.orders(ticket)) == dispatches
+        harness.end_attempt(harness.submit(KEYED), AttemptResult.SUCCEEDED)
+    handle = harness.submit(KEYED)
+    harness.end_attempt(handle, AttemptResult.RESET)
+    assert sum(isinstance(command, SendAttempt) for command in harness.commands(handle)) == attempts
 
 
-def test_a_tick_runs_what_is_due_and_asks_for_the_next() -> None:
-    story = Story(replace(TERMS, probes=False))
-    ticket = story.take()
-    assert story.wakes[-1] < 2.0
-    story.clock += 1.0
-    asked = len(story.wakes)
-    story.decider.run_due_timers()
-    assert ticket.answered is False and len(story.wakes) > asked
-    story.clock += 0.995
-    story.decider.run_due_timers()
-    assert isinstance(story.orders(ticket)[-1], RejectRequest)
-    assert max(story.decider.timer_lags) < 1.0
+def test_a_tick_runs_due_timers_and_sets_the_next_wake_time() -> None:
+    harness = EngineHarness(replace(SETTINGS, probes=False))
+    handle = harness.submit()
+    assert harness.wake_times[-1] < 2.0
+    harness.clock += 1.0
+    wakes_before = len(harness.wake_times)
+    harness.engine.run_due_timers()
+    assert handle.answered is False and len(harness.wake_times) > wakes_before
+    harness.clock += 0.995
+    harness.engine.run_due_timers()
+    assert isinstance(harness.commands(handle)[-1], RejectRequest)
+    assert max(harness.engine.timer_lags) < 1.0
 
 
-def test_the_list_is_followed_at_once_and_after_a_failure_only_in_time() -> None:
-    story = Story(replace(TERMS, polls_list=True, probes=False))
+def test_the_list_is_polled_at_once_and_after_a_failure_only_with_a_delay() -> None:
+    harness = EngineHarness(replace(SETTINGS, polls_list=True, probes=False))
 
     async def first() -> object:
-        return await story.decider.next_node_command()
+        return await harness.engine.next_node_command()
 
     assert asyncio.run(first()) == PollList()
-    story.decider.apply_list_update(ListUpdate.FAILED)
-    assert story.decider._node_commands.empty()
-    story.clock += 1.0
-    story.decider.run_due_timers()
+    harness.engine.apply_list_update(ListUpdate.FAILED)
+    assert harness.engine._node_commands.empty()
+    harness.clock += 1.0
+    harness.engine.run_due_timers()
     assert asyncio.run(first()) == PollList()
 
 
 @pytest.mark.parametrize(
-    "fail", [lambda story: story.decider.cancel(story.take()), lambda story: story.take()]
+    "fail", [lambda harness: harness.engine.cancel(harness.submit()), lambda harness: harness.submit()]
 )
-def test_a_failure_of_the_module_leaves_no_job_behind(
-    fail: Callable[[Story], None], monkeypatch: pytest.MonkeyPatch
+def test_an_exception_in_the_balancer_leaves_no_request_behind(
+    fail: Callable[[EngineHarness], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    story = Story()
+    harness = EngineHarness()
 
     def broken(*_: object) -> None:
-        raise RuntimeError("module")
+        raise RuntimeError("broken balancer")
 
     monkeypatch.setattr("notchjunction.balancing.balancer.Balancer.request_arrived", broken)
     with pytest.raises(RuntimeError):
-        fail(story)
-    assert story.decider.tracked == 0
+        fail(harness)
+    assert harness.engine.tracked == 0
 
 
 @pytest.mark.parametrize("figure", ["nan", "inf", float("nan"), -1, "much", None, [], {}])
-def test_a_load_figure_that_is_no_number_stays_unknown(figure: object) -> None:
+def test_a_load_figure_that_is_no_number_is_unknown(figure: object) -> None:
     found = settings.read_load_report({"q": figure, "rate": 2.5, "news": 1})
     assert found is not None and (found.queued, found.rate) == (None, 2.5)
 
 
-def test_both_forms_of_the_settings_give_the_same_terms() -> None:
+def test_both_forms_of_the_settings_give_the_same_result() -> None:
     nested = {
         "layer": 1,
         "layers": ["x", "y"],
@@ -253,89 +259,94 @@
         latency_objective=2.0,
         priority_weight=3.0,
         late_weight=0.0,
-        idempotency=ONCE,
+        idempotency=NON_IDEMPOTENT,
         deduplication_scope=DeduplicationScope.GROUP,
     )
 
 
-def test_a_ban_is_on_the_name_and_outlives_the_lists_word() -> None:
-    story = Story()
+def test_a_ban_applies_to_the_name_and_outlives_its_removal_from_the_list() -> None:
+    harness = EngineHarness()
     listed = [
         ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in range(4)
     ]
-    assert not story.decider.ban("unheard of") and not story.decider.lift_ban("unheard of")
-    assert story.decider.ban("s1") and story.decider.ban("s1")
-    story.decider.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
-    story.decider.apply_list_update(ListUpdate.SNAPSHOT, listed)
-    orders = [
-        order for _ in range(40) for order in story.orders(story.take()) if isinstance(order, SendAttempt)
+    assert not harness.engine.ban("unheard of") and not harness.engine.lift_ban("unheard of")
+    assert harness.engine.ban("s1") and harness.engine.ban("s1")
+    harness.engine.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
+    harness.engine.apply_list_update(ListUpdate.SNAPSHOT, listed)
+    commands = [
+        command
+        for _ in range(40)
+        for command in harness.commands(harness.submit())
+        if isinstance(command, SendAttempt)
     ]
-    assert orders and "s1" not in {order.endpoint for order in orders}
-    story.decider.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
-    assert story.decider.lift_ban("s1") and not story.decider.banned
-    assert story.decider.ban("s1")  # left the list a while ago, and is still a name that operators use
+    assert commands and "s1" not in {command.endpoint for command in commands}
+    harness.engine.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
+    assert harness.engine.lift_ban("s1") and not harness.engine.banned
+    assert harness.engine.ban("s1")  # left the list a while ago, and is still a name that operators use
 
 
-def test_what_was_learned_passes_to_the_next_process_by_names() -> None:
-    old, new = Story(), Story()
+def test_learned_state_passes_to_the_next_process_by_endpoint_names() -> None:
+    old, new = EngineHarness(), EngineHarness()
     for _ in range(20):
-        ticket = old.take()
-        old.orders(ticket)
+        handle = old.submit()
+        old.commands(handle)
         old.clock += 0.02
-        old.end(ticket, AttemptResult.SUCCEEDED)
+        old.end_attempt(handle, AttemptResult.SUCCEEDED)
     listed = [
         ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in (3, 2, 9)
     ]  # other numbers, one unknown
-    new.decider.apply_list_update(ListUpdate.SNAPSHOT, listed)
+    new.engine.apply_list_update(ListUpdate.SNAPSHOT, listed)
     new.clock = old.clock + 0.1
-    lessons = json.loads(json.dumps(old.decider.export_state()))
-    new.decider.restore_state(lessons)
-    before, after = old.decider._balancer, new.decider._balancer
+    learned_state = json.loads(json.dumps(old.engine.export_state()))
+    new.engine.restore_state(learned_state)
+    before, after = old.engine._balancer, new.engine._balancer
     assert isinstance(before, Balancer) and isinstance(after, Balancer)
     assert after._throughput.rate(new.clock) == before._throughput.rate(old.clock) == 10.0
     assert after._capacity() == pytest.approx(before._capacity(), rel=0.3)
     assert after._fast_latency(0) == before._fast_latency(0) > 0
-    records = {name: after._endpoints[number] for name, number in new.decider._endpoint_numbers.items()}
+    records = {name: after._endpoints[number] for name, number in new.engine._endpoint_numbers.items()}
     assert not records["s9"].recent_successes
     for name in ("s2", "s3"):
         assert (
             records[name].recent_successes
-            == before._endpoints[old.decider._endpoint_numbers[name]].recent_successes
+            == before._endpoints[old.engine._endpoint_numbers[name]].recent_successes
         )
-    for broken in ({}, {**lessons, "clearing": {}}, {**lessons, "spent": 5}):
+    for broken in ({}, {**learned_state, "clearing": {}}, {**learned_state, "spent": 5}):
         with pytest.raises((KeyError, TypeError, ValueError)):
-            new.decider.restore_state(broken)
+            new.engine.restore_state(broken)
 
 
-def test_a_server_set_aside_stays_so_in_the_next_process() -> None:
-    old, new = Story(), Story()
-    core = old.decider._balancer
-    assert isinstance(core, Balancer)
-    core._endpoints[1].ejected_until = old.clock + 2.0
-    new.decider.restore_state(old.decider.export_state())
+def test_an_ejected_endpoint_stays_ejected_in_the_next_process() -> None:
+    old, new = EngineHarness(), EngineHarness()
+    balancer = old.engine._balancer
+    assert isinstance(balancer, Balancer)
+    balancer._endpoints[1].ejected_until = old.clock + 2.0
+    new.engine.restore_state(old.engine.export_state())
     sent = [
-        order.endpoint
+        command.endpoint
         for _ in range(20)
-        for order in new.orders(new.take())
-        if isinstance(order, SendAttempt)
+        for command in new.commands(new.submit())
+        if isinstance(command, SendAttempt)
     ]
-    assert sent and old.decider._endpoint_names[1] not in sent
+    assert sent and old.engine._endpoint_names[1] not in sent
 
 
-@pytest.mark.parametrize("whole", [True, False])
-def test_a_server_that_fails_after_it_left_the_list_costs_no_job(whole: bool) -> None:
-    story = Story()
-    first_sends(story, 20)
-    out = [story.take() for _ in range(12)]
-    at_s1 = [ticket for ticket in out if story.decider._endpoint_names[ticket.endpoints[0]] == "s1"]
+@pytest.mark.parametrize("snapshot", [True, False])
+def test_an_endpoint_that_fails_after_its_removal_costs_no_request(snapshot: bool) -> None:
+    harness = EngineHarness()
+    fill_retry_budget(harness, 20)
+    in_flight = [harness.submit() for _ in range(12)]
+    at_endpoint = [
+        handle for handle in in_flight if harness.engine._endpoint_names[handle.endpoints[0]] == "s1"
+    ]
     left = [ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in (0, 2, 3)]
-    gone = [ListedEndpoint("s1", EndpointState.REMOVED, zone="a", deduplication_group=0)]
-    story.decider.apply_list_update(
-        ListUpdate.SNAPSHOT if whole else ListUpdate.CHANGES, left if whole else gone
+    removed = [ListedEndpoint("s1", EndpointState.REMOVED, zone="a", deduplication_group=0)]
+    harness.engine.apply_list_update(
+        ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, left if snapshot else removed
     )
-    for ticket in at_s1:
-        story.end(ticket, AttemptResult.RESET)
-        assert [type(order) for order in story.orders(ticket)] == [
+    for handle in at_endpoint:
+        harness.end_attempt(handle, AttemptResult.RESET)
+        assert [type(command) for command in harness.commands(handle)] == [
             SendAttempt,
             SendAttempt,
         ]  # there, and then elsewhere
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -632,65 +632,65 @@
 
 
 def large(host: FakeHost) -> int:
-    host.jobs += 1
-    host.core.request_arrived(NewRequest(host.jobs, 0, 0, 2.0, complete=False))
-    return host.jobs
+    host.request_count += 1
+    host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, complete=False))
+    return host.request_count
 
 
 def test_a_job_that_is_not_whole_takes_no_room_and_no_time() -> None:
-    host = FakeHost(servers=1)
-    host.serve(20)
+    host = FakeHost(endpoints=1)
+    host.serve_requests(20)
     job = large(host)
-    assert len(host.sent(job)) == 1 and not host.core._endpoints[0].in_flight
+    assert len(host.sent_to(job)) == 1 and not host.balancer._endpoints[0].in_flight
     host.advance(30.0)
-    assert not host.finals(job)
-    host.core.body_completed(job)
-    assert len(host.core._endpoints[0].in_flight) == 1
+    assert not host.final_commands(job)
+    host.balancer.body_completed(job)
+    assert len(host.balancer._endpoints[0].in_flight) == 1
     host.advance(1.9)
-    assert not host.finals(job)
+    assert not host.final_commands(job)
     host.advance(0.2)
-    assert len(host.finals(job)) == 1
+    assert len(host.final_commands(job)) == 1
 
 
 @pytest.mark.parametrize("spent", [False, True])
 def test_a_body_that_was_sent_on_is_not_sent_again(spent: bool) -> None:
     host = FakeHost()
-    host.serve(60)
+    host.serve_requests(60)
     job = large(host)
-    server = host.sent(job)[0]
-    host.core.attempt_ended(
+    server = host.sent_to(job)[0]
+    host.balancer.attempt_ended(
         AttemptOutcome(job, 0, server, AttemptResult.NO_CONNECTION, 0.01, unrepeatable=spent)
     )
-    assert len(host.sent(job)) == (1 if spent else 2)
-    assert host.finals(job) == (["reject"] if spent else [])
+    assert len(host.sent_to(job)) == (1 if spent else 2)
+    assert host.final_commands(job) == (["reject"] if spent else [])
 
 
 def test_after_its_last_byte_a_large_job_gets_no_second_copy() -> None:
     host = FakeHost(hedging=True)
-    host.serve(60)
+    host.serve_requests(60)
     job = large(host)
-    host.core.body_completed(job)
+    host.balancer.body_completed(job)
     for _ in range(10):
-        host.serve(4, every=0.1)
-    assert len(host.sent(job)) == 1
+        host.serve_requests(4, every=0.1)
+    assert len(host.sent_to(job)) == 1
 
 
 def test_an_answer_that_has_begun_is_final_and_its_server_has_done_the_job() -> None:
-    host = FakeHost(servers=4, hedging=True)
-    host.serve(60)
-    job = host.take(time_left=20.0)
-    slow = host.sent(job)[0]
-    while len(host.sent(job)) < 2:  # the server is silent: a second copy
-        host.serve(2, every=0.1)
-    host.core.response_started(job, 1)
-    assert ("cancel_attempt", job, 0) in host.did
-    second = host.sent(job)[1]
-    assert not host.core._endpoints[second].in_flight and slow != second
-    host.core.attempt_ended(AttemptOutcome(job, 0, slow, AttemptResult.CANCELLED, 0.1))
+    host = FakeHost(endpoints=4, hedging=True)
+    host.serve_requests(60)
+    job = host.submit(time_left=20.0)
+    slow = host.sent_to(job)[0]
+    while len(host.sent_to(job)) < 2:  # the server is silent: a second copy
+        host.serve_requests(2, every=0.1)
+    host.balancer.response_started(job, 1)
+    assert ("cancel_attempt", job, 0) in host.commands
+    second = host.sent_to(job)[1]
+    assert not host.balancer._endpoints[second].in_flight and slow != second
+    host.balancer.attempt_ended(AttemptOutcome(job, 0, slow, AttemptResult.CANCELLED, 0.1))
     host.advance(30.0)
-    assert not host.finals(job) and len(host.sent(job)) == 2
-    host.core.attempt_ended(AttemptOutcome(job, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
-    assert not host.finals(job) and job not in host.core._pending
+    assert not host.final_commands(job) and len(host.sent_to(job)) == 2
+    host.balancer.attempt_ended(AttemptOutcome(job, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
+    assert not host.final_commands(job) and job not in host.balancer._pending
 
 
 def test_operators_are_answered_at_once_while_bodies_pass() -> None:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -37,7 +37,16 @@
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.net.gossip_socket import GossipSocket
 from notchjunction.telemetry.counters import Counters
-from tests.helpers import PLAIN, Client, FakeHost, Peer, configuration, free_address, profile, running
+from tests.helpers import (
+    PLAIN,
+    Client,
+    FakeHost,
+    Peer,
+    configuration,
+    free_address,
+    make_request_class,
+    running,
+)
 from tests.test_net import run
 
 BESIDE: dict[str, Any] = {"sidecar": True, "gossips": True, "node_count": 40, "node_index": 3}
@@ -47,8 +56,8 @@
 
 def test_each_outcome_is_told_to_one_peer_and_never_to_oneself() -> None:
     host = FakeHost(**BESIDE)
-    host.serve(60)
-    told = [row for row in host.did if row[0] == "send_gossip"]
+    host.serve_requests(60)
+    told = [row for row in host.commands if row[0] == "send_gossip"]
     assert len(told) == 60 and all(0 <= row[1] < 40 and row[1] != 3 for row in told)
     assert [row[2] for row in told] == list(range(1, 61)) and max(len(row[3]) for row in told) == 12
 
@@ -66,18 +75,18 @@
     word: PeerOutcome, aside: bool
 ) -> None:
     host = FakeHost(**BESIDE)
-    host.serve(40)
+    host.serve_requests(40)
     host.advance(0.01)
-    host.core.gossip_received([word] * 20)
-    assert (host.count("report_ejection") > 0) == aside
+    host.balancer.gossip_received([word] * 20)
+    assert (host.count_commands("report_ejection") > 0) == aside
 
 
 def test_hearsay_opens_no_drained_server_and_warms_no_cold_one() -> None:
-    host = FakeHost(servers=1, slow_start_time=20.0, slow_start_share=0.1, **BESIDE)
-    host.list_servers(0, state=EndpointState.DRAINING)
-    host.list_servers(1, started_at=host.clock - 1.0)
-    host.core.gossip_received([PeerOutcome(server, 0.05, True, 0.1) for server in (0, 1) * 10])
-    sent = [server for _ in range(20) for server in host.sent(host.take())]
+    host = FakeHost(endpoints=1, slow_start_time=20.0, slow_start_share=0.1, **BESIDE)
+    host.list_endpoints(0, state=EndpointState.DRAINING)
+    host.list_endpoints(1, started_at=host.clock - 1.0)
+    host.balancer.gossip_received([PeerOutcome(server, 0.05, True, 0.1) for server in (0, 1) * 10])
+    sent = [server for _ in range(20) for server in host.sent_to(host.submit())]
     assert 0 not in sent and len(sent) <= 1
 
 
@@ -104,34 +113,34 @@
 ) -> None:
     found = set()
     for seed, order in ((1, range(12)), (2, range(11, -1, -1))):
-        host = FakeHost(servers=0, seed=seed, key_affinity=warm, **BESIDE)
+        host = FakeHost(endpoints=0, seed=seed, key_affinity=warm, **BESIDE)
         for server in order:
-            host.list_servers(server, name_hash=endpoint_hash(f"s{server}"))
+            host.list_endpoints(server, name_hash=endpoint_hash(f"s{server}"))
         for n in range(30):
-            host.core.request_arrived(NewRequest(n, 0, 0, 2.0, affinity_key=key))
-            found.update(host.sent(n))
-            host.end(n)
+            host.balancer.request_arrived(NewRequest(n, 0, 0, 2.0, affinity_key=key))
+            found.update(host.sent_to(n))
+            host.end_attempt(n)
     assert (len(found) <= 2) == (warm and key != "")
-    host.core.gossip_received([PeerOutcome(server, 0.1, True, 0.05) for server in range(12)])
+    host.balancer.gossip_received([PeerOutcome(server, 0.1, True, 0.05) for server in range(12)])
     for n in range(100, 116):
-        host.core.request_arrived(NewRequest(n, 0, 0, 2.0, affinity_key=key))
-    assert len({server for n in range(100, 116) for server in host.sent(n)}) > 2
+        host.balancer.request_arrived(NewRequest(n, 0, 0, 2.0, affinity_key=key))
+    assert len({server for n in range(100, 116) for server in host.sent_to(n)}) > 2
 
 
 @pytest.mark.parametrize(("seconds", "least", "most"), [(None, 60, 60), (0.05, 60, 60), (0.6, 0, 25)])
 def test_what_servers_would_do_too_late_is_given_up_at_once_little_revenue_first(
     seconds: float | None, least: int, most: int
 ) -> None:
-    host = FakeHost(servers=30, request_classes=[PLAIN, replace(PLAIN, priority_weight=8.0)], **BESIDE)
+    host = FakeHost(endpoints=30, request_classes=[PLAIN, replace(PLAIN, priority_weight=8.0)], **BESIDE)
     sent = [0, 0]
     for n in range(120):
         if seconds is not None:
-            host.core.gossip_received([PeerOutcome(n % 30, 0.0, True, seconds)] * 3)
-        if host.sent(job := host.take(profile=n % 2)):
+            host.balancer.gossip_received([PeerOutcome(n % 30, 0.0, True, seconds)] * 3)
+        if host.sent_to(job := host.submit(request_class=n % 2)):
             sent[n % 2] += 1
-            host.end(job, seconds=seconds or 0.1)
+            host.end_attempt(job, seconds=seconds or 0.1)
         else:
-            assert host.finals(job) == ["reject"]
+            assert host.final_commands(job) == ["reject"]
     assert least <= sent[0] <= most and sent[1] > (1.5 * sent[0] if most < 60 else 59)
 
 
@@ -148,28 +157,30 @@
 def test_what_a_silent_server_swallowed_is_recalled_first_and_then_sent_elsewhere(
     effect: Idempotency, group: DeduplicationScope, doubted: bool, recalled: bool
 ) -> None:
-    host = FakeHost(servers=0, request_classes=[PLAIN, profile(effect, group)], **BESIDE)
+    host = FakeHost(endpoints=0, request_classes=[PLAIN, make_request_class(effect, group)], **BESIDE)
     for server in range(4):
-        host.list_servers(server, zone=server)
-    host.serve(40)
+        host.list_endpoints(server, zone=server)
+    host.serve_requests(40)
     host.advance(0.01)
-    (first,) = host.sent(job := host.take(profile=1))
+    (first,) = host.sent_to(job := host.submit(request_class=1))
     host.advance(0.3)
-    host.core.gossip_received([PeerOutcome(server, 0.0, True, 0.1) for server in range(4) if server != first])
-    host.core.gossip_received([PeerOutcome(first, 0.0, False, 0.5)] if doubted else [])
+    host.balancer.gossip_received(
+        [PeerOutcome(server, 0.0, True, 0.1) for server in range(4) if server != first]
+    )
+    host.balancer.gossip_received([PeerOutcome(first, 0.0, False, 0.5)] if doubted else [])
     host.advance(0.25)
-    assert (("cancel_attempt", job, 0) in host.did) == recalled and host.sent(job) == [first]
+    assert (("cancel_attempt", job, 0) in host.commands) == recalled and host.sent_to(job) == [first]
     if recalled:
-        host.end(job, AttemptResult.CANCELLED)
-        assert len(set(host.sent(job))) == 2
+        host.end_attempt(job, AttemptResult.CANCELLED)
+        assert len(set(host.sent_to(job))) == 2
 
 
 def test_a_job_recalled_at_its_end_counts_against_its_server() -> None:
-    host = FakeHost(servers=1, **BESIDE)
-    host.take(time_left=1.5)
+    host = FakeHost(endpoints=1, **BESIDE)
+    host.submit(time_left=1.5)
     host.advance(1.5)
-    host.end(1, AttemptResult.CANCELLED, seconds=0.0)
-    (told,) = [row[3] for row in host.did if row[0] == "send_gossip"]
+    host.end_attempt(1, AttemptResult.CANCELLED, seconds=0.0)
+    (told,) = [row[3] for row in host.commands if row[0] == "send_gossip"]
     assert not told[0].success and told[0].seconds > 1.0
 
 
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -18,16 +18,16 @@
 from notchjunction.config import validation
 from tests.helpers import (
     PLAIN,
+    SETTINGS,
     SILENT,
-    TERMS,
     Client,
     FakeHost,
     Peer,
     configuration,
-    profile,
+    make_request_class,
     running,
 )
-from tests.test_engine import NUMBERED, ONCE, SAFE, Story
+from tests.test_engine import IDEMPOTENT, KEYED, NON_IDEMPOTENT, EngineHarness
 from tests.test_net import run
 
 Change = Callable[[dict[str, Any]], None]
@@ -126,50 +126,50 @@
             validation.validate(validation.parse(text[:end]), configuration())
 
 
-def retune(story: Story, attempts: int = 5, **profiles: Any) -> None:
-    terms = replace(TERMS, request_classes=list(profiles.values()), max_attempts=attempts)
-    story.decider.apply_settings(terms, SettingNames(list(profiles), [], ["a"]))
+def retune(story: EngineHarness, attempts: int = 5, **profiles: Any) -> None:
+    terms = replace(SETTINGS, request_classes=list(profiles.values()), max_attempts=attempts)
+    story.engine.apply_settings(terms, SettingNames(list(profiles), [], ["a"]))
 
 
 @pytest.mark.parametrize(
-    ("after", "order"), [(ONCE, RejectRequest), (None, RejectRequest), (SAFE, RejectRequest)]
+    ("after", "order"), [(NON_IDEMPOTENT, RejectRequest), (None, RejectRequest), (IDEMPOTENT, RejectRequest)]
 )
 def test_a_job_keeps_the_profile_it_was_taken_with(after: Idempotency | None, order: type) -> None:
-    story = Story(replace(TERMS, request_classes=[profile(SAFE)]))
-    ticket = story.take(SAFE)
-    story.orders(ticket)
+    story = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
+    ticket = story.submit(IDEMPOTENT)
+    story.commands(ticket)
     if after is None:
         retune(story, other=PLAIN)
     else:
-        retune(story, plain=profile(after))
-    story.end(ticket, AttemptResult.UNKNOWN)  # may have run, and not its server's fault
-    (final,) = story.orders(ticket)
+        retune(story, plain=make_request_class(after))
+    story.end_attempt(ticket, AttemptResult.UNKNOWN)  # may have run, and not its server's fault
+    (final,) = story.commands(ticket)
     assert isinstance(final, order)  # a repeat was harmless when it was taken
 
 
 def test_a_stricter_profile_holds_for_what_comes_from_now_on() -> None:
-    story = Story(replace(TERMS, request_classes=[profile(SAFE)]))
-    retune(story, plain=profile(ONCE))
-    for effect in (SAFE, NUMBERED, ONCE):
-        ticket = story.take(effect)
-        story.orders(ticket)
-        story.end(ticket, AttemptResult.UNKNOWN)
-        (final,) = story.orders(ticket)
+    story = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
+    retune(story, plain=make_request_class(NON_IDEMPOTENT))
+    for effect in (IDEMPOTENT, KEYED, NON_IDEMPOTENT):
+        ticket = story.submit(effect)
+        story.commands(ticket)
+        story.end_attempt(ticket, AttemptResult.UNKNOWN)
+        (final,) = story.commands(ticket)
         assert isinstance(final, FailRequest), effect
 
 
 def test_a_profile_that_stays_keeps_its_number_and_what_was_learned_of_it() -> None:
-    story = Story()
+    story = EngineHarness()
     for _ in range(8):
-        ticket = story.take()
-        story.orders(ticket)
-        story.end(ticket, AttemptResult.SUCCEEDED)
-    retune(story, new=profile(ONCE), plain=PLAIN)
-    kinds = story.decider._request_classes
-    core: Any = story.decider._balancer
+        ticket = story.submit()
+        story.commands(ticket)
+        story.end_attempt(ticket, AttemptResult.SUCCEEDED)
+    retune(story, new=make_request_class(NON_IDEMPOTENT), plain=PLAIN)
+    kinds = story.engine._request_classes
+    core: Any = story.engine._balancer
     assert len(core._latencies[kinds["plain"].number]) == 8 and not core._latencies[kinds["new"].number]
     for _ in range(50):
-        retune(story, plain=profile(ONCE))
+        retune(story, plain=make_request_class(NON_IDEMPOTENT))
         retune(story, plain=PLAIN)
     assert len(core._latencies) == len(core._times_left) == len(core._request_classes) == 2  # nothing grows
 
@@ -177,12 +177,12 @@
 @pytest.mark.parametrize(("before", "after", "most"), [(5, 2, 2), (2, 5, 2)])
 def test_of_two_numbers_of_attempts_a_held_job_has_the_stricter(before: int, after: int, most: int) -> None:
     host = FakeHost(max_attempts=before)
-    host.serve(100)
-    job = host.take()
-    host.core.settings_changed(replace(TERMS, max_attempts=after), {0: PLAIN})
+    host.serve_requests(100)
+    job = host.submit()
+    host.balancer.settings_changed(replace(SETTINGS, max_attempts=after), {0: PLAIN})
     for dispatch in range(most):
-        host.end(job, AttemptResult.REJECTED, dispatch)
-    assert len(host.sent(job)) == most and len(host.finals(job)) == 1
+        host.end_attempt(job, AttemptResult.REJECTED, dispatch)
+    assert len(host.sent_to(job)) == most and len(host.final_commands(job)) == 1
 
 
 def test_settings_are_taken_at_once_and_broken_ones_leave_all_as_it_was(
@@ -262,13 +262,13 @@
 
 
 def test_servers_zones_keep_their_numbers_when_the_list_of_zones_changes() -> None:
-    story = Story(replace(TERMS, zone=0))
-    retuned = replace(TERMS, zone=1)
-    story.decider.apply_settings(retuned, SettingNames(["plain"], [], ["b", "a"]))
-    core: Any = story.decider._balancer
+    story = EngineHarness(replace(SETTINGS, zone=0))
+    retuned = replace(SETTINGS, zone=1)
+    story.engine.apply_settings(retuned, SettingNames(["plain"], [], ["b", "a"]))
+    core: Any = story.engine._balancer
     assert core._settings.zone == 0
-    ticket = story.take()
-    assert isinstance(story.orders(ticket)[0], SendAttempt)
+    ticket = story.submit()
+    assert isinstance(story.commands(ticket)[0], SendAttempt)
 
 
 def test_a_file_can_be_checked_before_it_is_put_in_place(
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -212,20 +212,20 @@
     """Servers did five jobs a second each, and no more is taken to be what they can do."""
     take, share, multiple, span, cold_time = 5.0, 0.1, 1.5, 2.0, 20.0
     host = FakeHost(10, slow_start_share=share, slow_start_time=cold_time, overload_multiple=multiple)
-    host.serve(1000, every=0.02)
-    host.list_servers(*range(9), started_at=host.clock)
-    began, rows = host.clock, len(host.did)
+    host.serve_requests(1000, every=0.02)
+    host.list_endpoints(*range(9), started_at=host.clock)
+    began, rows = host.clock, len(host.commands)
     while host.clock < began + 4.0:
-        host.take()
+        host.submit()
         host.advance(0.02)
-        sent, rows = [row for row in host.did[rows:] if row[0] == "send_attempt"], len(host.did)
+        sent, rows = [row for row in host.commands[rows:] if row[0] == "send_attempt"], len(host.commands)
         for row in sent:
-            host.end(row[1])
+            host.end_attempt(row[1])
     pushed = [
         Pushed(
             at, server, 1.0, multiple * take * span * (share + (1 - share) * (at - began) / cold_time), True
         )
-        for at, server in host.sent_at
+        for at, server in host.sent_attempts
         if at >= began and server < 9
     ]
     story = Story(tuple(pushed), (), 0.0, 0.0, host.clock, tip_span=span)
