--- a/notchjunction/experiments/load.py
+++ b/notchjunction/experiments/load.py
@@ -17,7 +17,7 @@
 from notchjunction.addresses import Address
 from notchjunction.config.validation import InvalidConfigurationError
 from notchjunction.http1.messages import Request
-from notchjunction.testbed.client import Callers
+from notchjunction.testbed.client import FakeClients
 
 LONGEST = 3600.0  # s; the longest latency that the histogram holds
 DIGITS = 3  # significant digits of its figures
@@ -127,7 +127,7 @@
         self._address = address
         self._tries = tries
         self._random = Random(seed)
-        self._callers = Callers()
+        self._callers = FakeClients()
         self._sent = 0
         self._ends: dict[str, float] = {}
         self.outcome = Outcome()
--- a/notchjunction/soak/node.py
+++ b/notchjunction/soak/node.py
@@ -15,7 +15,7 @@
 from notchjunction.addresses import Address, text_of
 from notchjunction.soak import shim
 from notchjunction.soak.events import Journal, Killed, Upgrade
-from notchjunction.testbed.process import counters_in
+from notchjunction.testbed.process import parse_counters
 
 READY_WITHIN = 30.0  # s for a node to answer that it is ready, on a busy machine
 READY_LOOK = 0.03  # s between two looks
@@ -197,7 +197,7 @@
         return self._log.read_text(errors="replace").splitlines() if self._log.exists() else []
 
     def counters(self) -> Mapping[str, float]:
-        return counters_in(self.lines())
+        return parse_counters(self.lines())
 
     def _note_end(self, exit_code: int) -> None:
         now = asyncio.get_running_loop().time()
--- a/notchjunction/testbed/client.py
+++ b/notchjunction/testbed/client.py
@@ -1,4 +1,4 @@
-"""Callers on sockets: one request to a connection at a time, connections kept and opened as needed."""
+"""HTTP clients of a testbed: one request to a connection at a time, connections kept and opened as needed."""
 
 from __future__ import annotations
 
@@ -10,58 +10,68 @@
 from notchjunction.http1.messages import Malformed, Request
 from notchjunction.http1.parser import AnswerReader
 
-KEEP_MOST = 64  # idle connections to one address; more are closed
-Link = tuple[asyncio.StreamReader, asyncio.StreamWriter]
+MAX_IDLE_CONNECTIONS = 64  # to one address; a connection beyond these is closed after its response
+READ_SIZE = 65536  # bytes read at once
+Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
-class Callers:
-    """Shares no code with the node but the parsers, so that it does not share its faults."""
+class FakeClients:
+    """A pool of client connections by address.
+
+    Shares no code with the node but the parsers, so that it does not share its faults.
+    """
 
     def __init__(self) -> None:
-        self._idle: dict[Address, deque[Link]] = {}
+        self._idle: dict[Address, deque[Connection]] = {}
 
-    async def ask(self, address: Address, request: Request, within: float) -> int | None:
-        """The status of the answer; None where none came, or the connection ended first."""
+    async def request(self, address: Address, request: Request, timeout: float) -> int | None:
+        """Sends a request; the response's status, or None without a response in `timeout` seconds."""
         try:
-            async with asyncio.timeout(within):
+            async with asyncio.timeout(timeout):
                 return await self.exchange(address, request)
         except (TimeoutError, OSError, Malformed):
             return None
 
     async def exchange(self, address: Address, request: Request) -> int:
-        """The same without a bound; OSError where the connection fails."""
-        kept = self._idle.setdefault(address, deque())
-        while kept and not _fit(kept[-1]):
-            kept.pop()[1].close()
-        reader, writer = kept.pop() if kept else await asyncio.open_connection(*address)
-        fit = False
+        """Sends a request and waits without a bound for the response's status.
+
+        Raises:
+            OSError: The connection failed or ended before the whole response.
+            Malformed: What came is no response.
+        """
+        idle = self._idle.setdefault(address, deque())
+        while idle and not _is_reusable(idle[-1]):
+            idle.pop()[1].close()
+        reader, writer = idle.pop() if idle else await asyncio.open_connection(*address)
+        reusable = False
         try:
             writer.write(encode_request(request))
-            answers = AnswerReader()
-            while (answer := answers.next()) is None or answer.more:
-                piece = await reader.read(65536)
-                if not piece:
+            responses = AnswerReader()
+            while (response := responses.next()) is None or response.more:
+                data = await reader.read(READ_SIZE)
+                if not data:
                     raise ConnectionResetError
-                answers.feed(piece)
-            fit = answer.keep and len(kept) < KEEP_MOST
+                responses.feed(data)
+            reusable = response.keep and len(idle) < MAX_IDLE_CONNECTIONS
         finally:
-            if fit:
-                kept.append((reader, writer))
+            if reusable:
+                idle.append((reader, writer))
             else:
                 writer.close()
-        return answer.status
+        return response.status
 
     def forget(self, address: Address) -> None:
-        """Closes what is kept to a place that has gone."""
+        """Closes the idle connections to an address whose server has gone."""
         for _, writer in self._idle.pop(address, ()):
             writer.close()
 
     def close(self) -> None:
+        """Closes all idle connections."""
         for address in list(self._idle):
             self.forget(address)
 
 
-def _fit(link: Link) -> bool:
-    """Whether the other side has not ended it."""
-    reader, writer = link
+def _is_reusable(connection: Connection) -> bool:
+    """Whether the peer has not ended the connection."""
+    reader, writer = connection
     return not (reader.at_eof() or reader.exception() or writer.is_closing())
--- a/notchjunction/testbed/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -1,10 +1,11 @@
-"""Discovery behind sockets: the emulator's model, with a door for each node."""
+"""The discovery service of a testbed: the emulator's model, with a listener for each node."""
 
 from __future__ import annotations
 
 import asyncio
 import json
 from collections.abc import Callable, Sequence
+from dataclasses import dataclass
 from urllib.parse import parse_qs, urlsplit
 
 from notchjunction.addresses import Address, text_of
@@ -16,63 +17,71 @@
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
+from notchjunction.testbed.client import READ_SIZE
 from notchjunction.testbed.server import HOST
 
-WATCH_GOES_ON = 0.2  # s after an answer within which the next call costs no work; the protocol's
+WATCH_CONTINUES_S = 0.2  # after a response; a poll within it costs discovery no work (the protocol's figure)
 
-AddressOf = Callable[[int], Address]  # a server's, as one node sees it
-Heard = Callable[[int, Sequence[EndpointEntry]], None]
+AddressOf = Callable[[int], Address]  # a server's address, as one node sees it
+OnNotified = Callable[[int, Sequence[EndpointEntry]], None]  # a node, and the entries written to it
 
 
 def zone_name(zone: int) -> str:
+    """A zone's name in the list and in the nodes' settings."""
     return f"z{zone}"
 
 
 def server_name(server: int) -> str:
+    """A server's name in the list."""
     return f"s{server}"
 
 
-def list_text(entries: Sequence[EndpointEntry], version: int, whole: bool, address_of: AddressOf) -> bytes:
+def encode_list(
+    entries: Sequence[EndpointEntry], version: int, is_snapshot: bool, address_of: AddressOf
+) -> bytes:
+    """The body of discovery's response, as the protocol has it."""
     rows = []
     for entry in entries:
-        listed = ListedEndpoint(
+        endpoint = ListedEndpoint(
             server_name(entry.number),
             entry.state,
             entry.started_at,
             zone_name(entry.zone),
             entry.deduplication_group,
         )
-        rows.append(format_row(listed, text_of(address_of(entry.number))))
-    return json.dumps({"index": version, "snapshot": whole, "endpoints": rows}).encode()
-
-
-class DiscoveryStandIn:
-    """One node's way to discovery; `heard` is told of each entry that is written to it."""
-
-    def __init__(
-        self,
-        discovery: Discovery,
-        clock: Clock,
-        tier: int,
-        node: int,
-        whole: Callable[[], Sequence[EndpointEntry]],
-        address_of: AddressOf,
-        heard: Heard,
-    ) -> None:
-        self._discovery, self._clock = discovery, clock
-        self._tier, self._node = tier, node
-        self._whole, self._address_of, self._heard = whole, address_of, heard
-        self._answered_at = float("-inf")
+        rows.append(format_row(endpoint, text_of(address_of(entry.number))))
+    return json.dumps({"index": version, "snapshot": is_snapshot, "endpoints": rows}).encode()
+
+
+@dataclass(frozen=True, slots=True)
+class NodeView:
+    """What discovery serves to one node: the list of the tier behind it, with the addresses that it sees."""
+
+    node: int
+    tier: int
+    snapshot: Callable[[], Sequence[EndpointEntry]]
+    address_of: AddressOf
+    on_notified: OnNotified
+
+
+class FakeDiscovery:
+    """One node's discovery service; the view's `on_notified` is called with all entries sent to the node."""
+
+    def __init__(self, discovery: Discovery, clock: Clock, view: NodeView) -> None:
+        self._discovery, self._clock, self._view = discovery, clock, view
+        self._responded_at = float("-inf")
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> Address:
-        self._listening = await asyncio.start_server(self._serve, HOST, 0)
-        address: Address = self._listening.sockets[0].getsockname()
+        """Listens on a free port; its address."""
+        self._listener = await asyncio.start_server(self._serve, HOST, 0)
+        address: Address = self._listener.sockets[0].getsockname()
         return address
 
     def close(self) -> None:
-        self._listening.close()
-        self._discovery.forget(self._node)
+        """Stops listening, drops the node's pending polls and closes its connections."""
+        self._listener.close()
+        self._discovery.forget(self._view.node)
         for writer in self._writers:
             writer.close()
 
@@ -80,43 +89,43 @@
         self._writers.add(writer)
         requests = RequestReader()
         try:
-            while piece := await reader.read(65536):
-                requests.feed(piece)
+            while data := await reader.read(READ_SIZE):
+                requests.feed(data)
                 while (request := requests.next()) is not None:
-                    self._ask(request, writer)
+                    self._poll(request, writer)
         except (ConnectionError, Malformed):
             pass
         finally:
             self._writers.discard(writer)
             writer.close()
 
-    def _ask(self, request: Request, writer: asyncio.StreamWriter) -> None:
+    def _poll(self, request: Request, writer: asyncio.StreamWriter) -> None:
+        view = self._view
         query = parse_qs(urlsplit(request.target).query)
         after = query.get("after")
         version = int(after[0]) if after else -1
         wait = int(query.get("wait_ms", ["0"])[0]) / 1000
 
-        def answer(news: Sequence[EndpointEntry] | None, at: int) -> None:
+        def respond(entries: Sequence[EndpointEntry] | None, at_version: int) -> None:
             if writer.is_closing():
                 return
-            self._answered_at = self._clock.now
-            if news is None:
+            self._responded_at = self._clock.now
+            if entries is None:
                 writer.write(encode_answer(Answer(503)))
                 return
-            self._heard(self._node, news)
-            body = list_text(news, at, version < 0, self._address_of)
+            view.on_notified(view.node, entries)
+            body = encode_list(entries, at_version, version < 0, view.address_of)
             writer.write(encode_answer(Answer(200, body=body)))
 
         if version < 0:
-            # A whole list: the call is worked through like any other.
+            # A snapshot: the call costs discovery its work like any other.
             self._discovery.call(
-                self._tier,
-                self._node,
+                view.tier,
+                view.node,
                 -1,
-                lambda news, at: answer(None if news is None else self._whole(), at),
+                lambda entries, at: respond(None if entries is None else view.snapshot(), at),
             )
-            return
-        if self._clock.now - self._answered_at <= WATCH_GOES_ON:
-            self._discovery.watch(self._tier, self._node, version, answer, wait)
+        elif self._clock.now - self._responded_at <= WATCH_CONTINUES_S:
+            self._discovery.watch(view.tier, view.node, version, respond, wait)
         else:
-            self._discovery.call(self._tier, self._node, version, answer, wait)
+            self._discovery.call(view.tier, view.node, version, respond, wait)
--- a/notchjunction/testbed/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -20,7 +20,7 @@
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import Story
 from notchjunction.testbed.links import LinkFault, Links
-from notchjunction.testbed.server import HOST, free_listener
+from notchjunction.testbed.server import HOST, bind_free_port
 from notchjunction.testbed.stage import Stage
 
 SECRET = "5a" * 16  # the stand-ins' key; a fleet of an operator's has one of its own
@@ -95,7 +95,7 @@
         }
 
     def _more(self, number: int) -> Mapping[str, Any]:
-        place = free_listener()
+        place = bind_free_port()
         self._mgmt[number] = place.getsockname()
         place.close()
         return {"mgmt": text_of(self._mgmt[number]), "fleet": self.section(number)}
@@ -137,10 +137,10 @@
             case ProcessKind.PAUSE:
                 process.pause()
                 await asyncio.sleep(fault.until - fault.at)
-                process.go_on()
+                process.resume()
             case ProcessKind.KILL:
                 process.kill()
-                await process.gone()
+                await process.wait_until_exited()
                 await asyncio.sleep(fault.until - fault.at)
                 process.launch()
 
--- a/notchjunction/testbed/process.py
+++ b/notchjunction/testbed/process.py
@@ -9,6 +9,8 @@
 import subprocess
 import sys
 from collections.abc import Mapping, Sequence
+from contextlib import suppress
+from dataclasses import dataclass
 from pathlib import Path
 from typing import Any
 
@@ -17,41 +19,38 @@
 from notchjunction.emulator.node import ASK_WITHIN, CONNECTION_PRICE, CROSSING_PRICE, MAX_DISPATCHES
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.http1.messages import Request
-from notchjunction.testbed.client import Callers
+from notchjunction.testbed.client import FakeClients
 from notchjunction.testbed.discovery import zone_name
-from notchjunction.testbed.server import REPORTED
+from notchjunction.testbed.server import REPORTED_FIELDS
 
-READY_WITHIN = 20.0  # s for a node to be ready, where many start on few cores
-READY_LOOK = 0.05  # s between looks
-GONE_LOOK = 0.01  # s between looks whether a process has ended; a story waits for little else
+READY_TIMEOUT_S = 20.0  # for a node to be ready, where many start on few cores
+READY_POLL_INTERVAL_S = 0.05
+EXIT_POLL_INTERVAL_S = 0.01  # a scenario waits for little else
 PROGRAM = [sys.executable, "-m", "notchjunction"]
-EFFECT_WORDS = {effect: word for word, effect in IDEMPOTENCY.items()}
-GROUP_WORDS = {group: word for word, group in DEDUPLICATION_SCOPES.items()}
+IDEMPOTENCY_WORDS = {idempotency: word for word, idempotency in IDEMPOTENCY.items()}
+SCOPE_WORDS = {scope: word for word, scope in DEDUPLICATION_SCOPES.items()}
 
 
-def settings(scenario: Scenario, tier: int, zone: int, group: int) -> dict[str, Any]:
-    """What the platform would tell a node that stands before `tier`."""
+@dataclass(frozen=True, slots=True)
+class NodePlacement:
+    """Where a node stands: before which tier, in which zone, as one of how many."""
+
+    tier: int
+    zone: int
+    group_size: int
+
+
+def node_settings(scenario: Scenario, placement: NodePlacement) -> dict[str, Any]:
+    """The settings that the platform would give to a node of the scenario, in the file's words."""
     return {
         "layers": [f"tier{depth}" for depth in range(len(scenario.rows))],
-        "layer": tier,
-        "localities": [zone_name(each) for each in range(scenario.zones)],
-        "zone": zone,
-        "group_size": group,
+        "layer": placement.tier,
+        "localities": [zone_name(zone) for zone in range(scenario.zones)],
+        "zone": placement.zone,
+        "group_size": placement.group_size,
         "registry_mode": "subscribe",
         "tick": 5.0,
-        "profiles": [
-            {
-                "name": f"p{index}",
-                "effect": EFFECT_WORDS[profile.idempotency],
-                "contract_time": profile.latency_objective * 1000,
-                "abandon_time": profile.deadline * 1000,
-                "revenue": profile.priority_weight,
-                "tardy_revenue": profile.late_weight,
-                "dedup_scope": GROUP_WORDS[profile.deduplication_scope],
-                "window": profile.deduplication_window * 1000,
-            }
-            for index, profile in enumerate(scenario.profiles)
-        ],
+        "profiles": _request_classes(scenario),
         "limits": {
             "max_dispatches": MAX_DISPATCHES,
             "cancel": True,
@@ -70,21 +69,37 @@
             "cross_zone": CROSSING_PRICE if scenario.zone_latency else 0.0,
             "handshake": CONNECTION_PRICE if scenario.handshake_work else 0.0,
         },
-        "report": {"via": "pull", "fields": list(REPORTED.values())},
+        "report": {"via": "pull", "fields": list(REPORTED_FIELDS.values())},
         "tenants": [
             {"name": f"o{index}", "quota_rps": quota}
-            for index, quota in enumerate(() if tier else scenario.quotas)
+            for index, quota in enumerate(() if placement.tier else scenario.quotas)
         ],
     }
 
 
+def _request_classes(scenario: Scenario) -> list[dict[str, Any]]:
+    return [
+        {
+            "name": f"p{index}",
+            "effect": IDEMPOTENCY_WORDS[request_class.idempotency],
+            "contract_time": request_class.latency_objective * 1000,
+            "abandon_time": request_class.deadline * 1000,
+            "revenue": request_class.priority_weight,
+            "tardy_revenue": request_class.late_weight,
+            "dedup_scope": SCOPE_WORDS[request_class.deduplication_scope],
+            "window": request_class.deduplication_window * 1000,
+        }
+        for index, request_class in enumerate(scenario.profiles)
+    ]
+
+
 class NodeProcess:
-    """A node's program with its file and its log; both stay where it is started again."""
+    """A node's program with its configuration file and its log, which both outlive a restart."""
 
     def __init__(self, number: int, listen: Address, folder: Path) -> None:
         self.number = number
         self.listen = listen
-        self.told: dict[str, Any] = {}  # what its file says
+        self.config: dict[str, Any] = {}  # the content of its file
         self._file = folder / f"node-{number}.json"
         self._log = folder / f"node-{number}.log"
         self._process: subprocess.Popen[bytes] | None = None
@@ -92,32 +107,38 @@
     def start(
         self,
         scenario: Scenario,
-        tier: int,
-        zone: int,
-        group: int,
+        placement: NodePlacement,
         discovery: Address,
         known: Mapping[str, Any],
-        more: Mapping[str, Any] | None = None,
+        sections: Mapping[str, Any] | None = None,
     ) -> None:
-        """`more` are further parts of its file, as a section `fleet`."""
-        self.tell(
+        """Writes the file and starts the program.
+
+        Args:
+            scenario: The source of the settings.
+            placement: Where the node stands.
+            discovery: The address of its discovery service.
+            known: The list that it starts with, as discovery would give it.
+            sections: Further parts of its file, as a section `fleet`.
+        """
+        self.write_config(
             {
                 "name": f"n{self.number}",
                 "listen": text_of(self.listen),
                 "discovery": text_of(discovery),
                 "seed": f"{scenario.seed:x}{self.number:04x}",
                 "known": known,
-                "settings": settings(scenario, tier, zone, group),
-                **(more or {}),
+                "settings": node_settings(scenario, placement),
+                **(sections or {}),
             }
         )
         self.launch()
 
-    def tell(self, told: Mapping[str, Any]) -> None:
-        """Writes its file anew, at one go."""
-        self.told = dict(told)
+    def write_config(self, config: Mapping[str, Any]) -> None:
+        """Replaces the file in one step."""
+        self.config = dict(config)
         written = self._file.with_suffix(".new")
-        written.write_text(json.dumps(self.told))
+        written.write_text(json.dumps(self.config))
         written.replace(self._file)
 
     def launch(self) -> None:
@@ -131,50 +152,57 @@
                 cwd=Path(__file__).parents[2],
             )
 
-    async def ready(self, callers: Callers) -> None:
-        """Waits until it is; TimeoutError where it never is."""
-        async with asyncio.timeout(READY_WITHIN):
-            while await callers.ask(self.listen, Request("GET", "/ready", {"host": "n"}), 1.0) != 200:
+    async def wait_until_ready(self, clients: FakeClients) -> None:
+        """Waits until the node says that it is ready.
+
+        Raises:
+            TimeoutError: It did not within `READY_TIMEOUT_S`.
+            RuntimeError: Its process ended first.
+        """
+        async with asyncio.timeout(READY_TIMEOUT_S):
+            while await clients.request(self.listen, Request("GET", "/ready", {"host": "n"}), 1.0) != 200:
                 if self._process is not None and self._process.poll() is not None:
                     raise RuntimeError(f"node {self.number} ended: {self._log.read_text()[-500:]}")
-                await asyncio.sleep(READY_LOOK)
+                await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def pause(self) -> None:
-        """It does nothing until it goes on; its connections stay, and its clock runs."""
+        """Stops the process until `resume`; its connections stay, and its clock runs."""
         self._signal(signal.SIGSTOP)
 
-    def go_on(self) -> None:
+    def resume(self) -> None:
+        """Lets a paused process run on."""
         self._signal(signal.SIGCONT)
 
-    def hang_up(self, changed: Mapping[str, Any]) -> None:
-        """Its file is from now on this, and it is asked to read it."""
-        self.tell(changed)
+    def reload(self, config: Mapping[str, Any]) -> None:
+        """Replaces the file and signals the node to read it."""
+        self.write_config(config)
         self._signal(signal.SIGHUP)
 
     def kill(self) -> None:
+        """Kills the process outright."""
         self._signal(signal.SIGKILL)
 
-    async def gone(self) -> None:
-        """Waits until no process of it is left."""
+    async def wait_until_exited(self) -> None:
+        """Waits until no process of the node is left."""
         while self._process is not None and self._process.poll() is None:
-            await asyncio.sleep(GONE_LOOK)
+            await asyncio.sleep(EXIT_POLL_INTERVAL_S)
 
     async def restart(self) -> None:
-        """Kills it where it still runs, and starts it with the same file."""
+        """Kills the process where it still runs, and starts it with the same file."""
         self.kill()
-        await self.gone()
+        await self.wait_until_exited()
         self.launch()
 
-    async def end(self) -> Mapping[str, float]:
-        """Ends it as the platform does; its counters, as it prints them at its exit."""
+    async def terminate(self) -> Mapping[str, float]:
+        """Ends the process as the platform does; the counters that it logs at its exit."""
         self._signal(signal.SIGTERM)
-        # Guards against a paused process, which would not hear of its end.
-        self.go_on()
-        await self.gone()
-        return counters_in(self.lines())
+        # Guards against a paused process, which would not receive the signal.
+        self.resume()
+        await self.wait_until_exited()
+        return parse_counters(self.log_lines())
 
-    def lines(self) -> list[str]:
-        """Its log so far, over all its starts."""
+    def log_lines(self) -> list[str]:
+        """The log so far, over all starts."""
         return self._log.read_text().splitlines() if self._log.exists() else []
 
     def _signal(self, number: signal.Signals) -> None:
@@ -182,15 +210,13 @@
             self._process.send_signal(number)
 
 
-def counters_in(lines: Sequence[str]) -> dict[str, float]:
-    found: dict[str, float] = {}
-    for line in lines:
-        if "event=counters" in line:
-            pairs = (word.partition("=") for word in line.split())
-            found = {}
-            for name, _, value in pairs:
-                try:
-                    found[name] = float(value)
-                except ValueError:
-                    continue
-    return found
+def parse_counters(lines: Sequence[str]) -> dict[str, float]:
+    """The last counters in a node's log; empty where it has none."""
+    last = next((line for line in reversed(lines) if "event=counters" in line), "")
+    counters: dict[str, float] = {}
+    for word in last.split():
+        name, _, value = word.partition("=")
+        # Other words of the line, as its time and level, are no numbers.
+        with suppress(ValueError):
+            counters[name] = float(value)
+    return counters
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -1,4 +1,4 @@
-"""A server behind sockets: the emulator's model, with a door for each node, so that it is known who asks."""
+"""Servers of a testbed: the emulator's model behind sockets, with a port for each node that sends."""
 
 from __future__ import annotations
 
@@ -20,190 +20,208 @@
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
+from notchjunction.testbed.client import READ_SIZE
 
 HOST = "127.0.0.1"
-WORK = "work"  # in the query: s of work of the job, on a server of speed 1
-WORK_LEAST = 0.001  # s, where a request does not say
-REPORTED = {
-    held: word for word, held in LOAD_REPORT_FIELDS.items() if held in ("in_flight", "queued", "utilization")
+WORK_PARAMETER = "work"  # in the query: seconds of work of the request on a server of speed 1
+DEFAULT_WORK_S = 0.001  # where a request has no such parameter
+REPORTED_FIELDS = {
+    field: word
+    for word, field in LOAD_REPORT_FIELDS.items()
+    if field in ("in_flight", "queued", "utilization")
 }
-ANSWERS = {
+RESPONSES = {
     AttemptResult.SUCCEEDED: Answer(200, body=b"done"),
     AttemptResult.ERROR: Answer(500),
     AttemptResult.REJECTED: Answer(503, {protocol.DECLINED: "1"}),
 }
-HARD_CLOSE = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on with no time: a close resets the connection
 
-Came = Callable[[int, Request], bool]  # a node, and what came from it; whether it knows of the last start
-Landed = Callable[[int, Request], None]  # the same request, as it is answered or its connection ends
+OnRequest = Callable[[int, Request], bool]  # a node, its request; whether it knows of the server's last start
+OnCallEnded = Callable[[int, Request], None]  # the same, as it is answered or its connection ends
 
 
-def free_listener() -> socket.socket:
+def bind_free_port() -> socket.socket:
+    """A TCP socket bound to a free port of the loopback address."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((HOST, 0))
     return listener
 
 
-class Door:
-    """Where one node finds one server."""
+class ServerPort:
+    """The address at which one node finds one server.
 
-    def __init__(self, standin: ServerStandIn, node: int, address: Address) -> None:
+    While it is `partitioned`, neither requests nor responses pass.
+    """
+
+    def __init__(self, server: FakeServer, node: int, address: Address) -> None:
         self.node = node
         self.address = address
-        self.silent = False  # cut off: what comes is not heard, what is said does not arrive
-        self._standin = standin
-        self._listening: asyncio.Server | None = None
+        self.partitioned = False
+        self._server = server
+        self._listener: asyncio.Server | None = None
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> None:
-        self._listening = await asyncio.start_server(self._serve, *self.address, reuse_address=True)
+        """Accepts connections."""
+        self._listener = await asyncio.start_server(self._serve, *self.address, reuse_address=True)
 
-    def shut(self) -> None:
+    def close(self) -> None:
         """Refuses new connections and resets those there are."""
-        if self._listening is not None:
-            self._listening.close()
-            self._listening = None
+        if self._listener is not None:
+            self._listener.close()
+            self._listener = None
         for writer in list(self._writers):
             reset(writer)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
-        server = self._standin.server
+        server = self._server.server
         self._writers.add(writer)
         life = server.life
-        held = server.connect()
+        accepted = server.connect()
         requests = RequestReader()
         call: Call | None = None
         try:
-            while piece := await reader.read(65536):
-                requests.feed(piece)
+            while data := await reader.read(READ_SIZE):
+                requests.feed(data)
                 while (request := requests.next()) is not None:
-                    if self.silent:
-                        continue
-                    if request.path == protocol.REQUEST_PATH:
-                        if not held:
-                            self.say(writer, ANSWERS[AttemptResult.REJECTED])
-                            continue
-                        call = self._standin.call(self, request, writer)
-                        server.reach(call)
-                    else:
-                        self._standin.probe(self, request, writer)
+                    if not self.partitioned:
+                        call = self._handle(request, writer, accepted) or call
         except (ConnectionError, Malformed):
             pass
         finally:
             if call is not None:
-                server.drop(call)  # whoever closes waits no more
-                self._standin.land(self, call)
-            if held:
+                server.drop(call)  # a client that closes waits no longer
+                self._server.call_ended(self, call)
+            if accepted:
                 server.disconnect(life)
             self._writers.discard(writer)
             writer.close()
 
-    def say(self, writer: asyncio.StreamWriter, answer: Answer) -> None:
-        if not self.silent and not writer.is_closing():
-            writer.write(encode_answer(answer))
+    def _handle(self, request: Request, writer: asyncio.StreamWriter, accepted: bool) -> Call | None:
+        """The call that the request begins; None for a probe, and over the server's connection limit."""
+        if request.path != protocol.REQUEST_PATH:
+            self._server.answer_probe(self, request, writer)
+            return None
+        if not accepted:
+            self.send(writer, RESPONSES[AttemptResult.REJECTED])
+            return None
+        call = self._server.new_call(self, request, writer)
+        self._server.server.reach(call)
+        return call
+
+    def send(self, writer: asyncio.StreamWriter, response: Answer) -> None:
+        """Writes a response, unless the port is partitioned or the connection closing."""
+        if not self.partitioned and not writer.is_closing():
+            writer.write(encode_answer(response))
 
-    def end(self, writer: asyncio.StreamWriter, call: Call, result: AttemptResult) -> None:
-        """How a call ended, as its node sees it."""
-        if self.silent:
+    def finish_call(self, writer: asyncio.StreamWriter, call: Call, result: AttemptResult) -> None:
+        """Shows the node how a call ended: by a response, or by a reset where the result has none."""
+        if self.partitioned:
             return
-        self._standin.land(self, call)
-        if result in ANSWERS:
-            self.say(writer, ANSWERS[result])
+        self._server.call_ended(self, call)
+        if result in RESPONSES:
+            self.send(writer, RESPONSES[result])
         else:
             reset(writer)
 
 
-def time_left(request: Request) -> float:
-    """Seconds that its sender waits."""
+def remaining_time(request: Request) -> float:
+    """Seconds to the request's deadline, as its header has it."""
     return int(request.headers.get(protocol.DEADLINE_MS, "1000")) / 1000
 
 
 def reset(writer: asyncio.StreamWriter) -> None:
+    """Closes a connection with a reset."""
     with suppress(OSError):
-        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, HARD_CLOSE)
+        writer.get_extra_info("socket").setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
     writer.close()
 
 
-class ServerStandIn:
-    """One server of a scenario.
+class FakeServer:
+    """One server of a scenario, on a port for each node.
 
-    `came` hears of each request for a job, `landed` of the same as it is out no more, `probed` of the node of
-    each probe.
+    `on_request` is called with each request that is no probe, `on_call_ended` with the same as it leaves
+    flight, `on_probe` with the node of each probe.
     """
 
     def __init__(
         self,
         server: Server,
         clock: Clock,
-        came: Came,
-        probed: Callable[[int], None],
-        landed: Landed = lambda node, request: None,
+        on_request: OnRequest,
+        on_probe: Callable[[int], None],
+        on_call_ended: OnCallEnded = lambda node, request: None,
     ) -> None:
         self.server = server
         self._clock = clock
-        self._came, self._probed, self._landed = came, probed, landed
-        self._out: dict[Call, Request] = {}
-        self.doors: dict[int, Door] = {}
-
-    async def open_to(self, node: int) -> Address:
-        # The port stays this door's while the server is down: a restarted one is at the same address.
-        place = free_listener()
-        address: Address = place.getsockname()
-        place.close()
-        door = self.doors[node] = Door(self, node, address)
-        await door.open()
+        self._on_request, self._on_probe, self._on_call_ended = on_request, on_probe, on_call_ended
+        self._calls: dict[Call, Request] = {}  # in flight
+        self.ports: dict[int, ServerPort] = {}
+
+    async def open_port(self, node: int) -> Address:
+        """Listens for one node; the address, which stays while the server is down."""
+        listener = bind_free_port()
+        address: Address = listener.getsockname()
+        listener.close()
+        port = self.ports[node] = ServerPort(self, node, address)
+        await port.open()
         return address
 
     def stop(self) -> None:
+        """Crashes the server."""
         self.server.stop()
-        for door in self.doors.values():
-            door.shut()
+        self.close()
 
     async def start(self) -> None:
+        """Starts the server again, at the same addresses."""
         self.server.start()
-        for door in self.doors.values():
-            await door.open()
+        for port in self.ports.values():
+            await port.open()
 
-    def shut(self, node: int) -> None:
-        """That node has gone for good."""
-        door = self.doors.pop(node, None)
-        if door is not None:
-            door.shut()
+    def close_port(self, node: int) -> None:
+        """Closes the port of a node that has gone for good."""
+        port = self.ports.pop(node, None)
+        if port is not None:
+            port.close()
 
     def close(self) -> None:
-        for door in self.doors.values():
-            door.shut()
+        """Closes all ports."""
+        for port in self.ports.values():
+            port.close()
 
-    def call(self, door: Door, request: Request, writer: asyncio.StreamWriter) -> Call:
+    def new_call(self, port: ServerPort, request: Request, writer: asyncio.StreamWriter) -> Call:
+        """A request as the emulator's model takes it; its result goes to the writer."""
         headers = request.headers
         query = parse_qs(urlsplit(request.target).query)
         call = Call(
-            name=(door.node, headers.get(protocol.REQUEST_ID, ""), 0),
+            name=(port.node, headers.get(protocol.REQUEST_ID, ""), 0),
             profile=int(headers.get(protocol.REQUEST_CLASS, "p0")[1:]),
-            seconds=float(query.get(WORK, [str(WORK_LEAST)])[0]),
-            until=self._clock.now + time_left(request),
-            answer=lambda result: door.end(writer, call, result),
+            seconds=float(query.get(WORK_PARAMETER, [str(DEFAULT_WORK_S)])[0]),
+            until=self._clock.now + remaining_time(request),
+            answer=lambda result: port.finish_call(writer, call, result),
             number=headers.get(protocol.IDEMPOTENCY_KEY),
-            knowing=self._came(door.node, request),
+            knowing=self._on_request(port.node, request),
         )
-        self._out[call] = request
+        self._calls[call] = request
         return call
 
-    def land(self, door: Door, call: Call) -> None:
-        """It is out no more; only the first word of it counts."""
-        request = self._out.pop(call, None)
+    def call_ended(self, port: ServerPort, call: Call) -> None:
+        """Notes that a call is no longer in flight; a second report of it is ignored."""
+        request = self._calls.pop(call, None)
         if request is not None:
-            self._landed(door.node, request)
+            self._on_call_ended(port.node, request)
 
-    def probe(self, door: Door, request: Request, writer: asyncio.StreamWriter) -> None:
-        self._probed(door.node)
+    def answer_probe(self, port: ServerPort, request: Request, writer: asyncio.StreamWriter) -> None:
+        """Answers a health check or a load poll after the model's time, or never where the server hangs."""
+        self._on_probe(port.node)
         seconds = self.server.probe_seconds()
         if seconds is None:
-            return  # it hangs
-        sound = self.server.presence is EndpointState.ACTIVE
+            return
+        healthy = self.server.presence is EndpointState.ACTIVE
         load = self.server.report()
-        report = {word: getattr(load, held) for held, word in REPORTED.items()}
+        report = {word: getattr(load, field) for field, word in REPORTED_FIELDS.items()}
         body = json.dumps(report).encode() if request.path == protocol.LOAD_PATH else b""
-        answer = Answer(200 if sound else 503, body=body)
-        self._clock.after(seconds, lambda: door.say(writer, answer))
+        response = Answer(200 if healthy else 503, body=body)
+        self._clock.after(seconds, lambda: port.send(writer, response))
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -50,11 +50,11 @@
     Told,
 )
 from notchjunction.http1.messages import Request
-from notchjunction.testbed.client import Callers
+from notchjunction.testbed.client import FakeClients
 from notchjunction.testbed.clock import LoopClock
-from notchjunction.testbed.discovery import DiscoveryStandIn, list_text
-from notchjunction.testbed.process import NodeProcess
-from notchjunction.testbed.server import WORK, ServerStandIn, free_listener, time_left
+from notchjunction.testbed.discovery import FakeDiscovery, NodeView, encode_list
+from notchjunction.testbed.process import NodePlacement, NodeProcess
+from notchjunction.testbed.server import WORK_PARAMETER, FakeServer, bind_free_port, remaining_time
 
 GRACE = 0.55  # s after word of a drain within which a send is forgiven; the rule's, and its slack on sockets
 LOOK_EVERY = 0.01  # s between looks at how late this process's own loop is; short against any bound
@@ -67,7 +67,7 @@
     """A node process, its discovery, and the tier that it stands before."""
 
     process: NodeProcess
-    discovery: DiscoveryStandIn
+    discovery: FakeDiscovery
     tier: int
 
 
@@ -94,7 +94,7 @@
         self._stall = 0.0  # s by which what had come here was read late at most
         self._folder = folder
         self._cut: frozenset[int] = frozenset()
-        self._callers = Callers()
+        self._callers = FakeClients()
         self._starts: dict[tuple[int, int], float] = {}  # by node and server, as told
         self._dispatches: dict[tuple[int, str], int] = {}
         self._out: dict[int, Sent] = {}  # by the request's identity: two dispatches of a job may be equal
@@ -108,7 +108,7 @@
         self.tiers = build(scenario, self.clock, self.random, self._ran, self._tipped, self._call_below)
         self.servers = [server for row in self.tiers for server in row]
         self._standins = [
-            ServerStandIn(
+            FakeServer(
                 server,
                 self.clock,
                 partial(self._came, server),
@@ -149,7 +149,7 @@
                 task.cancel()
             await asyncio.gather(*self._tasks, return_exceptions=True)
             places = list(self._places.values())
-            self.counters = await asyncio.gather(*(place.process.end() for place in places))
+            self.counters = await asyncio.gather(*(place.process.terminate() for place in places))
             for place in places:
                 place.discovery.close()
             for standin in self._standins:
@@ -167,7 +167,7 @@
 
     async def _all_ready(self) -> None:
         for place in self._places.values():
-            await place.process.ready(self._callers)
+            await place.process.wait_until_ready(self._callers)
 
     def _begin(self) -> None:
         """What else goes wrong, from now on."""
@@ -187,24 +187,24 @@
     async def _node(self, tier: int, zone: int, group: int) -> int:
         number = len(self._zones)
         self._zones[number] = zone
-        place = free_listener()
+        place = bind_free_port()
         listen: Address = place.getsockname()
         place.close()
         addresses: dict[int, Address] = {}
         for server in self.tiers[tier]:
-            addresses[server.number] = await self._standins[server.number].open_to(number)
+            addresses[server.number] = await self._standins[server.number].open_port(number)
 
         def whole() -> list[EndpointEntry]:
             return [self.discovery.entry(server) for server in self.tiers[tier]]
 
-        standin = DiscoveryStandIn(
-            self.discovery, self.clock, tier, number, whole, addresses.__getitem__, self._told
-        )
+        view = NodeView(number, tier, whole, addresses.__getitem__, self._told)
+        standin = FakeDiscovery(self.discovery, self.clock, view)
         self.discovery.join(tier, number)
         process = NodeProcess(number, listen, self._folder)
-        known = json.loads(list_text(whole(), self.discovery.version(tier), True, addresses.__getitem__))
+        known = json.loads(encode_list(whole(), self.discovery.version(tier), True, addresses.__getitem__))
         more = self._more(number)
-        process.start(self.scenario, tier, zone, group, await standin.open(), known, more)
+        placement = NodePlacement(tier, zone, group)
+        process.start(self.scenario, placement, await standin.open(), known, more)
         self._places[number] = NodePlace(process, standin, tier)
         return number
 
@@ -217,7 +217,7 @@
             place.discovery.close()
             self._callers.forget(place.process.listen)
             for other in self.tiers[place.tier]:
-                self._standins[other.number].shut(node)
+                self._standins[other.number].close_port(node)
 
     def start(self, server: Server) -> None:
         self._start(self._restart(server))
@@ -227,7 +227,7 @@
         depth = next(depth for depth, row in enumerate(self.tiers) if server in row)
         if depth + 1 < len(self.tiers):
             node = await self._node(depth + 1, server.zone, len(self.tiers[depth]))
-            await self._places[node].process.ready(self._callers)
+            await self._places[node].process.wait_until_ready(self._callers)
             self.below[server.number] = node
         await self._standins[server.number].start()
 
@@ -241,8 +241,8 @@
     def cut(self, zones: frozenset[int]) -> None:
         self._cut = zones
         for standin in self._standins:
-            for node, door in standin.doors.items():
-                door.silent = (self._zones[node] in zones) != (standin.server.zone in zones)
+            for node, door in standin.ports.items():
+                door.partitioned = (self._zones[node] in zones) != (standin.server.zone in zones)
 
     def _fault(self, do: Callable[..., None], fault: Fault) -> None:
         do(self, fault, [self.tiers[fault.tier][number] for number in fault.servers])
@@ -309,12 +309,12 @@
             **({protocol.TENANT: f"o{operator}"} if self.scenario.quotas else {}),
         }
         method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
-        request = Request(method, f"{protocol.REQUEST_PATH}?{WORK}={work:.5f}", headers)
+        request = Request(method, f"{protocol.REQUEST_PATH}?{WORK_PARAMETER}={work:.5f}", headers)
         self.rows.append(Taken(self.clock.now, node, job, profile, self.clock.now + left, first))
         try:
             place = self._places[node].process.listen
             async with asyncio.timeout(stays):
-                status = await self._callers.ask(place, request, left + SLACK / 2)
+                status = await self._callers.request(place, request, left + SLACK / 2)
         except TimeoutError:
             self.rows.append(Answered(self.clock.now, node, job, Final.WITHDRAWN))
             return Final.WITHDRAWN
@@ -347,7 +347,7 @@
         self._dispatches[node, name] = number + 1
         job = self._jobs.get((node, name), 0)
         now = self.clock.now
-        sent = Sent(now, node, job, number, server.number, now + time_left(request))
+        sent = Sent(now, node, job, number, server.number, now + remaining_time(request))
         self.rows.append(sent)
         self._out[id(request)] = sent
         return self._starts.get((node, server.number), 0.0) >= server.started_at
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -23,10 +23,10 @@
 from notchjunction.emulator.world import BEGAN, World
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import links as of_links
-from notchjunction.testbed.client import Callers
-from notchjunction.testbed.discovery import list_text
+from notchjunction.testbed.client import FakeClients
+from notchjunction.testbed.discovery import encode_list
 from notchjunction.testbed.links import CALM, Count, Impairment, LinkFault, Links
-from notchjunction.testbed.process import NodeProcess
+from notchjunction.testbed.process import NodePlacement, NodeProcess
 from notchjunction.testbed.server import HOST
 from notchjunction.testbed.stage import Stage
 from tests.helpers import free_address
@@ -178,21 +178,21 @@
 
 @on_a_loop
 async def test_a_paused_process_says_nothing_goes_on_and_comes_back_with_its_file(tmp_path: Path) -> None:
-    callers, node = Callers(), NodeProcess(0, free_address(), tmp_path)
-    known = json.loads(list_text([EndpointEntry(0, EndpointState.ACTIVE)], 1, True, lambda _: (HOST, 9)))
-    node.start(Scenario("small"), 0, 0, 1, (HOST, 9), {}, {"known": known})
-    await node.ready(callers)
+    callers, node = FakeClients(), NodeProcess(0, free_address(), tmp_path)
+    known = json.loads(encode_list([EndpointEntry(0, EndpointState.ACTIVE)], 1, True, lambda _: (HOST, 9)))
+    node.start(Scenario("small"), NodePlacement(0, 0, 1), (HOST, 9), {}, {"known": known})
+    await node.wait_until_ready(callers)
     node.pause()
-    assert await callers.ask(node.listen, Request("GET", "/ready", {"host": "n"}), 0.3) is None
-    node.go_on()
-    await node.ready(callers)
-    node.hang_up({**node.told, "discovery": f"{HOST}:10"})
-    await until(lambda: any('event="configuration reloaded"' in line for line in node.lines()))
+    assert await callers.request(node.listen, Request("GET", "/ready", {"host": "n"}), 0.3) is None
+    node.resume()
+    await node.wait_until_ready(callers)
+    node.reload({**node.config, "discovery": f"{HOST}:10"})
+    await until(lambda: any('event="configuration reloaded"' in line for line in node.log_lines()))
     await node.restart()
-    await node.ready(callers)
+    await node.wait_until_ready(callers)
     callers.close()
     node.pause()
-    assert "client_connections_closed" in await node.end()
+    assert "client_connections_closed" in await node.terminate()
 
 
 def rows_of(*dispatches: tuple[float, float, float], last: float = 0.0) -> list[Row]:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -26,10 +26,10 @@
 from notchjunction.experiments.cli import on_sockets, unaccounted
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import process
-from notchjunction.testbed.client import Callers
+from notchjunction.testbed.client import FakeClients
 from notchjunction.testbed.clock import LoopClock
-from notchjunction.testbed.discovery import DiscoveryStandIn
-from notchjunction.testbed.server import HOST, ServerStandIn
+from notchjunction.testbed.discovery import FakeDiscovery, NodeView
+from notchjunction.testbed.server import HOST, FakeServer
 from notchjunction.testbed.stage import Stage, breaches
 from tests.test_net import run
 
@@ -39,12 +39,12 @@
 
 
 @asynccontextmanager
-async def standing(tier: Tier | None = None) -> AsyncIterator[tuple[ServerStandIn, Address, Callers]]:
+async def standing(tier: Tier | None = None) -> AsyncIterator[tuple[FakeServer, Address, FakeClients]]:
     clock = LoopClock()
     server = Server(0, tier or Tier(workers=1, queue_most=1), 0, 1.0, SMALL, clock, Random(1))
-    standin = ServerStandIn(server, clock, lambda node, request: True, lambda node: None)
-    callers = Callers()
-    yield standin, await standin.open_to(0), callers
+    standin = FakeServer(server, clock, lambda node, request: True, lambda node: None)
+    callers = FakeClients()
+    yield standin, await standin.open_port(0), callers
     callers.close()
     standin.close()
 
@@ -76,7 +76,7 @@
         async with standing() as (standin, at, callers):
             for name, value in trouble.items():
                 setattr(standin.server, name, value)
-            assert await callers.ask(at, job(), 0.3) == status
+            assert await callers.request(at, job(), 0.3) == status
 
     run(story())
 
@@ -84,16 +84,16 @@
 def test_a_server_is_full_down_and_back_at_its_address() -> None:
     async def story() -> None:
         async with standing() as (standin, at, callers):
-            held = [asyncio.create_task(callers.ask(at, job(0.2), 2.0)) for _ in range(3)]
+            held = [asyncio.create_task(callers.request(at, job(0.2), 2.0)) for _ in range(3)]
             assert sorted([await each or 0 for each in held]) == [200, 200, 503]
-            under_way = asyncio.create_task(callers.ask(at, job(5.0), 2.0))
+            under_way = asyncio.create_task(callers.request(at, job(5.0), 2.0))
             while not standin.server.running:
                 await asyncio.sleep(0.001)
             standin.stop()
             assert await under_way is None
-            assert await callers.ask(at, job(), 0.3) is None
+            assert await callers.request(at, job(), 0.3) is None
             await standin.start()
-            assert await callers.ask(at, job(), 2.0) == 200 and standin.server.warmth() < 0.5
+            assert await callers.request(at, job(), 2.0) == 200 and standin.server.warmth() < 0.5
 
     run(story())
 
@@ -101,16 +101,16 @@
 def test_a_caller_that_closes_waits_no_more_and_a_door_holds_so_many() -> None:
     async def story() -> None:
         async with standing(Tier(workers=1, queue_most=5, connections_most=2)) as (standin, at, callers):
-            first = asyncio.create_task(callers.ask(at, job(0.5), 2.0))
-            second = asyncio.create_task(callers.ask(at, job(0.5), 0.1))
+            first = asyncio.create_task(callers.request(at, job(0.5), 2.0))
+            second = asyncio.create_task(callers.request(at, job(0.5), 0.1))
             await second
             while standin.server.links > 1:
                 await asyncio.sleep(0.001)
             assert len(standin.server.running) + len(standin.server.waiting) == 1
-            third = asyncio.create_task(callers.ask(at, job(), 2.0))
+            third = asyncio.create_task(callers.request(at, job(), 2.0))
             while standin.server.links < 2:
                 await asyncio.sleep(0.001)
-            assert await callers.ask(at, job(), 2.0) == 503
+            assert await callers.request(at, job(), 2.0) == 503
             assert (await first, await third) == (200, 200)
 
     run(story())
@@ -119,14 +119,14 @@
 def test_nothing_is_heard_or_said_through_a_silent_door() -> None:
     async def story() -> None:
         async with standing() as (standin, at, callers):
-            under_way = asyncio.create_task(callers.ask(at, job(0.1), 0.4))
+            under_way = asyncio.create_task(callers.request(at, job(0.1), 0.4))
             while not standin.server.running:
                 await asyncio.sleep(0.001)
-            standin.doors[0].silent = True
-            assert await under_way is None and await callers.ask(at, job(), 0.1) is None
+            standin.ports[0].partitioned = True
+            assert await under_way is None and await callers.request(at, job(), 0.1) is None
             assert not standin.server.running and not standin.server.waiting
-            standin.doors[0].silent = False
-            assert await callers.ask(at, job(), 2.0) == 200
+            standin.ports[0].partitioned = False
+            assert await callers.request(at, job(), 2.0) == 200
 
     run(story())
 
@@ -137,14 +137,12 @@
         model = Discovery(replace(SMALL, list_rate=4.0, list_wait=0.1, list_delay=0.0), clock, 1)
         server = Server(0, Tier(), 0, 1.0, SMALL, clock, Random(1))
         told: list[EndpointEntry] = []
-        standin = DiscoveryStandIn(
+        standin = FakeDiscovery(
             model,
             clock,
-            0,
-            0,
-            lambda: [model.entry(server)],
-            lambda _: ("h", 1),
-            lambda _, news: told.extend(news),
+            NodeView(
+                0, 0, lambda: [model.entry(server)], lambda _: ("h", 1), lambda _, news: told.extend(news)
+            ),
         )
         at = await standin.open()
         reader, writer = await asyncio.open_connection(*at)
