--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -103,7 +103,7 @@
         )
 
         async def watch() -> None:
-            process = stage._places[0].process._process
+            process = stage._placed_nodes[0].process._process
             assert process is not None
             await asyncio.sleep(WARM)
             began = cpu_of(process.pid)
--- a/notchjunction/experiments/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -25,7 +25,7 @@
 from notchjunction.experiments.files import Experiment, read_experiment
 from notchjunction.experiments.load import Load, Send, Shape, read_trace, schedule
 from notchjunction.experiments.runs import Run, figures, kept, play, run_all, runs_of
-from notchjunction.testbed.fleet_stage import SEEN_LATE, FleetPart, staged
+from notchjunction.testbed.fleet_stage import OBSERVATION_LAG_S, FleetPart, play_fleet
 from notchjunction.testbed.stage import Stage
 from notchjunction.testbed.stage import breaches as stage_breaches
 
@@ -144,13 +144,13 @@
 
 async def as_fleet(scenario: Scenario, part: FleetPart, folder: Path) -> dict[str, Any]:
     """The same of nodes that are one fleet under a limit, with what was out at the servers by the second."""
-    stage, story = await staged(scenario, part, folder)
-    began, seconds = stage.began, int(scenario.length)
+    stage, story = await play_fleet(scenario, part, folder)
+    began, seconds = stage.settled_at, int(scenario.length)
     spans = (use(story.rows, began + second, began + second + 1) for second in range(seconds))
-    over = [f"limit_held: {text}" for text in limit_held(story.rows, part.most, SEEN_LATE)]
+    over = [f"limit_held: {text}" for text in limit_held(story.rows, part.total_permits, OBSERVATION_LAG_S)]
     return {
         **figures(story, stage_breaches(sound(story, part)) + over, began),
-        "limit": part.most,
+        "limit": part.total_permits,
         "most_out": use(story.rows, began, began + seconds).peak,
         "out_by_second": [round(span.mean, 1) for span in spans],
         "failures": sum(counters.get("internal_errors", 0.0) for counters in stage.counters),
@@ -170,7 +170,7 @@
     story = await stage.play()
     return {
         **figures(story, stage_breaches(story), began),
-        "clients_late": stage.lateness,
+        "clients_late": stage.schedule_lag,
         "failures": sum(counters.get("internal_errors", 0.0) for counters in stage.counters),
         "unaccounted": sum(unaccounted(counters) for counters in stage.counters),
     }
--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -22,7 +22,7 @@
 )
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.experiments.baselines import VARIANTS
-from notchjunction.testbed.fleet_stage import DRIFT, FleetPart, ProcessFault, ProcessKind
+from notchjunction.testbed.fleet_stage import DEFAULT_CLOCK_DRIFT, FleetPart, ProcessFault, ProcessKind
 from notchjunction.testbed.links import Kind as LinkKind
 from notchjunction.testbed.links import LinkFault
 
@@ -257,7 +257,7 @@
     processes = ({**fault, "kind": ProcessKind(fault["kind"])} for fault in row.get("processes", ()))
     return FleetPart(
         owners=tuple(row["owners"]),
-        drift=row.get("drift", DRIFT),
+        drift=row.get("drift", DEFAULT_CLOCK_DRIFT),
         rates=tuple(row.get("rates", ())),
         links=tuple(LinkFault(**fault) for fault in links),
         processes=tuple(ProcessFault(**fault) for fault in processes),
--- a/notchjunction/testbed/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -1,7 +1,6 @@
-"""A stage whose nodes are one fleet: they talk over links that fail, and are paused, killed and started
-again.
+"""A stage whose nodes are one fleet, with faults on their links and processes paused, killed and restarted.
 
-The nodes are the program; servers, callers and links are stand-ins. What is promised is judged from the
+The nodes are the program; servers, clients and links are fakes. What the fleet promises is checked from the
 servers' rows.
 """
 
@@ -23,22 +22,24 @@
 from notchjunction.testbed.server import HOST, bind_free_port
 from notchjunction.testbed.stage import Stage
 
-SECRET = "5a" * 16  # the stand-ins' key; a fleet of an operator's has one of its own
-SETTLED_WITHIN = 60.0  # s for all nodes to know one another and to own what they do, on a busy machine
-SEEN_LATE = 0.3  # s by which a stage on a busy machine may see a dispatch's end later than its node did
-LOOK = 0.1  # s between looks
-DRIFT = 0.01  # part by which the nodes' clocks are said to run off
-LIMIT = "out"  # the name of the one limit
+SECRET = "5a" * 16  # the testbed's key; an operator's fleet has one of its own
+SETTLE_TIMEOUT_S = 60.0  # for all nodes to know one another and their quotas, on a busy machine
+OBSERVATION_LAG_S = 0.3  # by which a stage on a busy machine may see an attempt's end later than its node did
+POLL_INTERVAL_S = 0.1  # of a node's fleet state, until the fleet has settled
+DEFAULT_CLOCK_DRIFT = 0.01  # share by which the nodes' settings say that clocks may drift
+QUOTA_NAME = "out"  # the one quota of the fleet
 
 
 class ProcessKind(Enum):
-    PAUSE = "pause"  # does nothing until it goes on
-    KILL = "kill"  # killed outright, and started again at the end
+    """What is done to a node process."""
+
+    PAUSE = "pause"  # stopped, and resumed at the end
+    KILL = "kill"  # killed outright, and restarted at the end
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFault:
-    """`at` and `until` are seconds after the fleet has settled."""
+    """A fault of one node process; `at` and `until` are seconds after the fleet has settled."""
 
     kind: ProcessKind
     node: int
@@ -48,20 +49,25 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPart:
-    """What makes a scenario's nodes a fleet. `owners`: rights of each node; `rates`: of each node's clock."""
+    """What makes a scenario's nodes a fleet.
+
+    `owners` has the permits that each node owns, `rates` the rate of each node's clock; empty: all 1.0.
+    """
 
     owners: tuple[int, ...]
-    drift: float = DRIFT
+    drift: float = DEFAULT_CLOCK_DRIFT
     rates: tuple[float, ...] = ()
     links: tuple[LinkFault, ...] = ()
     processes: tuple[ProcessFault, ...] = field(default=())
 
     @property
-    def most(self) -> int:
+    def total_permits(self) -> int:
+        """The fleet's quota."""
         return sum(self.owners)
 
 
 def free_datagram_port() -> Address:
+    """A UDP address on loopback that nothing uses."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind((HOST, 0))
         address: Address = free.getsockname()
@@ -69,16 +75,18 @@
 
 
 class FleetStage(Stage):
+    """A stage with management addresses and a section `fleet` for each node."""
+
     def __init__(self, scenario: Scenario, part: FleetPart, folder: Path, links: Links) -> None:
         super().__init__(scenario, folder)
         self.part = part
         self.links = links
-        self.began = 0.0  # the stage's time at which the fleet had settled
-        self._mgmt: dict[int, Address] = {}
+        self.settled_at = 0.0  # the stage's time
+        self._management: dict[int, Address] = {}
         self._private = [free_datagram_port() for _ in range(scenario.nodes)]
 
-    def section(self, number: int) -> dict[str, Any]:
-        """A node's part of the file; the peers' addresses are those of the links."""
+    def fleet_section(self, number: int) -> dict[str, Any]:
+        """A node's section `fleet` of its file; the peers' addresses are those of the links."""
         name = f"n{number}"
         listen = self._private[number]
         self.links.join(name, listen)
@@ -90,48 +98,48 @@
             "keys": [{"number": 1, "secret": SECRET}],
             "clock_drift": self.part.drift,
             "clock_rate": self.part.rates[number] if self.part.rates else 1.0,
-            "places": {f"n{each}": text_of(place) for each, place in enumerate(self._private)},
-            "limits": [{"name": LIMIT, "revision": 1, "owners": owners}],
+            "places": {f"n{each}": text_of(address) for each, address in enumerate(self._private)},
+            "limits": [{"name": QUOTA_NAME, "revision": 1, "owners": owners}],
         }
 
-    def _more(self, number: int) -> Mapping[str, Any]:
-        place = bind_free_port()
-        self._mgmt[number] = place.getsockname()
-        place.close()
-        return {"mgmt": text_of(self._mgmt[number]), "fleet": self.section(number)}
+    def _config_sections(self, number: int) -> Mapping[str, Any]:
+        listener = bind_free_port()
+        self._management[number] = listener.getsockname()
+        listener.close()
+        return {"mgmt": text_of(self._management[number]), "fleet": self.fleet_section(number)}
 
     async def _all_ready(self) -> None:
         await super()._all_ready()
-        async with asyncio.timeout(SETTLED_WITHIN):
-            while not all([self._is_settled(await self.figures(number)) for number in self.nodes]):
-                await asyncio.sleep(LOOK)
-        self.began = self.clock.now
+        async with asyncio.timeout(SETTLE_TIMEOUT_S):
+            while not all([self._is_settled(await self.fleet_state(number)) for number in self.nodes]):
+                await asyncio.sleep(POLL_INTERVAL_S)
+        self.settled_at = self.clock.now
 
-    def _is_settled(self, figures: Mapping[str, Any] | None) -> bool:
-        if figures is None or len(figures["nodes"]) < self.scenario.nodes:
+    def _is_settled(self, state: Mapping[str, Any] | None) -> bool:
+        if state is None or len(state["nodes"]) < self.scenario.nodes:
             return False
-        return all(limit["settled"] for limit in figures["limits"].values())
+        return all(limit["settled"] for limit in state["limits"].values())
 
-    async def figures(self, number: int) -> dict[str, Any] | None:
-        """What a node shows of its fleet; None where it does not answer."""
+    async def fleet_state(self, number: int) -> dict[str, Any] | None:
+        """A node's report of its fleet; None where it does not answer within a second."""
         try:
             async with asyncio.timeout(1.0):
-                reader, writer = await asyncio.open_connection(*self._mgmt[number])
+                reader, writer = await asyncio.open_connection(*self._management[number])
                 writer.write(b"GET /control/fleet HTTP/1.1\r\nHost: n\r\n\r\n")
-                answer = await reader.read()
+                response = await reader.read()
                 writer.close()
-            found: dict[str, Any] = json.loads(answer.partition(b"\r\n\r\n")[2])
+            state: dict[str, Any] = json.loads(response.partition(b"\r\n\r\n")[2])
         except (OSError, TimeoutError, ValueError):
             return None
-        return found
+        return state
 
-    def _begin(self) -> None:
-        self.links.play(self.part.links)
+    def _on_started(self) -> None:
+        self.links.schedule(self.part.links)
         for fault in self.part.processes:
-            self._start(self._befalls(fault))
+            self._spawn(self._play_fault(fault))
 
-    async def _befalls(self, fault: ProcessFault) -> None:
-        process = self._places[fault.node].process
+    async def _play_fault(self, fault: ProcessFault) -> None:
+        process = self._placed_nodes[fault.node].process
         await asyncio.sleep(fault.at)
         match fault.kind:
             case ProcessKind.PAUSE:
@@ -145,8 +153,8 @@
                 process.launch()
 
 
-async def staged(scenario: Scenario, part: FleetPart, folder: Path) -> tuple[FleetStage, Story]:
-    """Plays a scenario with its fleet; the stage, and what happened on it."""
+async def play_fleet(scenario: Scenario, part: FleetPart, folder: Path) -> tuple[FleetStage, Story]:
+    """Plays a scenario with its fleet; the stage, and the story of its rows."""
     links = await Links([f"n{number}" for number in range(scenario.nodes)], scenario.seed).open()
     stage = FleetStage(scenario, part, folder, links)
     try:
--- a/notchjunction/testbed/links.py
+++ b/notchjunction/testbed/links.py
@@ -1,8 +1,8 @@
-"""Links between node processes on loopback, for datagrams and for streams, which fail as they are told to.
+"""Links between node processes on loopback, for datagrams and for streams, with faults injected on schedule.
 
-Each node has a public address here, which its peers are told, and a private one, where its process listens.
-What comes to one node's public address from another's private one is on the link between the two. It goes on
-to the private address from the sender's public one, so a node sees each peer where it was told that it is.
+Each node has a public address here, which its peers know, and a private one, where its process listens. A
+datagram to one node's public address from another's private one is on the link between the two. It is
+forwarded to the private address from the sender's public one, so a node sees each peer at its known address.
 """
 
 from __future__ import annotations
@@ -22,28 +22,28 @@
 from notchjunction.addresses import Address
 from notchjunction.testbed.server import HOST, reset
 
-HELD_BACK = 0.05  # s that a datagram is longer on its way which later ones overtake; over the gaps of a burst
-PIECE = 64 * 1024  # bytes of a stream read at once
-PIECES_MOST = 16  # of a stream under way in one direction; then its sender has to wait, as on any network
+REORDER_DELAY_S = 0.05  # by which a reordered datagram is late; longer than the gaps in a burst
+READ_SIZE = 64 * 1024  # bytes of a stream read at once
+MAX_CHUNKS_UNDER_WAY = 16  # of a stream in one direction; then its sender has to wait, as on any network
 
 
 @dataclass(frozen=True, slots=True)
 class Impairment:
-    """What befalls one direction of a link; streams know delay and cut alone. Shares from 0 to 1."""
+    """What is wrong with one direction of a link; streams know delay and cut alone. Shares from 0 to 1."""
 
     loss: float = 0.0  # share of datagrams that never arrive
     delay: float = 0.0  # s on the way
-    jitter: float = 0.0  # s more at most, drawn evenly for each; datagrams overtake one another
+    jitter: float = 0.0  # s more at most, uniform for each datagram, so that they overtake one another
     repeats: float = 0.0  # share that arrive twice
-    reorder: float = 0.0  # share that are held back behind later ones
+    reorder: float = 0.0  # share that arrive after later ones
     cut: bool = False  # no datagram arrives; streams stand still
 
 
-CALM = Impairment()
+NO_IMPAIRMENT = Impairment()
 
 
 class Kind(Enum):
-    """What goes wrong; `size` is what it is set to while the fault lasts, and nothing for a cut."""
+    """The property of a link that a fault sets to its `size`; a cut has none."""
 
     CUT = "cut"
     LOSE = "lose"
@@ -53,21 +53,21 @@
     REORDER = "reorder"
 
 
-TABLE: dict[Kind, Callable[[Impairment, float], Impairment]] = {
-    Kind.CUT: lambda before, _: replace(before, cut=True),
-    Kind.LOSE: lambda before, size: replace(before, loss=size),
-    Kind.DELAY: lambda before, size: replace(before, delay=size),
-    Kind.JITTER: lambda before, size: replace(before, jitter=size),
-    Kind.REPEAT: lambda before, size: replace(before, repeats=size),
-    Kind.REORDER: lambda before, size: replace(before, reorder=size),
+APPLY: dict[Kind, Callable[[Impairment, float], Impairment]] = {
+    Kind.CUT: lambda base, _: replace(base, cut=True),
+    Kind.LOSE: lambda base, size: replace(base, loss=size),
+    Kind.DELAY: lambda base, size: replace(base, delay=size),
+    Kind.JITTER: lambda base, size: replace(base, jitter=size),
+    Kind.REPEAT: lambda base, size: replace(base, repeats=size),
+    Kind.REORDER: lambda base, size: replace(base, reorder=size),
 }
 
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """On the links between nodes of different `sides`, both ways, and on `pairs`, from one to another.
+    """A fault between nodes of different `sides`, both ways, and on `pairs` of a source and a target.
 
-    On all links where neither is given. `at` and `until` are seconds after the schedule began.
+    It is on all links where neither is given. `at` and `until` are seconds after the schedule began.
     """
 
     kind: Kind
@@ -77,13 +77,17 @@
     sides: Sequence[Collection[str]] = ()
     pairs: Sequence[tuple[str, str]] = ()
 
-    def is_on(self, source: str, to: str) -> bool:
+    def applies_to(self, source: str, to: str) -> bool:
+        """Whether the fault is on the direction from `source` to `to`."""
         apart = any(source in one and to in other for one, other in permutations(self.sides, 2))
         return apart or (source, to) in self.pairs or not (self.sides or self.pairs)
 
 
 class Count(Enum):
-    """What a link counts: of each datagram SEEN it is one of the next three, and may be what follows too."""
+    """What a link counts.
+
+    Each datagram SEEN is one of PASSED, LOST and CUT; one that PASSED may be REPEATED and DELAYED, too.
+    """
 
     SEEN = auto()
     PASSED = auto()
@@ -94,251 +98,269 @@
 
 
 class Link:
-    """One direction between two nodes. All chance is its own, so the same arrivals have the same fate."""
+    """One direction between two nodes, with a random generator of its own: same arrivals, same fates."""
 
     def __init__(self, seed: str) -> None:
         self.datagrams: Counter[Count] = Counter()
         self.bytes: Counter[Count] = Counter()
         self._random = Random(seed)
-        self._impairment = CALM
-        self._whole = asyncio.Event()
-        self._whole.set()
+        self._impairment = NO_IMPAIRMENT
+        self._is_whole = asyncio.Event()
+        self._is_whole.set()
 
     @property
     def impairment(self) -> Impairment:
+        """What is wrong with the link now."""
         return self._impairment
 
     @impairment.setter
-    def impairment(self, told: Impairment) -> None:
-        self._impairment = told
-        (self._whole.clear if told.cut else self._whole.set)()
+    def impairment(self, impairment: Impairment) -> None:
+        self._impairment = impairment
+        if impairment.cut:
+            self._is_whole.clear()
+        else:
+            self._is_whole.set()
 
-    def judge(self, size: int) -> list[float]:
-        """Seconds on the way of each copy of a datagram of so many bytes; none where it never arrives."""
-        told = self._impairment
+    def copy_delays(self, size: int) -> list[float]:
+        """The delays in seconds of the copies of a datagram of `size` bytes; empty where it is lost."""
+        now = self._impairment
         # Guards against a fault that shifts the chances of all after it: each datagram draws as many.
         loss, repeat, reorder, jitter = (self._random.random() for _ in range(4))
-        seconds = told.delay + told.jitter * jitter + (HELD_BACK if reorder < told.reorder else 0.0)
-        if told.cut:
+        delay = now.delay + now.jitter * jitter + (REORDER_DELAY_S if reorder < now.reorder else 0.0)
+        if now.cut:
             counts = [Count.CUT]
-        elif loss < told.loss:
+        elif loss < now.loss:
             counts = [Count.LOST]
         else:
             counts = [Count.PASSED]
-            counts += [Count.REPEATED] if repeat < told.repeats else []
-            counts += [Count.DELAYED] if seconds else []
+            counts += [Count.REPEATED] if repeat < now.repeats else []
+            counts += [Count.DELAYED] if delay else []
         for count in (Count.SEEN, *counts):
             self.datagrams[count] += 1
             self.bytes[count] += size
-        return [seconds for count in counts if count in (Count.PASSED, Count.REPEATED)]
+        return [delay for count in counts if count in (Count.PASSED, Count.REPEATED)]
 
-    async def whole(self) -> bool:
-        """Waits for as long as it is cut; whether it was."""
-        cut = self._impairment.cut
+    async def wait_until_whole(self) -> bool:
+        """Waits while the link is cut; whether it was."""
+        was_cut = self._impairment.cut
         while self._impairment.cut:
-            await self._whole.wait()
-        return cut
+            await self._is_whole.wait()
+        return was_cut
 
 
-class _Door(asyncio.DatagramProtocol):
-    """A node's public address."""
+class _PublicAddress(asyncio.DatagramProtocol):
+    """The socket at a node's public address."""
 
-    def __init__(self, came: Callable[[bytes, Address], None]) -> None:
-        self._came = came
+    def __init__(self, on_datagram: Callable[[bytes, Address], None]) -> None:
+        self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        self._came(data, addr)
+        """Hands on the datagram and its sender."""
+        self._on_datagram(data, addr)
 
 
 class Links:
-    """All links between the nodes of these names. Faults add up; of one kind the last to begin holds."""
+    """All links between the named nodes.
+
+    Faults of several kinds add up; of several of one kind the last to begin counts.
+    """
 
     def __init__(self, names: Sequence[str], seed: int = 0) -> None:
-        self.strays = 0  # datagrams from no node here, or to one that has not joined
+        self.strays = 0  # datagrams from an unknown sender, or to a node that has not joined
         self._names = tuple(names)
         self._links = {pair: Link(f"{seed} {pair}") for pair in permutations(names, 2)}
-        self._told = dict.fromkeys(self._links, CALM)
-        self._lasting: list[LinkFault] = []
-        self._doors: dict[str, asyncio.DatagramTransport] = {}
+        self._standing = dict.fromkeys(self._links, NO_IMPAIRMENT)
+        self._active_faults: list[LinkFault] = []
+        self._transports: dict[str, asyncio.DatagramTransport] = {}
         self._private: dict[str, Address] = {}
         self._timers: list[asyncio.TimerHandle] = []
         self._relays: list[StreamRelay] = []
 
     async def open(self) -> Self:
+        """Opens the public addresses."""
         loop = asyncio.get_running_loop()
         for name in self._names:
-            door = partial(_Door, partial(self._came, name))
-            self._doors[name], _ = await loop.create_datagram_endpoint(door, local_addr=(HOST, 0))
+            protocol = partial(_PublicAddress, partial(self._on_datagram, name))
+            self._transports[name], _ = await loop.create_datagram_endpoint(protocol, local_addr=(HOST, 0))
         return self
 
     async def close(self) -> None:
+        """Ends the schedule and closes all sockets."""
         for timer in self._timers:
             timer.cancel()
-        for door in self._doors.values():
-            door.close()
+        for transport in self._transports.values():
+            transport.close()
         for relay in self._relays:
             await relay.close()
 
     def public(self, name: str) -> Address:
-        """Where its peers find it."""
-        address: Address = self._doors[name].get_extra_info("sockname")
+        """The address at which a node's peers find it."""
+        address: Address = self._transports[name].get_extra_info("sockname")
         return address
 
     def join(self, name: str, private: Address) -> None:
-        """Its process listens there, and sends from there; a later word replaces it."""
+        """Sets the address at which a node's process listens and from which it sends."""
         self._private[name] = private
 
     def link(self, source: str, to: str) -> Link:
+        """The direction from one node to another."""
         return self._links[source, to]
 
-    async def stream(self, source: str, to: str, address: Address, resets: bool = False) -> Address:
-        """Where `source` finds by TCP what `to` has at `address`, over the links between the two."""
+    async def open_stream(self, source: str, to: str, address: Address, resets: bool = False) -> Address:
+        """The TCP address at which `source` reaches what `to` has at `address`, over their links."""
         relay = StreamRelay(address, self.link(source, to), self.link(to, source), resets)
         self._relays.append(relay)
         return await relay.open()
 
-    # What goes wrong.
+    # Faults.
 
-    def impair(self, source: str, to: str, told: Impairment) -> None:
-        """What befalls this direction where no fault lasts."""
-        self._told[source, to] = told
-        self._settle()
+    def impair(self, source: str, to: str, impairment: Impairment) -> None:
+        """Sets what is wrong with this direction while no fault is active on it."""
+        self._standing[source, to] = impairment
+        self._apply_faults()
 
-    def cut(self, *sides: Collection[str]) -> None:
-        """Nothing passes between nodes of different sides; those of no side hear all."""
-        self.begin(LinkFault(Kind.CUT, sides=sides))
+    def partition(self, *sides: Collection[str]) -> None:
+        """Cuts the links between nodes of different sides; nodes of no side reach all."""
+        self.begin_fault(LinkFault(Kind.CUT, sides=sides))
 
-    def cut_one_way(self, sources: Collection[str], to: Collection[str]) -> None:
-        pairs = [(one, other) for one in sources for other in to if one != other]
-        self.begin(LinkFault(Kind.CUT, pairs=pairs))
+    def partition_one_way(self, sources: Collection[str], targets: Collection[str]) -> None:
+        """Cuts the directions from each source to each target."""
+        pairs = [(source, target) for source in sources for target in targets if source != target]
+        self.begin_fault(LinkFault(Kind.CUT, pairs=pairs))
 
     def heal(self) -> None:
-        """No cut lasts on; what else is wrong does."""
-        self._lasting = [fault for fault in self._lasting if fault.kind is not Kind.CUT]
-        self._settle()
-
-    def begin(self, fault: LinkFault) -> None:
-        self._lasting.append(fault)
-        self._settle()
-
-    def end(self, fault: LinkFault) -> None:
-        # Guards against one that has been healed before its time.
-        if fault in self._lasting:
-            self._lasting.remove(fault)
-            self._settle()
-
-    def play(self, schedule: Iterable[LinkFault]) -> None:
-        """From now on, by the loop's time."""
+        """Ends all cuts; other faults stay active."""
+        self._active_faults = [fault for fault in self._active_faults if fault.kind is not Kind.CUT]
+        self._apply_faults()
+
+    def begin_fault(self, fault: LinkFault) -> None:
+        """Makes a fault active until `end_fault`."""
+        self._active_faults.append(fault)
+        self._apply_faults()
+
+    def end_fault(self, fault: LinkFault) -> None:
+        """Ends an active fault."""
+        # Guards against a fault that `heal` has ended before its time.
+        if fault in self._active_faults:
+            self._active_faults.remove(fault)
+            self._apply_faults()
+
+    def schedule(self, faults: Iterable[LinkFault]) -> None:
+        """Begins and ends faults at their times, counted from now by the loop's clock."""
         loop = asyncio.get_running_loop()
-        for fault in schedule:
-            self._timers.append(loop.call_later(fault.at, self.begin, fault))
+        for fault in faults:
+            self._timers.append(loop.call_later(fault.at, self.begin_fault, fault))
             if fault.until < math.inf:
-                self._timers.append(loop.call_later(fault.until, self.end, fault))
+                self._timers.append(loop.call_later(fault.until, self.end_fault, fault))
 
-    def _settle(self) -> None:
+    def _apply_faults(self) -> None:
         for pair, link in self._links.items():
-            found = self._told[pair]
-            for fault in self._lasting:
-                if fault.is_on(*pair):
-                    found = TABLE[fault.kind](found, fault.size)
-            link.impairment = found
+            impairment = self._standing[pair]
+            for fault in self._active_faults:
+                if fault.applies_to(*pair):
+                    impairment = APPLY[fault.kind](impairment, fault.size)
+            link.impairment = impairment
 
     # Datagrams.
 
-    def _came(self, to: str, data: bytes, sender: Address) -> None:
+    def _on_datagram(self, to: str, data: bytes, sender: Address) -> None:
         source = next((name for name, private in self._private.items() if private == sender), to)
         if source == to or to not in self._private:
             self.strays += 1
             return
-        for seconds in self._links[source, to].judge(len(data)):
-            if seconds:
-                asyncio.get_running_loop().call_later(seconds, self._forward, source, to, data)
+        for delay in self._links[source, to].copy_delays(len(data)):
+            if delay:
+                asyncio.get_running_loop().call_later(delay, self._forward, source, to, data)
             else:
                 self._forward(source, to, data)
 
     def _forward(self, source: str, to: str, data: bytes) -> None:
-        door = self._doors[source]
-        # Guards against what is under way as all ends.
-        if not door.is_closing():
-            door.sendto(data, self._private[to])
+        transport = self._transports[source]
+        # Guards against a delayed datagram that is due after `close`.
+        if not transport.is_closing():
+            transport.sendto(data, self._private[to])
 
 
-Line = asyncio.Queue[tuple[float, bytes | None]]  # when a piece is due, and it; empty: the end; None: a reset
+# Empty bytes are the end of the stream, None is a reset.
+ChunkQueue = asyncio.Queue[tuple[float, bytes | None]]  # when a chunk is due, and its bytes
 
 
 class StreamRelay:
     """Connections to one address, each direction over a link.
 
-    While a link is cut it holds bytes, ends and resets back, and new connections are let in but not heard.
-    Once it is whole they go on, or with `resets` those that had something to say meanwhile are reset.
+    While a link is cut it delays bytes, ends and resets, and new connections are accepted but not connected
+    on. Once it is whole they continue; with `resets`, those that had something to send meanwhile are reset.
     """
 
-    def __init__(self, to: Address, there: Link, back: Link, resets: bool = False) -> None:
-        self._to, self._there, self._back, self._resets = to, there, back, resets
-        self._serving: set[asyncio.Task[None]] = set()
+    def __init__(self, target: Address, outward: Link, homeward: Link, resets: bool = False) -> None:
+        self._target, self._resets = target, resets
+        self._outward, self._homeward = outward, homeward
+        self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> Address:
-        self._listening = await asyncio.start_server(self._serve, HOST, 0)
-        address: Address = self._listening.sockets[0].getsockname()
+        """Listens on a free port; its address."""
+        self._listener = await asyncio.start_server(self._serve, HOST, 0)
+        address: Address = self._listener.sockets[0].getsockname()
         return address
 
     async def close(self) -> None:
-        self._listening.close()
-        for task in self._serving:
+        """Stops listening and ends all connections."""
+        self._listener.close()
+        for task in self._tasks:
             task.cancel()
-        await asyncio.gather(*self._serving, return_exceptions=True)
+        await asyncio.gather(*self._tasks, return_exceptions=True)
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self._serving.add(task)
+        self._tasks.add(task)
         writers = [writer]
         try:
-            await self._pass(self._there)
-            await self._pass(self._back)
-            far_reader, far_writer = await asyncio.open_connection(*self._to)
-            writers.append(far_writer)
+            await self._cross(self._outward)
+            await self._cross(self._homeward)
+            target_reader, target_writer = await asyncio.open_connection(*self._target)
+            writers.append(target_writer)
             async with asyncio.TaskGroup() as both_ways:
                 for source, to, link in (
-                    (reader, far_writer, self._there),
-                    (far_reader, writer, self._back),
+                    (reader, target_writer, self._outward),
+                    (target_reader, writer, self._homeward),
                 ):
-                    line: Line = asyncio.Queue(PIECES_MOST)
-                    both_ways.create_task(self._take(source, link, line))
-                    both_ways.create_task(self._give(line, link, to))
+                    queue: ChunkQueue = asyncio.Queue(MAX_CHUNKS_UNDER_WAY)
+                    both_ways.create_task(self._read(source, link, queue))
+                    both_ways.create_task(self._write(queue, link, to))
         except* OSError:
-            for each in writers:
-                reset(each)
+            for open_writer in writers:
+                reset(open_writer)
         finally:
-            self._serving.discard(task)
-            for each in writers:
-                each.close()
+            self._tasks.discard(task)
+            for open_writer in writers:
+                open_writer.close()
 
-    async def _take(self, reader: asyncio.StreamReader, link: Link, line: Line) -> None:
-        piece: bytes | None = b"some"
-        while piece:
+    async def _read(self, reader: asyncio.StreamReader, link: Link, queue: ChunkQueue) -> None:
+        chunk: bytes | None = b"some"
+        while chunk:
             try:
-                piece = await reader.read(PIECE)
+                chunk = await reader.read(READ_SIZE)
             except OSError:
-                piece = None
-            await line.put((asyncio.get_running_loop().time() + link.impairment.delay, piece))
+                chunk = None
+            await queue.put((asyncio.get_running_loop().time() + link.impairment.delay, chunk))
 
-    async def _give(self, line: Line, link: Link, writer: asyncio.StreamWriter) -> None:
-        piece: bytes | None = b"some"
-        while piece:
-            due, piece = await line.get()
+    async def _write(self, queue: ChunkQueue, link: Link, writer: asyncio.StreamWriter) -> None:
+        chunk: bytes | None = b"some"
+        while chunk:
+            due, chunk = await queue.get()
             await asyncio.sleep(due - asyncio.get_running_loop().time())
-            await self._pass(link)
-            if piece and not writer.is_closing():
-                writer.write(piece)
-                # What this side hears of its end goes back over its own link.
+            await self._cross(link)
+            if chunk and not writer.is_closing():
+                writer.write(chunk)
+                # A failure here is reported to the sender over the link back, by the other direction.
                 with suppress(OSError):
                     await writer.drain()
-        if piece is None:
+        if chunk is None:
             reset(writer)
         else:
             writer.write_eof()
 
-    async def _pass(self, link: Link) -> None:
-        if await link.whole() and self._resets:
+    async def _cross(self, link: Link) -> None:
+        if await link.wait_until_whole() and self._resets:
             raise ConnectionResetError
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -27,7 +27,13 @@
 from notchjunction.fleet.quotas import quotas
 from notchjunction.net import fleet_transport
 from notchjunction.node.node import Node
-from notchjunction.testbed.fleet_stage import SEEN_LATE, FleetPart, ProcessFault, ProcessKind, staged
+from notchjunction.testbed.fleet_stage import (
+    OBSERVATION_LAG_S,
+    FleetPart,
+    ProcessFault,
+    ProcessKind,
+    play_fleet,
+)
 from notchjunction.testbed.links import Kind, LinkFault
 from tests.helpers import OK, Client, Peer, call, configuration, free_address, running
 from tests.test_net import run
@@ -347,11 +353,11 @@
         queue_most=60,
         length=2.5 + 1.5 * nodes / 2,
         profiles=(profile,),
-        streams=(Stream(0, 20.0 * part.most, work=0.1),),
+        streams=(Stream(0, 20.0 * part.total_permits, work=0.1),),
         client_tries=1,
     )
-    stage, story = asyncio.run(asyncio.wait_for(staged(scenario, part, tmp_path), 120))
-    assert list(limit_held(story.rows, part.most, SEEN_LATE)) == []
+    stage, story = asyncio.run(asyncio.wait_for(play_fleet(scenario, part, tmp_path), 120))
+    assert list(limit_held(story.rows, part.total_permits, OBSERVATION_LAG_S)) == []
     finals = [row.final for row in story.rows if isinstance(row, Answered)]
     assert finals.count(Final.HONOURED) > 10 and Final.TURNED_BACK in finals
     assert not any(counters.get("fleet_datagrams_rejected_forged") for counters in stage.counters)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -25,7 +25,7 @@
 from notchjunction.testbed import links as of_links
 from notchjunction.testbed.client import FakeClients
 from notchjunction.testbed.discovery import encode_list
-from notchjunction.testbed.links import CALM, Count, Impairment, LinkFault, Links
+from notchjunction.testbed.links import NO_IMPAIRMENT, Count, Impairment, LinkFault, Links
 from notchjunction.testbed.process import NodePlacement, NodeProcess
 from notchjunction.testbed.server import HOST
 from notchjunction.testbed.stage import Stage
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ("told", "fits"),
     [
-        (CALM, lambda got: got == ALL),
+        (NO_IMPAIRMENT, lambda got: got == ALL),
         (Impairment(cut=True), lambda got: got == []),
         (Impairment(loss=0.3), lambda got: 30 < len(got) < 54 and got == sorted(got)),
         (Impairment(repeats=0.3), lambda got: 66 < len(got) < 90 and set(got) == set(ALL)),
@@ -93,7 +93,7 @@
 ) -> None:
     async def got(seed: int, cut: int = 0) -> list[int]:
         async with meeting(seed) as (links, ends):
-            links.cut("a", "b")
+            links.partition("a", "b")
             assert await say(links, ends, "ab", ALL[:cut]) == []
             links.heal()
             links.impair("a", "b", told)
@@ -101,7 +101,7 @@
 
     first, again, other, later = await got(1), await got(1), await got(2), await got(1, 20)
     assert fits(first) and first == again
-    assert (first == other) == (told.cut or told == CALM)
+    assert (first == other) == (told.cut or told == NO_IMPAIRMENT)
     assert sorted(later) == sorted(number for number in first if number >= 20)
 
 
@@ -109,19 +109,19 @@
 async def test_cuts_are_one_way_or_between_sides_and_a_schedule_begins_and_ends_them() -> None:
     async with meeting() as (links, ends):
         link = links.link("c", "b")
-        links.cut_one_way("a", "bc")
+        links.partition_one_way("a", "bc")
         assert await say(links, ends, "ab") == [] and await say(links, ends, "ba") == ALL
         links.heal()
         cut = LinkFault(of_links.Kind.CUT, sides=("ab", "c"))
-        links.play([cut, LinkFault(of_links.Kind.LOSE, 0.5, 0.6)])
+        links.schedule([cut, LinkFault(of_links.Kind.LOSE, 0.5, 0.6)])
         await until(lambda: link.impairment.cut)
         assert await say(links, ends, "cb") == await say(links, ends, "ac") == []
         assert await say(links, ends, "ab") == ALL
         links.heal()
-        links.end(cut)
+        links.end_fault(cut)
         assert await say(links, ends, "cb") == ALL
         await until(lambda: link.impairment == Impairment(loss=1.0))
-        await until(lambda: link.impairment == CALM)
+        await until(lambda: link.impairment == NO_IMPAIRMENT)
 
 
 @on_a_loop
@@ -152,13 +152,13 @@
 async def test_a_stream_is_late_stands_still_while_cut_and_then_goes_on_or_is_reset(resets: bool) -> None:
     loop, far = asyncio.get_running_loop(), await asyncio.start_server(echo, HOST, 0)
     async with meeting() as (links, _):
-        at = await links.stream("a", "b", far.sockets[0].getsockname(), resets)
+        at = await links.open_stream("a", "b", far.sockets[0].getsockname(), resets)
         links.impair("b", "a", Impairment(delay=0.05))
         reader, writer = await asyncio.open_connection(*at)
         began = loop.time()
         writer.write(b"one")
         assert await reader.readexactly(3) == b"one" and loop.time() > began + 0.05
-        links.cut("a", "b")
+        links.partition("a", "b")
         both = [(reader, writer), await asyncio.open_connection(*at)]
         for _, each in both:
             each.write(b"two")
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -306,11 +306,11 @@
 
         listening = await asyncio.start_server(never, HOST, 0)
         place = listening.sockets[0].getsockname()
-        stage._places[0] = SimpleNamespace(process=SimpleNamespace(listen=place))  # type: ignore[assignment]
-        assert await stage._ask(0, 0, 0.1, 0.01, 1, False) is Final.WRITTEN_OFF
+        stage._placed_nodes[0] = SimpleNamespace(process=SimpleNamespace(listen=place))  # type: ignore[assignment]
+        assert await stage._send_request(0, 0, 0.1, 0.01, 1, False) is Final.WRITTEN_OFF
         await heard.wait()
         assert [type(row) for row in stage.rows] == [Taken, Left]
-        assert await stage._ask(0, 0, 9.0, 0.01, 1, False, stays=0.1) is Final.WITHDRAWN
+        assert await stage._send_request(0, 0, 9.0, 0.01, 1, False, stays=0.1) is Final.WITHDRAWN
         assert stage.rows[-1] == Answered(stage.rows[-1].at, 0, 2, Final.WITHDRAWN)
         listening.close()
 
@@ -330,7 +330,7 @@
             with pytest.raises(RuntimeError, match="node 0 ended"):
                 await stage.play()
             return
-        stage.clock.after(2.5, lambda: stage._places[0].process.kill())
+        stage.clock.after(2.5, lambda: stage._placed_nodes[0].process.kill())
         found = await stage.play()
         assert any(text.startswith("one_answer") for text in breaches(found))
 
