--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -178,19 +178,19 @@
 
 @on_a_loop
 async def test_a_paused_process_says_nothing_goes_on_and_comes_back_with_its_file(tmp_path: Path) -> None:
-    callers, node = FakeClients(), NodeProcess(0, free_address(), tmp_path)
+    clients, node = FakeClients(), NodeProcess(0, free_address(), tmp_path)
     known = json.loads(encode_list([EndpointEntry(0, EndpointState.ACTIVE)], 1, True, lambda _: (HOST, 9)))
     node.start(Scenario("small"), NodePlacement(0, 0, 1), (HOST, 9), {}, {"known": known})
-    await node.wait_until_ready(callers)
+    await node.wait_until_ready(clients)
     node.pause()
-    assert await callers.request(node.listen, Request("GET", "/ready", {"host": "n"}), 0.3) is None
+    assert await clients.request(node.listen, Request("GET", "/ready", {"host": "n"}), 0.3) is None
     node.resume()
-    await node.wait_until_ready(callers)
+    await node.wait_until_ready(clients)
     node.reload({**node.config, "discovery": f"{HOST}:10"})
     await until(lambda: any('event="configuration reloaded"' in line for line in node.log_lines()))
     await node.restart()
-    await node.wait_until_ready(callers)
-    callers.close()
+    await node.wait_until_ready(clients)
+    clients.close()
     node.pause()
     assert "client_connections_closed" in await node.terminate()
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -1,4 +1,4 @@
-"""Stand-ins on loopback: what a node meets at a door, and scenarios against real node processes."""
+"""Fakes on loopback: what a node meets at a server's port, and scenarios against real node processes."""
 
 from __future__ import annotations
 
@@ -27,6 +27,7 @@
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import process
 from notchjunction.testbed.client import FakeClients
+from notchjunction.testbed.client_request import ClientRequest
 from notchjunction.testbed.clock import LoopClock
 from notchjunction.testbed.discovery import FakeDiscovery, NodeView
 from notchjunction.testbed.server import HOST, FakeServer
@@ -39,14 +40,14 @@
 
 
 @asynccontextmanager
-async def standing(tier: Tier | None = None) -> AsyncIterator[tuple[FakeServer, Address, FakeClients]]:
+async def fake_server(tier: Tier | None = None) -> AsyncIterator[tuple[FakeServer, Address, FakeClients]]:
     clock = LoopClock()
     server = Server(0, tier or Tier(workers=1, queue_most=1), 0, 1.0, SMALL, clock, Random(1))
-    standin = FakeServer(server, clock, lambda node, request: True, lambda node: None)
-    callers = FakeClients()
-    yield standin, await standin.open_port(0), callers
-    callers.close()
-    standin.close()
+    fake = FakeServer(server, clock, lambda node, request: True, lambda node: None)
+    clients = FakeClients()
+    yield fake, await fake.open_port(0), clients
+    clients.close()
+    fake.close()
 
 
 def job(work: float = 0.01, path: str = protocol.REQUEST_PATH) -> Request:
@@ -73,60 +74,60 @@
 )
 def test_what_a_server_in_trouble_answers(trouble: dict[str, Any], status: int | None) -> None:
     async def story() -> None:
-        async with standing() as (standin, at, callers):
+        async with fake_server() as (fake, at, clients):
             for name, value in trouble.items():
-                setattr(standin.server, name, value)
-            assert await callers.request(at, job(), 0.3) == status
+                setattr(fake.server, name, value)
+            assert await clients.request(at, job(), 0.3) == status
 
     run(story())
 
 
 def test_a_server_is_full_down_and_back_at_its_address() -> None:
     async def story() -> None:
-        async with standing() as (standin, at, callers):
-            held = [asyncio.create_task(callers.request(at, job(0.2), 2.0)) for _ in range(3)]
+        async with fake_server() as (fake, at, clients):
+            held = [asyncio.create_task(clients.request(at, job(0.2), 2.0)) for _ in range(3)]
             assert sorted([await each or 0 for each in held]) == [200, 200, 503]
-            under_way = asyncio.create_task(callers.request(at, job(5.0), 2.0))
-            while not standin.server.running:
+            under_way = asyncio.create_task(clients.request(at, job(5.0), 2.0))
+            while not fake.server.running:
                 await asyncio.sleep(0.001)
-            standin.stop()
+            fake.stop()
             assert await under_way is None
-            assert await callers.request(at, job(), 0.3) is None
-            await standin.start()
-            assert await callers.request(at, job(), 2.0) == 200 and standin.server.warmth() < 0.5
+            assert await clients.request(at, job(), 0.3) is None
+            await fake.start()
+            assert await clients.request(at, job(), 2.0) == 200 and fake.server.warmth() < 0.5
 
     run(story())
 
 
-def test_a_caller_that_closes_waits_no_more_and_a_door_holds_so_many() -> None:
+def test_a_client_that_closes_leaves_the_queue_and_a_server_accepts_so_many_connections() -> None:
     async def story() -> None:
-        async with standing(Tier(workers=1, queue_most=5, connections_most=2)) as (standin, at, callers):
-            first = asyncio.create_task(callers.request(at, job(0.5), 2.0))
-            second = asyncio.create_task(callers.request(at, job(0.5), 0.1))
+        async with fake_server(Tier(workers=1, queue_most=5, connections_most=2)) as (fake, at, clients):
+            first = asyncio.create_task(clients.request(at, job(0.5), 2.0))
+            second = asyncio.create_task(clients.request(at, job(0.5), 0.1))
             await second
-            while standin.server.links > 1:
+            while fake.server.links > 1:
                 await asyncio.sleep(0.001)
-            assert len(standin.server.running) + len(standin.server.waiting) == 1
-            third = asyncio.create_task(callers.request(at, job(), 2.0))
-            while standin.server.links < 2:
+            assert len(fake.server.running) + len(fake.server.waiting) == 1
+            third = asyncio.create_task(clients.request(at, job(), 2.0))
+            while fake.server.links < 2:
                 await asyncio.sleep(0.001)
-            assert await callers.request(at, job(), 2.0) == 503
+            assert await clients.request(at, job(), 2.0) == 503
             assert (await first, await third) == (200, 200)
 
     run(story())
 
 
-def test_nothing_is_heard_or_said_through_a_silent_door() -> None:
+def test_nothing_passes_a_partitioned_port() -> None:
     async def story() -> None:
-        async with standing() as (standin, at, callers):
-            under_way = asyncio.create_task(callers.request(at, job(0.1), 0.4))
-            while not standin.server.running:
+        async with fake_server() as (fake, at, clients):
+            under_way = asyncio.create_task(clients.request(at, job(0.1), 0.4))
+            while not fake.server.running:
                 await asyncio.sleep(0.001)
-            standin.ports[0].partitioned = True
-            assert await under_way is None and await callers.request(at, job(), 0.1) is None
-            assert not standin.server.running and not standin.server.waiting
-            standin.ports[0].partitioned = False
-            assert await callers.request(at, job(), 2.0) == 200
+            fake.ports[0].partitioned = True
+            assert await under_way is None and await clients.request(at, job(), 0.1) is None
+            assert not fake.server.running and not fake.server.waiting
+            fake.ports[0].partitioned = False
+            assert await clients.request(at, job(), 2.0) == 200
 
     run(story())
 
@@ -137,14 +138,14 @@
         model = Discovery(replace(SMALL, list_rate=4.0, list_wait=0.1, list_delay=0.0), clock, 1)
         server = Server(0, Tier(), 0, 1.0, SMALL, clock, Random(1))
         told: list[EndpointEntry] = []
-        standin = FakeDiscovery(
+        fake = FakeDiscovery(
             model,
             clock,
             NodeView(
                 0, 0, lambda: [model.entry(server)], lambda _: ("h", 1), lambda _, news: told.extend(news)
             ),
         )
-        at = await standin.open()
+        at = await fake.open()
         reader, writer = await asyncio.open_connection(*at)
 
         async def ask(target: str) -> tuple[int, dict[str, Any]]:
@@ -167,7 +168,7 @@
         status, _ = await ask("/v1/endpoints?after=1&wait_ms=20")
         assert status == 503
         writer.close()
-        standin.close()
+        fake.close()
 
     run(story())
 
@@ -268,7 +269,7 @@
 
 
 @pytest.mark.parametrize("gives_up", [True, False])
-def test_a_job_whose_caller_has_closed_is_given_up_and_a_node_that_goes_on_is_caught(
+def test_a_request_whose_client_has_closed_is_cancelled_and_a_node_that_goes_on_is_caught(
     gives_up: bool, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     if not gives_up:
@@ -294,7 +295,9 @@
     asyncio.run(story())
 
 
-def test_a_caller_whose_time_is_over_has_left_and_is_owed_an_answer_all_the_same(tmp_path: Path) -> None:
+def test_a_client_whose_deadline_has_passed_has_left_and_is_owed_a_response_all_the_same(
+    tmp_path: Path,
+) -> None:
     async def story() -> None:
         stage = Stage(replace(SMALL, nodes=0), tmp_path)
         heard = asyncio.Event()
@@ -307,10 +310,12 @@
         listening = await asyncio.start_server(never, HOST, 0)
         place = listening.sockets[0].getsockname()
         stage._placed_nodes[0] = SimpleNamespace(process=SimpleNamespace(listen=place))  # type: ignore[assignment]
-        assert await stage._send_request(0, 0, 0.1, 0.01, 1, False) is Final.WRITTEN_OFF
+        assert await stage._send_request(ClientRequest(0, 0, 0.1, 0.01, 1)) is Final.WRITTEN_OFF
         await heard.wait()
         assert [type(row) for row in stage.rows] == [Taken, Left]
-        assert await stage._send_request(0, 0, 9.0, 0.01, 1, False, stays=0.1) is Final.WITHDRAWN
+        assert (
+            await stage._send_request(ClientRequest(0, 0, 9.0, 0.01, 1, cancel_after=0.1)) is Final.WITHDRAWN
+        )
         assert stage.rows[-1] == Answered(stage.rows[-1].at, 0, 2, Final.WITHDRAWN)
         listening.close()
 
