--- a/notchjunction/soak/__main__.py
+++ b/notchjunction/soak/__main__.py
@@ -13,11 +13,11 @@
 from notchjunction.soak.plan import draw
 from notchjunction.soak.run import Result, SoakRun
 
-SHOWN_MOST = 12  # violations of a seed that are printed
+MAX_SHOWN = 12  # violations of a seed that are printed
 
 
 def seeds_in(text: str) -> list[int]:
-    """`3`, `1-50` or `1,4,9`."""
+    """The seeds of a text such as `3`, `1-50` or `1,4,9`."""
     found: list[int] = []
     for part in text.split(","):
         first, dash, last = part.partition("-")
@@ -26,7 +26,7 @@
 
 
 def play(seed: int, folder: Path, nodes: int | None, seconds: float, backends: int | None) -> Result:
-    """One seed; its nodes' logs stay in the folder."""
+    """Plays one seed; its plan and its nodes' logs stay in the folder."""
     folder.mkdir(parents=True, exist_ok=True)
     plan = draw(seed, nodes=nodes, seconds=seconds, backends=backends)
     (folder / "plan.json").write_text(json.dumps(asdict(plan), default=lambda kind: kind.name, indent=1))
@@ -34,6 +34,7 @@
 
 
 def line_of(result: Result) -> str:
+    """A result in one line."""
     plan = result.plan
     verdict = f"{len(result.violations)} violations" if result.violations else "sound"
     broken = sum(figure for name, figure in result.counters.items() if name.startswith("invariant_"))
@@ -46,19 +47,20 @@
 
 
 def main() -> int:
+    """Plays the seeds of the command line; the exit code, 1 where any broke an invariant."""
     parser = argparse.ArgumentParser(prog="notchjunction.soak", description=__doc__)
     parser.add_argument("--seeds", default="1-5", help="as 3, 1-50 or 1,4,9 (default: 1-5)")
     parser.add_argument("--nodes", type=int, help="processes (default: drawn from the seed)")
     parser.add_argument("--backends", type=int, help="servers in the list (default: drawn from the seed)")
     parser.add_argument("--seconds", type=float, default=10.0, help="of traffic and faults (default: 10)")
     parser.add_argument("--folder", type=Path, help="where logs and plans go (default: a temporary folder)")
-    asked = parser.parse_args()
-    folder = asked.folder or Path(tempfile.mkdtemp(prefix="soak-"))
+    arguments = parser.parse_args()
+    folder = arguments.folder or Path(tempfile.mkdtemp(prefix="soak-"))
     broken = 0
-    for seed in seeds_in(asked.seeds):
-        result = play(seed, folder / str(seed), asked.nodes, asked.seconds, asked.backends)
+    for seed in seeds_in(arguments.seeds):
+        result = play(seed, folder / str(seed), arguments.nodes, arguments.seconds, arguments.backends)
         print(line_of(result), flush=True)
-        for violation in result.violations[:SHOWN_MOST]:
+        for violation in result.violations[:MAX_SHOWN]:
             print(f"  {violation}", flush=True)
         broken += bool(result.violations)
     print(f"{broken} seeds with violations; logs in {folder}")
--- a/notchjunction/soak/backend.py
+++ b/notchjunction/soak/backend.py
@@ -1,4 +1,4 @@
-"""Backends on loopback that serve, and fail, as the run's faults tell them."""
+"""Backends on loopback that serve, and fail, as the run's faults set them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 import socket
 import struct
 from collections import deque
-from collections.abc import Callable
+from collections.abc import Callable, Mapping
 from contextlib import suppress
 from dataclasses import dataclass
 from enum import Enum, auto
@@ -20,44 +20,49 @@
 from notchjunction.soak.events import Attempt, ColdStart, Disposition, Journal
 
 HOST = "127.0.0.1"
-ABORT = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
-CAPACITY_SPAN = 1.0  # s
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
+CAPACITY_SPAN_S = 1.0  # in which a backend serves its capacity
 BACKLOG = 256
-STRAY_AFTER = 0.004  # s until a second answer follows the first; the protocol's spoilt answers
-IDLE_MOMENTS = (0.0, 0.01, 0.03, 0.05)  # s after an answer at which a connection is closed without a word
-SLOW_RESET_AFTER = 0.8  # s
-DRIP_PIECES = 5  # of an answer that comes slowly
-DRIP_PAUSE = 0.02  # s between them
-LARGE_BODY = 200 * 1024  # bytes of a large answer, which a node passes on in pieces
+STRAY_DELAY_S = 0.004  # until a second response follows the first, or a reset the part that was written
+IDLE_CLOSE_DELAYS_S = (
+    0.0,
+    0.01,
+    0.03,
+    0.05,
+)  # after a response; an idle connection is closed then
+SLOW_RESET_DELAY_S = 0.8  # after the backend's service time
+DRIP_CHUNKS = 5  # of a slow response
+DRIP_PAUSE_S = 0.02  # between them
+LARGE_BODY_SIZE = 200 * 1024  # bytes of a large response, which a node forwards in chunks
 
 
 class Trouble(Enum):
-    """What may go wrong with an answer."""
+    """What may go wrong with a response."""
 
     NONE = auto()
     ERROR = auto()  # 500
-    DECLINED = auto()  # turned away before any work
+    DECLINED = auto()  # rejected before any work
     RESET_READ = auto()  # reset once the request was read: it ran
-    RESET_MIDWAY = auto()  # reset within the answer
-    HANG = auto()  # reads it and never answers
-    GARBAGE = auto()  # bytes that are no answer
-    TRUNCATED = auto()  # ended in the middle of an answer with a length
-    UNTIL_CLOSE = auto()  # an answer with no length, whole
-    UNTIL_RESET = auto()  # the same, reset on the way: a reset is no end
-    STRAY = auto()  # a second answer follows
-    DRIP = auto()  # comes in pieces with pauses
+    RESET_MIDWAY = auto()  # reset within the response
+    HANG = auto()  # reads it and never responds
+    GARBAGE = auto()  # bytes that are no response
+    TRUNCATED = auto()  # ended in the middle of a response with a length
+    UNTIL_CLOSE = auto()  # a response with no length, whole
+    UNTIL_RESET = auto()  # the same, reset midway: a reset is no end
+    STRAY = auto()  # a second response follows
+    DRIP = auto()  # comes in chunks with pauses
     LARGE = auto()
     CHUNKED = auto()
-    CLOSING = auto()  # says Connection: close, and closes
-    CLOSES_IDLE = auto()  # closes without a word a moment after its answer, as it is used again
-    HALF_LINE = auto()  # the beginning of a further answer follows, and never goes on
-    INTERIM = auto()  # interim answers come ahead
-    LONG_RESET = auto()  # a large answer with no length, in pieces, reset on the way
+    CLOSING = auto()  # sends Connection: close, and closes
+    CLOSES_IDLE = auto()  # closes an idle connection as it is about to be reused
+    HALF_LINE = auto()  # the beginning of a further response follows, and no more
+    INTERIM = auto()  # interim responses come first
+    LONG_RESET = auto()  # a large response with no length, in chunks, reset midway
     SLOW_RESET = auto()  # reset long after the request was read
 
 
-# After which the client can't have a whole answer.
-NOT_WHOLE = (
+# After which the client can't have a whole response.
+INCOMPLETE = (
     Trouble.RESET_MIDWAY,
     Trouble.GARBAGE,
     Trouble.TRUNCATED,
@@ -69,12 +74,12 @@
 
 @dataclass(slots=True)
 class Behaviour:
-    """How backends behave at the moment; shares from 0 to 1."""
+    """How backends behave now; shares from 0 to 1."""
 
-    service_seconds: float = 0.03  # mean time of an answer
-    trouble_share: float = 0.0  # of answers that have one of `troubles`
+    service_seconds: float = 0.03  # mean time of a response
+    trouble_share: float = 0.0  # of responses that have one of `troubles`
     troubles: tuple[Trouble, ...] = (Trouble.ERROR,)
-    hangs: bool = False  # reads all and answers nothing
+    hangs: bool = False  # reads all and responds to nothing
     idle_seconds: float = 30.0  # after which an idle connection is closed
 
 
@@ -92,19 +97,20 @@
         self.name = name
         self.zone = zone
         self.behaviour = Behaviour()
-        self.started_at_ms = 0.0  # Unix time, as the list tells it
+        self.started_at_ms = 0.0  # Unix time, as in the list
         self.active = True
         self.listed = True
         self.address: Address = (HOST, 0)
         self.journal = journal
         self.random = random
-        self.request_of = request_of
-        self.capacity = inf  # requests that it serves in CAPACITY_SPAN; it declines what comes past them
+        self.request_name_of = request_of
+        self.capacity = inf  # requests served in CAPACITY_SPAN_S; the rest are rejected
         self._served_at: deque[float] = deque()
         self._listener: asyncio.Server | None = None
         self.connections: set[BackendConnection] = set()
 
     async def open(self) -> None:
+        """Listens, at the same address as before."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: BackendConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
@@ -126,9 +132,9 @@
         if self._listener is None:
             await self.open()
 
-    def serves_one_more(self, now: float) -> bool:
-        """Whether it has room for a request that comes now (s), which is counted then."""
-        while self._served_at and self._served_at[0] <= now - CAPACITY_SPAN:
+    def admit(self, now: float) -> bool:
+        """Whether there is capacity for a request at `now` (s), which is counted then."""
+        while self._served_at and self._served_at[0] <= now - CAPACITY_SPAN_S:
             self._served_at.popleft()
         if len(self._served_at) >= self.capacity:
             return False
@@ -137,14 +143,16 @@
 
     @property
     def is_up(self) -> bool:
+        """Whether the backend listens."""
         return self._listener is not None
 
     def reset_connections(self, share: float) -> None:
+        """Resets a random share of the connections."""
         for connection in list(self.connections):
             if self.random.random() < share:
                 connection.abort()
 
-    def row(self, status: str) -> dict[str, object]:
+    def list_entry(self, status: str) -> dict[str, object]:
         """Its entry in discovery's list."""
         return {
             "name": self.name,
@@ -167,20 +175,23 @@
         self._first_byte_at: float | None = None
         self._transport: asyncio.Transport | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._open_request: str | None = None  # read and not yet answered whole
+        self._open_request: str | None = None  # read, without a whole response yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Counts the connection, which is idle at first."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._backend.connections.add(self)
-        self._rest()
+        self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
+        """Forgets the connection."""
         self._backend.connections.discard(self)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
+        """Parses requests and serves them; aborts on malformed ones."""
         now = asyncio.get_running_loop().time()
         if self._first_byte_at is None:
             self._first_byte_at = now
@@ -190,7 +201,7 @@
         self._requests.feed(data)
         try:
             while (request := self._requests.next()) is not None:
-                self._came(request, now)
+                self._on_request(request, now)
         except Malformed:
             self.abort()
 
@@ -202,30 +213,23 @@
             self._backend.journal.cut_by_backend.add(self._open_request)
         with suppress(OSError):
             opened = self._transport.get_extra_info("socket")
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, ABORT)
+            opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self._transport.abort()
 
-    def _came(self, request: Request, now: float) -> None:
+    def _on_request(self, request: Request, now: float) -> None:
         first_byte_at, self._first_byte_at = self._first_byte_at or now, None
         backend = self._backend
         if not request.path.startswith(protocol.REQUEST_PATH):
             if not backend.behaviour.hangs:
                 self._write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}")
-                self._rest()
+                self._restart_idle_timer()
             return
-        behaviour = backend.behaviour
-        trouble = Trouble.NONE
-        if behaviour.hangs:
-            trouble = Trouble.HANG
-        elif backend.random.random() < behaviour.trouble_share:
-            trouble = backend.random.choice(behaviour.troubles)
-        if trouble is not Trouble.DECLINED and not backend.serves_one_more(now):
-            trouble = Trouble.DECLINED
-        name = backend.request_of(request)
-        told_seconds = int(request.headers.get(protocol.DEADLINE_MS, "0")) / 1000
+        trouble = self._draw_trouble(now)
+        name = backend.request_name_of(request)
+        time_left = int(request.headers.get(protocol.DEADLINE_MS, "0")) / 1000
         disposition = Disposition.DECLINED if trouble is Trouble.DECLINED else Disposition.EXECUTED
         backend.journal.attempts.append(
-            Attempt(first_byte_at, now, backend.name, backend.zone, name, told_seconds, disposition)
+            Attempt(first_byte_at, now, backend.name, backend.zone, name, time_left, disposition)
         )
         self._open_request = name
         if trouble is Trouble.HANG:
@@ -233,80 +237,109 @@
         if trouble is Trouble.RESET_READ:
             self.abort()
             return
-        delay = min(backend.random.expovariate(1 / behaviour.service_seconds), 20 * behaviour.service_seconds)
+        mean = backend.behaviour.service_seconds
+        delay = min(backend.random.expovariate(1 / mean), 20 * mean)
         delay = 0.0 if trouble is Trouble.DECLINED else delay
-        asyncio.get_running_loop().call_later(delay, self._answer, name, trouble)
+        asyncio.get_running_loop().call_later(delay, self._respond, name, trouble)
 
-    def _answer(self, name: str, trouble: Trouble) -> None:
+    def _draw_trouble(self, now: float) -> Trouble:
+        backend, behaviour = self._backend, self._backend.behaviour
+        trouble = Trouble.NONE
+        if behaviour.hangs:
+            trouble = Trouble.HANG
+        elif backend.random.random() < behaviour.trouble_share:
+            trouble = backend.random.choice(behaviour.troubles)
+        if trouble is not Trouble.DECLINED and not backend.admit(now):
+            trouble = Trouble.DECLINED
+        return trouble
+
+    def _respond(self, name: str, trouble: Trouble) -> None:
         if self._transport is None or self._transport.is_closing():
             return
         body = f"{name}@{self._backend.name}#{self._backend.random.randrange(1 << 30)}".encode()
         if trouble is Trouble.LARGE:
-            body += b"." * LARGE_BODY
+            body += b"." * LARGE_BODY_SIZE
         wire = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        whole = trouble not in NOT_WHOLE
+        whole = trouble not in INCOMPLETE
         if whole:
             self._backend.journal.answers_made.setdefault(name, set()).add(body)
         if whole and trouble is not Trouble.DRIP:
             self._open_request = None
         else:
             self._backend.journal.cut_by_backend.add(name)
-        match trouble:
-            case Trouble.ERROR:
-                self._write(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
-            case Trouble.DECLINED:
-                self._write(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
-            case Trouble.RESET_MIDWAY:
-                self._write(wire[: len(wire) - 5])
-                asyncio.get_running_loop().call_later(STRAY_AFTER, self.abort)
-            case Trouble.GARBAGE:
-                self._write(b"\x00\x01 what is this?\r\n\r\n")
-            case Trouble.TRUNCATED:
-                self._write(wire[: len(wire) - 5])
-                self._close()
-            case Trouble.UNTIL_CLOSE:
-                self._write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
-                self._close()
-            case Trouble.UNTIL_RESET:
-                self._write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) // 2])
-                asyncio.get_running_loop().call_later(STRAY_AFTER, self.abort)
-            case Trouble.STRAY:
-                self._write(wire)
-                stray = b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray"
-                asyncio.get_running_loop().call_later(STRAY_AFTER, self._write, stray)
-            case Trouble.DRIP:
-                self._drip(wire)
-            case Trouble.CHUNKED:
-                head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                self._write(head + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
-            case Trouble.CLOSES_IDLE:
-                self._write(wire)
-                moment = self._backend.random.choice(IDLE_MOMENTS)
-                asyncio.get_running_loop().call_later(moment, self._close)
-            case Trouble.HALF_LINE:
-                self._write(wire)
-                asyncio.get_running_loop().call_later(STRAY_AFTER, self._write, b"HTTP/1.1 2")
-            case Trouble.INTERIM:
-                self._write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + wire)
-            case Trouble.LONG_RESET:
-                self._drip(b"HTTP/1.1 200 OK\r\n\r\n" + body + b"." * LARGE_BODY)
-                asyncio.get_running_loop().call_later(DRIP_PAUSE * DRIP_PIECES, self.abort)
-            case Trouble.SLOW_RESET:
-                asyncio.get_running_loop().call_later(SLOW_RESET_AFTER, self.abort)
-            case Trouble.CLOSING:
-                self._write(wire.replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
-                self._close()
-            case _:
-                self._write(wire)
-        self._rest()
+        RESPONDERS.get(trouble, BackendConnection._send_whole)(self, wire, body)
+        self._restart_idle_timer()
+
+    def _send_whole(self, wire: bytes, _: bytes) -> None:
+        self._write(wire)
+
+    def _send_error(self, _: bytes, __: bytes) -> None:
+        self._write(b"HTTP/1.1 500 Error\r\nContent-Length: 0\r\n\r\n")
+
+    def _decline(self, _: bytes, __: bytes) -> None:
+        self._write(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+
+    def _reset_midway(self, wire: bytes, _: bytes) -> None:
+        self._write(wire[: len(wire) - 5])
+        self._later(STRAY_DELAY_S, self.abort)
+
+    def _send_garbage(self, _: bytes, __: bytes) -> None:
+        self._write(b"\x00\x01 what is this?\r\n\r\n")
+
+    def _truncate(self, wire: bytes, _: bytes) -> None:
+        self._write(wire[: len(wire) - 5])
+        self._close()
+
+    def _send_until_close(self, _: bytes, body: bytes) -> None:
+        self._write(b"HTTP/1.1 200 OK\r\n\r\n" + body)
+        self._close()
+
+    def _send_until_reset(self, _: bytes, body: bytes) -> None:
+        self._write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) // 2])
+        self._later(STRAY_DELAY_S, self.abort)
+
+    def _send_stray(self, wire: bytes, _: bytes) -> None:
+        self._write(wire)
+        self._later(STRAY_DELAY_S, self._write, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+
+    def _send_slowly(self, wire: bytes, _: bytes) -> None:
+        self._drip(wire)
+
+    def _send_chunked(self, _: bytes, body: bytes) -> None:
+        head = b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+        self._write(head + b"%x\r\n%b\r\n0\r\n\r\n" % (len(body), body))
+
+    def _close_idle(self, wire: bytes, _: bytes) -> None:
+        self._write(wire)
+        self._later(self._backend.random.choice(IDLE_CLOSE_DELAYS_S), self._close)
+
+    def _send_half_line(self, wire: bytes, _: bytes) -> None:
+        self._write(wire)
+        self._later(STRAY_DELAY_S, self._write, b"HTTP/1.1 2")
+
+    def _send_interim(self, wire: bytes, _: bytes) -> None:
+        self._write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + wire)
+
+    def _reset_long(self, _: bytes, body: bytes) -> None:
+        self._drip(b"HTTP/1.1 200 OK\r\n\r\n" + body + b"." * LARGE_BODY_SIZE)
+        self._later(DRIP_PAUSE_S * DRIP_CHUNKS, self.abort)
+
+    def _reset_slowly(self, _: bytes, __: bytes) -> None:
+        self._later(SLOW_RESET_DELAY_S, self.abort)
+
+    def _send_closing(self, wire: bytes, _: bytes) -> None:
+        self._write(wire.replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
+        self._close()
+
+    def _later(self, delay: float, call: Callable[..., None], *arguments: bytes) -> None:
+        asyncio.get_running_loop().call_later(delay, call, *arguments)
 
     def _drip(self, wire: bytes) -> None:
-        step = len(wire) // DRIP_PIECES + 1
-        for index in range(DRIP_PIECES):
-            piece = wire[index * step : (index + 1) * step]
-            asyncio.get_running_loop().call_later(DRIP_PAUSE * index, self._write, piece)
+        step = len(wire) // DRIP_CHUNKS + 1
+        for index in range(DRIP_CHUNKS):
+            self._later(DRIP_PAUSE_S * index, self._write, wire[index * step : (index + 1) * step])
 
-    def _rest(self) -> None:
+    def _restart_idle_timer(self) -> None:
         if self._idle_timer is not None:
             self._idle_timer.cancel()
         loop = asyncio.get_running_loop()
@@ -319,3 +352,24 @@
     def _close(self) -> None:
         if self._transport is not None:
             self._transport.close()
+
+
+# What a connection sends for a trouble, of the whole response and its body; others send the whole response.
+RESPONDERS: Mapping[Trouble, Callable[[BackendConnection, bytes, bytes], None]] = {
+    Trouble.ERROR: BackendConnection._send_error,
+    Trouble.DECLINED: BackendConnection._decline,
+    Trouble.RESET_MIDWAY: BackendConnection._reset_midway,
+    Trouble.GARBAGE: BackendConnection._send_garbage,
+    Trouble.TRUNCATED: BackendConnection._truncate,
+    Trouble.UNTIL_CLOSE: BackendConnection._send_until_close,
+    Trouble.UNTIL_RESET: BackendConnection._send_until_reset,
+    Trouble.STRAY: BackendConnection._send_stray,
+    Trouble.DRIP: BackendConnection._send_slowly,
+    Trouble.CHUNKED: BackendConnection._send_chunked,
+    Trouble.CLOSES_IDLE: BackendConnection._close_idle,
+    Trouble.HALF_LINE: BackendConnection._send_half_line,
+    Trouble.INTERIM: BackendConnection._send_interim,
+    Trouble.LONG_RESET: BackendConnection._reset_long,
+    Trouble.SLOW_RESET: BackendConnection._reset_slowly,
+    Trouble.CLOSING: BackendConnection._send_closing,
+}
--- a/notchjunction/soak/discovery.py
+++ b/notchjunction/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery on loopback: one queue of calls that cost by their lines, watches, and ways to fail."""
+"""Discovery on loopback: one queue of calls that cost by their lines, watches, and faults."""
 
 from __future__ import annotations
 
@@ -16,39 +16,39 @@
 from notchjunction.soak.events import Journal, Notified, Published, Reachable
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
-DRIP_PIECES = 4  # of an answer that comes slowly
-DRIP_PAUSE = 0.05  # s between them
-WATCH_GOES_ON = 0.2  # s after an answer within which the next call is no new one; the protocol's
+DRIP_CHUNKS = 4  # of a slow response
+DRIP_PAUSE_S = 0.05  # between them
+WATCH_CONTINUES_S = 0.2  # after a response; a poll within it is no new call (the protocol's figure)
 
 
 @dataclass(slots=True)
-class Manner:
-    """How discovery answers at the moment."""
+class DiscoveryBehaviour:
+    """How discovery responds now; shares from 0 to 1."""
 
-    call_lines: float = 40.0  # lines that a call costs besides those of its answer
+    call_lines: float = 40.0  # lines that a call costs besides those of its response
     lines_per_second: float = 20000.0
-    queue_seconds: float = 1.0  # that a call may wait; then it is refused, and has cost as much as any
-    whole_share: float = 0.0  # of answers that are the whole list, whatever was asked
+    queue_seconds: float = 1.0  # that a call may wait; one beyond is rejected, at the full cost
+    snapshot_share: float = 0.0  # of responses that are a snapshot, whatever the poll
     indented: bool = False
-    drip_share: float = 0.0  # of answers that come in slow pieces
-    reset_share: float = 0.0  # of answers that end with a reset instead
+    drip_share: float = 0.0  # of responses that come in slow chunks
+    reset_share: float = 0.0  # of responses that end with a reset instead
 
 
 @dataclass(slots=True, eq=False)
-class Watch:
-    """A call that waits for something newer."""
+class PendingPoll:
+    """A poll that waits for a newer version."""
 
-    door: Door
+    port: DiscoveryPort
     version: int
-    answer: Callable[[bool], None]
+    respond: Callable[[bool], None]
     timer: asyncio.TimerHandle | None = None
 
 
-class DiscoveryService:
+class FakeDiscovery:
     """The list of backends, its versions, and the one queue of calls."""
 
     def __init__(self, journal: Journal, random: Random) -> None:
-        self.manner = Manner()
+        self.behaviour = DiscoveryBehaviour()
         self.up = True
         self._journal = journal
         self._random = random
@@ -57,39 +57,40 @@
         self._changed_at: dict[str, int] = {}  # by backend, the version of its last change
         self._version = 0
         self._free_at = 0.0
-        self.doors: dict[str, Door] = {}
+        self.ports: dict[str, DiscoveryPort] = {}
         self.calls = 0
-        self.refused = 0
+        self.rejected = 0
 
     @property
     def version(self) -> int:
+        """The version of the last change."""
         return self._version
 
     def list_backends(self, backends: Iterable[Backend]) -> None:
-        """The list at the beginning, which nobody needs to be told of."""
+        """Sets the list at the beginning, without a notification."""
         for backend in backends:
             self._backends[backend.name] = backend
             self._statuses[backend.name] = ACTIVE
             self._changed_at[backend.name] = 0
 
-    async def door(self, node: str) -> Door:
-        """Where one node finds discovery."""
-        door = Door(self, node)
-        await door.open()
-        self.doors[node] = door
+    async def open_port(self, node: str) -> DiscoveryPort:
+        """Opens the port at which one node reaches discovery."""
+        port = DiscoveryPort(self, node)
+        await port.open()
+        self.ports[node] = port
         self._note_reachable(node)
-        return door
+        return port
 
-    async def move_door(self, node: str) -> Door:
-        """From now on this node finds discovery at another place; the old one answers no more."""
-        old = self.doors.get(node)
-        door = await self.door(node)
+    async def move_port(self, node: str) -> DiscoveryPort:
+        """Moves a node's discovery to another port, and closes the old one."""
+        old = self.ports.get(node)
+        port = await self.open_port(node)
         if old is not None:
             old.close()
-        return door
+        return port
 
     def change(self, changes: Iterable[tuple[Backend, str]]) -> None:
-        """Changes to the list, in one version; watches hear of them."""
+        """Changes the list in one version, and notifies the watches."""
         self._version += 1
         now = asyncio.get_running_loop().time()
         for backend, status in changes:
@@ -97,54 +98,57 @@
             self._statuses[backend.name] = status
             self._changed_at[backend.name] = self._version
             self._journal.published.append(Published(now, backend.name, status == ACTIVE))
-        for door in self.doors.values():
-            door.news()
+        for port in self.ports.values():
+            port.notify_watches()
 
     def go_down(self) -> None:
+        """Resets all connections and rejects all until `come_back`."""
         self.up = False
-        for door in self.doors.values():
-            door.reset()
-            self._note_reachable(door.node)
+        for port in self.ports.values():
+            port.reset()
+            self._note_reachable(port.node)
 
     def come_back(self) -> None:
+        """Serves again."""
         self.up = True
-        for door in self.doors.values():
-            self._note_reachable(door.node)
+        for port in self.ports.values():
+            self._note_reachable(port.node)
 
-    def fall_silent(self) -> None:
-        """All watches that are open are never answered."""
-        for door in self.doors.values():
-            door.silence()
+    def abandon_watches(self) -> None:
+        """Leaves all open watches without a response for good."""
+        for port in self.ports.values():
+            port.abandon_watches()
 
     def reset_watches(self) -> None:
-        for door in self.doors.values():
-            door.reset()
+        """Resets all connections."""
+        for port in self.ports.values():
+            port.reset()
 
-    def listing(self, after: int | None) -> dict[str, object]:
-        """What a call is answered with: the changes after a version, or the whole list."""
-        whole = after is None or self._random.random() < self.manner.whole_share
+    def list_response(self, after: int | None) -> dict[str, object]:
+        """The response to a poll: the changes after a version, or a snapshot."""
+        is_snapshot = after is None or self._random.random() < self.behaviour.snapshot_share
         rows = []
         for name, backend in self._backends.items():
             status = self._statuses[name]
-            if (whole and status != LEFT) or (
-                not whole and after is not None and self._changed_at[name] > after
+            if (is_snapshot and status != LEFT) or (
+                not is_snapshot and after is not None and self._changed_at[name] > after
             ):
-                rows.append(backend.row(status))
-        return {"index": self._version, "snapshot": whole, "endpoints": rows}
+                rows.append(backend.list_entry(status))
+        return {"index": self._version, "snapshot": is_snapshot, "endpoints": rows}
 
-    def work(self, lines: int) -> float | None:
-        """s until a new call with so many lines has been worked through; None where it is refused then."""
+    def queue_call(self, lines: int) -> float | None:
+        """Queues a call of so many lines; the seconds until it is served, None where it is rejected."""
         now = asyncio.get_running_loop().time()
         begins = max(now, self._free_at)
         self.calls += 1
-        self._free_at = begins + (self.manner.call_lines + lines) / self.manner.lines_per_second
-        if begins - now > self.manner.queue_seconds:
-            self.refused += 1
+        self._free_at = begins + (self.behaviour.call_lines + lines) / self.behaviour.lines_per_second
+        if begins - now > self.behaviour.queue_seconds:
+            self.rejected += 1
             return None
         return self._free_at - now
 
-    def written(self, node: str, listing: dict[str, object]) -> None:
-        """An answer has been written to a node: it has been told of all in it."""
+    def record_notified(self, node: str, listing: dict[str, object]) -> None:
+        """Records that a response was written to a node, which is notified of all in it."""
         now = asyncio.get_running_loop().time()
         rows = listing["endpoints"]
         assert isinstance(rows, list)
@@ -156,174 +160,186 @@
             for name in self._backends.keys() - named:
                 self._journal.notified.append(Notified(now, node, name, False))
 
-    def spoilt(self) -> tuple[bool, bool]:
-        """Whether an answer drips, and whether it ends with a reset."""
+    def draw_response_faults(self) -> tuple[bool, bool]:
+        """Draws whether a response comes slowly, and whether it ends with a reset."""
         draw = self._random.random
-        return draw() < self.manner.drip_share, draw() < self.manner.reset_share
+        return draw() < self.behaviour.drip_share, draw() < self.behaviour.reset_share
 
     def _note_reachable(self, node: str) -> None:
         now = asyncio.get_running_loop().time()
         self._journal.reachable.append(Reachable(now, node, self.up))
 
     def close(self) -> None:
-        for door in self.doors.values():
-            door.close()
+        """Closes all ports."""
+        for port in self.ports.values():
+            port.close()
 
 
-class Door:
-    """One node's way to discovery."""
+class DiscoveryPort:
+    """The address at which one node reaches discovery."""
 
-    def __init__(self, service: DiscoveryService, node: str) -> None:
+    def __init__(self, service: FakeDiscovery, node: str) -> None:
         self.node = node
         self._service = service
         self.address: Address = (HOST, 0)
         self._listener: asyncio.Server | None = None
-        self._connections: set[DoorConnection] = set()
-        self._watches: set[Watch] = set()
-        self.answered_at = float("-inf")
+        self._connections: set[DiscoveryConnection] = set()
+        self._watches: set[PendingPoll] = set()
+        self.responded_at = float("-inf")
 
     async def open(self) -> None:
+        """Listens on a free port."""
         loop = asyncio.get_running_loop()
-        self._listener = await loop.create_server(lambda: DoorConnection(self), HOST, 0)
+        self._listener = await loop.create_server(lambda: DiscoveryConnection(self), HOST, 0)
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def close(self) -> None:
+        """Stops listening and resets all connections."""
         if self._listener is not None:
             self._listener.close()
         self.reset()
 
     def reset(self) -> None:
+        """Resets all connections."""
         self._watches.clear()
         for connection in list(self._connections):
             connection.abort()
 
-    def silence(self) -> None:
+    def abandon_watches(self) -> None:
+        """Leaves open watches without a response for good."""
         for watch in self._watches:
             if watch.timer is not None:
                 watch.timer.cancel()
         self._watches.clear()
 
-    def news(self) -> None:
+    def notify_watches(self) -> None:
+        """Responds to all open watches."""
         for watch in list(self._watches):
-            self._end(watch)
+            self._end_watch(watch)
 
-    def _end(self, watch: Watch) -> None:
+    def _end_watch(self, watch: PendingPoll) -> None:
         if watch in self._watches:
             self._watches.discard(watch)
             if watch.timer is not None:
                 watch.timer.cancel()
-            watch.answer(True)
+            watch.respond(True)
 
-    def call(self, after: int | None, wait: float, answer: Callable[[bool], None]) -> None:
-        """Answers a call through `answer`: true, with the list as it is then; false where it is refused."""
+    def poll(self, after: int | None, wait: float, respond: Callable[[bool], None]) -> None:
+        """Serves a poll; calls `respond` with True to send the list as it is then, False to reject it."""
         service = self._service
         loop = asyncio.get_running_loop()
         if not service.up:
-            answer(False)
+            respond(False)
             return
-        goes_on = after is not None and loop.time() - self.answered_at <= WATCH_GOES_ON
-        if goes_on:
-            self._hold(after or 0, wait, answer)
+        continues = after is not None and loop.time() - self.responded_at <= WATCH_CONTINUES_S
+        if continues:
+            self._watch(after or 0, wait, respond)
             return
-        lines = len(service.listing(after)["endpoints"])  # type: ignore[arg-type]
-        seconds = service.work(lines)
+        lines = len(service.list_response(after)["endpoints"])  # type: ignore[arg-type]
+        seconds = service.queue_call(lines)
         if seconds is None:
-            loop.call_later(service.manner.queue_seconds, answer, False)
+            loop.call_later(service.behaviour.queue_seconds, respond, False)
         elif after is None:
-            loop.call_later(seconds, answer, True)
+            loop.call_later(seconds, respond, True)
         else:
-            loop.call_later(seconds, self._hold, after, max(0.0, wait - seconds), answer)
+            loop.call_later(seconds, self._watch, after, max(0.0, wait - seconds), respond)
 
-    def _hold(self, after: int, wait: float, answer: Callable[[bool], None]) -> None:
+    def _watch(self, after: int, wait: float, respond: Callable[[bool], None]) -> None:
         if not self._service.up:
-            answer(False)
+            respond(False)
         elif self._service.version > after or wait <= 0:
-            answer(True)
+            respond(True)
         else:
-            watch = Watch(self, after, answer)
-            watch.timer = asyncio.get_running_loop().call_later(wait, self._end, watch)
+            watch = PendingPoll(self, after, respond)
+            watch.timer = asyncio.get_running_loop().call_later(wait, self._end_watch, watch)
             self._watches.add(watch)
 
     @property
-    def service(self) -> DiscoveryService:
+    def service(self) -> FakeDiscovery:
+        """The discovery behind this port."""
         return self._service
 
     @property
-    def connections(self) -> set[DoorConnection]:
+    def connections(self) -> set[DiscoveryConnection]:
+        """The open connections."""
         return self._connections
 
 
-class DoorConnection(asyncio.Protocol):
+class DiscoveryConnection(asyncio.Protocol):
     """One connection of a node to discovery."""
 
-    def __init__(self, door: Door) -> None:
-        self._door = door
+    def __init__(self, port: DiscoveryPort) -> None:
+        self._port = port
         self._requests = RequestReader()
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Keeps the transport; resets it while discovery is down."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
-        self._door.connections.add(self)
-        if not self._door.service.up:
+        self._port.connections.add(self)
+        if not self._port.service.up:
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        self._door.connections.discard(self)
+        """Drops the transport."""
+        self._port.connections.discard(self)
         self._transport = None
 
     def abort(self) -> None:
+        """Ends the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
+        """Parses requests; aborts on malformed ones."""
         self._requests.feed(data)
         try:
             while (request := self._requests.next()) is not None:
-                self._ask(request)
+                self._poll(request)
         except Malformed:
             self.abort()
 
-    def _ask(self, request: Request) -> None:
+    def _poll(self, request: Request) -> None:
         query = parse_qs(urlsplit(request.target).query)
         after = int(query["after"][0]) if "after" in query else None
         wait = int(query.get("wait_ms", ["0"])[0]) / 1000
-        self._door.call(after, wait, lambda accepted: self._answer(accepted, after))
+        self._port.poll(after, wait, lambda accepted: self._respond(accepted, after))
 
-    def _answer(self, accepted: bool, after: int | None) -> None:
-        transport, service = self._transport, self._door.service
+    def _respond(self, accepted: bool, after: int | None) -> None:
+        transport, service = self._transport, self._port.service
         if transport is None or transport.is_closing():
             return
-        self._door.answered_at = asyncio.get_running_loop().time()
+        self._port.responded_at = asyncio.get_running_loop().time()
         if not accepted:
             transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             return
-        listing = service.listing(after)
-        body = json.dumps(listing, indent=2 if service.manner.indented else None).encode()
+        listing = service.list_response(after)
+        body = json.dumps(listing, indent=2 if service.behaviour.indented else None).encode()
         wire = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        drips, resets = service.spoilt()
+        drips, resets = service.draw_response_faults()
         loop = asyncio.get_running_loop()
         if resets:
             transport.write(wire[: len(wire) // 2])
             loop.call_later(0.01, self.abort)
         elif drips:
-            step = len(wire) // 4 + 1
-            for index in range(4):
-                last = index == 3
+            step = len(wire) // DRIP_CHUNKS + 1
+            for index in range(DRIP_CHUNKS):
+                last = index == DRIP_CHUNKS - 1
                 loop.call_later(
-                    0.05 * index,
-                    self._piece,
+                    DRIP_PAUSE_S * index,
+                    self._write_chunk,
                     wire[index * step : (index + 1) * step],
                     listing if last else None,
                 )
         else:
-            self._piece(wire, listing)
+            self._write_chunk(wire, listing)
 
-    def _piece(self, piece: bytes, listing: dict[str, object] | None) -> None:
-        """Writes a part of an answer; with the last one comes the list that the node has been told then."""
+    def _write_chunk(self, chunk: bytes, listing: dict[str, object] | None) -> None:
+        """Writes a part of a response; the last comes with the list of which the node is then notified."""
         if self._transport is None or self._transport.is_closing():
             return
-        self._transport.write(piece)
+        self._transport.write(chunk)
         if listing is not None:
-            self._door.service.written(self._door.node, listing)
-            self._door.answered_at = asyncio.get_running_loop().time()
+            self._port.service.record_notified(self._port.node, listing)
+            self._port.responded_at = asyncio.get_running_loop().time()
--- a/notchjunction/soak/run.py
+++ b/notchjunction/soak/run.py
@@ -13,9 +13,9 @@
 from typing import Any
 
 from notchjunction.addresses import text_of
-from notchjunction.soak.backend import CAPACITY_SPAN, Backend, Behaviour, Trouble
+from notchjunction.soak.backend import CAPACITY_SPAN_S, Backend, Behaviour, Trouble
 from notchjunction.soak.client import Clients, Manner
-from notchjunction.soak.discovery import ACTIVE, LEAVING, LEFT, DiscoveryService
+from notchjunction.soak.discovery import ACTIVE, LEAVING, LEFT, FakeDiscovery
 from notchjunction.soak.events import Effect, Journal
 from notchjunction.soak.node import SoakNode
 from notchjunction.soak.oracle import Limits, Violation, violations
@@ -65,7 +65,7 @@
             SoakNode(number, folder, self.journal, plan.shim, plan.upgrades) for number in range(plan.nodes)
         ]
         self.backends: list[Backend] = []
-        self.discovery = DiscoveryService(self.journal, self.random)
+        self.discovery = FakeDiscovery(self.journal, self.random)
         self.second_discovery = False
         self.clients = Clients(self.nodes, self.journal, self.random, f"r{plan.seed}x")
         self._tasks: set[asyncio.Task[None]] = set()
@@ -103,7 +103,7 @@
         for node in self.nodes:
             await self._tell(node)
             node.start()
-        await asyncio.gather(*(node.wait_ready() for node in self.nodes))
+        await asyncio.gather(*(node.wait_until_ready() for node in self.nodes))
 
     async def close(self) -> None:
         """Ends all there is, at once."""
@@ -117,18 +117,18 @@
 
     async def _backend(self, name: str, zone: int) -> Backend:
         backend = Backend(name, f"z{zone}", self.journal, self.random)
-        backend.capacity = self.capacity * CAPACITY_SPAN
+        backend.capacity = self.capacity * CAPACITY_SPAN_S
         backend.behaviour.idle_seconds = self.random.choice((1.0, CONNECTION_IDLE, CONNECTION_IDLE))
         await backend.open()
         return backend
 
     async def _tell(self, node: SoakNode, **settings: Any) -> None:
-        door = self.discovery.doors.get(node.name) or await self.discovery.door(node.name)
-        known = self.discovery.listing(None)
+        port = self.discovery.ports.get(node.name) or await self.discovery.open_port(node.name)
+        known = self.discovery.list_response(None)
         number = self.nodes.index(node)
-        node.tell(
+        node.write_config(
             {
-                "discovery": text_of(door.address),
+                "discovery": text_of(port.address),
                 "seed": f"{self.plan.seed:x}{number:04x}",
                 "known": json.loads(json.dumps(known)),
                 "limits": {"sockets": self.plan.descriptors},
@@ -223,7 +223,7 @@
     async def _restart(self, node: SoakNode) -> None:
         await self._tell(node)
         node.start()
-        await node.wait_ready()
+        await node.wait_until_ready()
         self._busy_nodes.discard(node.name)
 
     async def hang_up(self, node: SoakNode) -> None:
@@ -274,7 +274,7 @@
             await asyncio.sleep(LOOK_EVERY)
             for node in self.nodes:
                 if node.has_crashed and node.name not in self._busy_nodes:
-                    node.note_crash()
+                    node.record_crash()
 
     async def _end(self, node: SoakNode) -> None:
         if node.ready:
@@ -282,7 +282,7 @@
 
     def _read_logs(self) -> None:
         for node in self.nodes:
-            for line in node.lines():
+            for line in node.log_lines():
                 if "level=error" in line or "Traceback" in line:
                     self.journal.node_errors.append(f"{node.name}: {line[:400]}")
 
@@ -350,7 +350,7 @@
 
 async def _move_discovery(run: SoakRun, fault: Fault, _: float) -> None:
     for node in run.nodes:
-        await run.discovery.move_door(node.name)
+        await run.discovery.move_port(node.name)
         if node.ready:
             await run.hang_up(node)
 
@@ -426,7 +426,7 @@
 
 
 async def _discovery_silent(run: SoakRun, fault: Fault, _: float) -> None:
-    run.discovery.fall_silent()
+    run.discovery.abandon_watches()
 
 
 async def _discovery_reset(run: SoakRun, fault: Fault, _: float) -> None:
@@ -434,17 +434,17 @@
 
 
 async def _discovery_slow(run: SoakRun, fault: Fault, seconds: float) -> None:
-    manner = run.discovery.manner
+    manner = run.discovery.behaviour
     manner.lines_per_second /= fault.size
     await asyncio.sleep(seconds)
     manner.lines_per_second *= fault.size
 
 
 async def _discovery_whole(run: SoakRun, fault: Fault, seconds: float) -> None:
-    manner = run.discovery.manner
-    manner.whole_share, manner.indented, manner.drip_share, manner.reset_share = 0.5, True, 0.2, 0.1
+    manner = run.discovery.behaviour
+    manner.snapshot_share, manner.indented, manner.drip_share, manner.reset_share = 0.5, True, 0.2, 0.1
     await asyncio.sleep(seconds)
-    manner.whole_share, manner.indented, manner.drip_share, manner.reset_share = 0.0, False, 0.0, 0.0
+    manner.snapshot_share, manner.indented, manner.drip_share, manner.reset_share = 0.0, False, 0.0, 0.0
 
 
 async def _clients_leave(run: SoakRun, fault: Fault, _: float) -> None:
--- a/notchjunction/soak/shim.py
+++ b/notchjunction/soak/shim.py
@@ -1,8 +1,8 @@
-"""Starts the node's program with system calls, clocks and the loop that misbehave as documented.
+"""Starts the node's program with system calls, clocks and an event loop that fail as documented.
 
-What goes wrong comes as JSON in SOAK_SHIM, with a seed; the program itself is unchanged. The faults are those
+The faults come as JSON in SOAK_SHIM, with a seed; the program itself is unchanged. The faults are those
 that Linux documents for each call: an accept that finds its client gone, no descriptors for a moment, short
-writes, connections that come up late, a wall clock that is stepped, a process that is held up.
+writes, connections that come up late, a wall clock that is stepped, a process that is delayed.
 """
 
 from __future__ import annotations
@@ -24,19 +24,19 @@
 from weakref import WeakSet
 
 VARIABLE = "SOAK_SHIM"
-HOLD_EVERY = 0.3  # s between two moments in which the process may be held up
-STEP_EVERY = 1.0  # s between two steps of the wall clock
-STARTED_WITHIN = 1.5  # s from the program's start in which it opens its listeners
+HOLD_INTERVAL_S = 0.3  # between two moments in which the process may be delayed
+STEP_INTERVAL_S = 1.0  # between two steps of the wall clock
+STARTUP_S = 1.5  # from the program's start in which it opens its listeners
 FILENO_AT = 4  # the place of `fileno` among the arguments of a new socket
 
 
-def install(told: Mapping[str, Any]) -> None:
-    """Takes the faults named in `told`; shares are of calls, from 0 to 1."""
-    random = Random(str(told.get("seed", 0)))
-    if share := float(told.get("late_connects", 0)):
-        _late_connects(random, share, float(told.get("late_seconds", 0.5)))
+def install(faults: Mapping[str, Any]) -> None:
+    """Installs the faults named in `faults`; shares are of calls, from 0 to 1."""
+    random = Random(str(faults.get("seed", 0)))
+    if share := float(faults.get("late_connects", 0)):
+        _late_connects(random, share, float(faults.get("late_seconds", 0.5)))
     for name, fault in FAULTS:
-        if size := float(told.get(name, 0)):
+        if size := float(faults.get(name, 0)):
             fault(random, size)
 
 
@@ -57,7 +57,7 @@
             if random.random() < share:
                 await asyncio.sleep(seconds * random.random())
             if self.closed():
-                raise StreamClosedError  # given up meanwhile
+                raise StreamClosedError  # cancelled meanwhile
             return await connect(self, address, *more, **named)
 
         return asyncio.ensure_future(open_late())
@@ -128,7 +128,7 @@
 
     def failing(self: socket.socket, *arguments: Any, **named: Any) -> None:
         made_anew = named.get("fileno") is None and len(arguments) < FILENO_AT
-        if made_anew and time.monotonic() > began + STARTED_WITHIN and random.random() < share:
+        if made_anew and time.monotonic() > began + STARTUP_S and random.random() < share:
             initialize(self, *arguments, **named)
             self.close()
             raise _error(random, errors)
@@ -169,7 +169,7 @@
         try:
             return receive(self, *arguments)
         except BlockingIOError:
-            # Only then: the operating system gives what has come before it tells of an error.
+            # Only then: the operating system delivers received data before it reports an error.
             if self not in opened or random.random() >= share:
                 raise
         with suppress(OSError):
@@ -186,18 +186,18 @@
     steps: dict[int, float] = {}
 
     def stepped() -> float:
-        step = steps.setdefault(int(time.monotonic() / STEP_EVERY), random.uniform(-seconds, seconds))
+        step = steps.setdefault(int(time.monotonic() / STEP_INTERVAL_S), random.uniform(-seconds, seconds))
         return wall() + step
 
     time.time = stepped
 
 
 def _holds(random: Random, seconds: float) -> None:
-    """The process is held up for up to so many seconds now and then, wherever it is."""
+    """The process is delayed by up to so many seconds now and then, wherever it is."""
 
     def hold(_: int, __: Any) -> None:
         time.sleep(seconds * random.random())
-        signal.setitimer(signal.ITIMER_REAL, HOLD_EVERY * (0.5 + random.random()))
+        signal.setitimer(signal.ITIMER_REAL, HOLD_INTERVAL_S * (0.5 + random.random()))
 
     def close(self: asyncio.BaseEventLoop) -> None:
         signal.setitimer(signal.ITIMER_REAL, 0)  # a loop that closes can't be woken by this signal
@@ -207,10 +207,10 @@
     asyncio.SelectorEventLoop.close = close  # type: ignore[method-assign]
     signal.signal(signal.SIGALRM, hold)
     atexit.register(signal.setitimer, signal.ITIMER_REAL, 0)
-    signal.setitimer(signal.ITIMER_REAL, HOLD_EVERY)
+    signal.setitimer(signal.ITIMER_REAL, HOLD_INTERVAL_S)
 
 
-# By name, what `install` is told besides late connects; a later one wraps an earlier one of the same call.
+# By name, the faults besides late connects; a later one wraps an earlier one of the same call.
 FAULTS = (
     ("failing_connects", _failing_connects),
     ("failing_accepts", _failing_accepts),
@@ -225,6 +225,7 @@
 
 
 def main() -> None:
+    """Installs the faults of the environment and runs the program."""
     install(json.loads(os.environ.get(VARIABLE, "{}")))
     sys.argv = ["notchjunction", *sys.argv[1:]]
     runpy.run_module("notchjunction", run_name="__main__", alter_sys=True)
--- a/tests/test_incident_replay.py
+++ b/tests/test_incident_replay.py
@@ -113,7 +113,7 @@
         try:
             await run.open()
             await asyncio.sleep(3.0)
-            manner = run.discovery.manner
+            manner = run.discovery.behaviour
             manner.lines_per_second = manner.call_lines * NODES / IDEAL
             run.discovery.go_down()
             await asyncio.sleep(OUTAGE)
