--- a/notchjunction/soak/client.py
+++ b/notchjunction/soak/client.py
@@ -1,4 +1,4 @@
-"""Clients that use a node as the protocol allows: kept connections, leaving early, slow and odd writers."""
+"""Clients that use a node as the protocol allows: reused connections, cancellations, slow and odd writers."""
 
 from __future__ import annotations
 
@@ -18,31 +18,31 @@
 from notchjunction.soak.events import Effect, Exchange, Journal
 from notchjunction.soak.node import SoakNode
 
-ANSWER_MOST = 0.8  # s past its deadline that a client waits; past the slack that the oracle allows
-RESEND_MOST = 1  # times that a request which crossed a close is sent again
-NEW_CONNECTIONS_SPAN = 0.3  # s after SIGTERM in which clients still open connections
-HALF_CLOSED_FOR = 0.2  # s for which a client that has ended its sending keeps the connection
-PIPELINED = 3  # requests at once on one connection
-LARGE_REQUEST = 150 * 1024  # bytes of a body that a node passes on in pieces
+RESPONSE_GRACE_S = 0.8  # that a client waits past its deadline; more than the slack that the oracle allows
+MAX_RESENDS = 1  # of a request that crossed the close of its connection
+NEW_CONNECTIONS_SPAN_S = 0.3  # after SIGTERM; clients still open connections in it
+HALF_CLOSED_S = 0.2  # for which a client keeps a connection whose sending side it has closed
+PIPELINE_DEPTH = 3  # requests at once on one connection
+LARGE_BODY_SIZE = 150 * 1024  # bytes of a body that a node forwards in chunks
 
 
-class Manner(Enum):
-    """How a client writes its request, and whether it stays."""
+class WritingStyle(Enum):
+    """How a client writes its request, and whether it waits for the response."""
 
     PLAIN = auto()
-    LEAVES = auto()  # closes before its answer came
+    LEAVES = auto()  # closes before the response
     RESETS = auto()  # the same with a reset
-    HALF_CLOSES = auto()  # ends its sending, which means that it has gone
-    SLOW = auto()  # writes in pieces
-    LARGE = auto()  # a body of many pieces
-    STOPS = auto()  # writes half a request and stays
+    HALF_CLOSES = auto()  # closes its sending side, which means that it has gone
+    SLOW = auto()  # writes in chunks
+    LARGE = auto()  # a body of many chunks
+    STOPS = auto()  # writes half a request and waits
     PIPELINES = auto()  # the next request right behind the first
     CHUNKED = auto()  # a body of unknown length
-    EXPECTS = auto()  # holds its body back until it is told to go on
+    EXPECTS = auto()  # sends Expect: 100-continue, and its body later
     NONSENSE = auto()
 
 
-LEAVING_MANNERS = (Manner.LEAVES, Manner.RESETS, Manner.HALF_CLOSES)
+CANCELLING_STYLES = (WritingStyle.LEAVES, WritingStyle.RESETS, WritingStyle.HALF_CLOSES)
 
 
 @dataclass(slots=True)
@@ -52,12 +52,12 @@
     rate: float = 100.0  # requests a second over all nodes
     deadlines: tuple[float, ...] = (0.02, 0.1, 0.3, 0.8, 1.5, 2.5)  # s
     odd_share: float = 0.15  # of requests that are not PLAIN
-    manners: tuple[Manner, ...] = (Manner.LEAVES, Manner.SLOW)
+    styles: tuple[WritingStyle, ...] = (WritingStyle.LEAVES, WritingStyle.SLOW)
     effects: tuple[Effect, ...] = (Effect.SAFE, Effect.SAFE, Effect.KEYED, Effect.UNSAFE)
 
 
-class Link:
-    """A connection of a client to a node."""
+class ClientConnection:
+    """A client's connection to a node."""
 
     def __init__(self, node: SoakNode, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.node = node
@@ -66,10 +66,11 @@
         self.used = False
 
     def is_open(self) -> bool:
+        """Whether neither side has closed it."""
         return not (self.reader.at_eof() or self.reader.exception() or self.writer.is_closing())
 
     def abort(self) -> None:
-        """Ends it with a reset."""
+        """Ends the connection with a reset."""
         with suppress(OSError, AttributeError):
             opened = self.writer.get_extra_info("socket")
             opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -77,22 +78,22 @@
 
 
 @contextmanager
-def noting_end(each: Exchange) -> Iterator[None]:
-    """Notes how an exchange ended that got no whole answer."""
+def recording_end(exchange: Exchange) -> Iterator[None]:
+    """Records how an exchange ended that got no whole response."""
     loop = asyncio.get_running_loop()
     try:
         yield
     except TimeoutError:
-        each.ended_at = loop.time()
+        exchange.ended_at = loop.time()
     except asyncio.CancelledError:
-        each.client_left_at = loop.time()
+        exchange.client_left_at = loop.time()
         raise
     except (OSError, Malformed):
-        each.closed_at = loop.time()
+        exchange.closed_at = loop.time()
 
 
-class Clients:
-    """All clients of a run; connections are kept to each node and used until they close."""
+class FakeClients:
+    """All clients of a run; idle connections to each node are reused until they close."""
 
     def __init__(self, nodes: list[SoakNode], journal: Journal, random: Random, prefix: str) -> None:
         self.traffic = Traffic()
@@ -101,240 +102,251 @@
         self._random = random
         self._prefix = prefix
         self._count = 0
-        self._kept: dict[str, deque[Link]] = {node.name: deque() for node in nodes}
+        self._idle: dict[str, deque[ClientConnection]] = {node.name: deque() for node in nodes}
         self._tasks: set[asyncio.Task[None]] = set()
-        self._crowd: list[Link] = []
 
-    async def arrive(self, until: float) -> None:
-        """Open loop: requests come whether or not earlier ones were answered."""
+    async def send_until(self, until: float) -> None:
+        """Sends requests in an open loop: none waits for the response to another."""
         loop = asyncio.get_running_loop()
         at = loop.time()
         while at < until:
             await asyncio.sleep(at - loop.time())
-            self._start(self._one())
+            self._spawn(self._send_request())
             at += self._random.expovariate(self.traffic.rate)
 
-    async def press_ending(self, node: SoakNode, until: float) -> None:
-        """Sends on every connection to a node that ends for as long as any stays open."""
+    async def send_to_draining(self, node: SoakNode, until: float) -> None:
+        """Sends requests on all idle connections to a draining node, while any stays open."""
         loop = asyncio.get_running_loop()
         while loop.time() < until:
-            kept = self._kept[node.name]
-            while kept:
-                link = kept.popleft()
-                if link.is_open() and link.generation == node.generation:
-                    self._start(self._one(link))
+            idle = self._idle[node.name]
+            while idle:
+                connection = idle.popleft()
+                if connection.is_open() and connection.generation == node.generation:
+                    self._spawn(self._send_request(connection))
             await asyncio.sleep(0.02)
 
-    async def crowd(self, node: SoakNode, count: int, seconds: float) -> None:
-        """Clients that connect and say nothing."""
-        links = []
+    async def open_idle_connections(self, node: SoakNode, count: int, seconds: float) -> None:
+        """Opens connections on which nothing is sent for so many seconds."""
+        connections = []
         for _ in range(count):
             with suppress(OSError, TimeoutError):
                 async with asyncio.timeout(1.0):
-                    links.append(await self._connect(node))
+                    connections.append(await self._connect(node))
         await asyncio.sleep(seconds)
-        for link in links:
-            link.writer.close()
+        for connection in connections:
+            connection.writer.close()
 
-    def leave_in_a_burst(self, share: float) -> None:
-        """So many of those who wait close at once."""
+    def cancel_share(self, share: float) -> None:
+        """Lets a random share of the waiting clients close at once."""
         for task in list(self._tasks):
             if self._random.random() < share:
                 task.cancel()
 
     async def finish(self, seconds: float) -> None:
-        """Waits until all requests have ended, at most so long."""
+        """Waits until all requests have ended, for at most so many seconds."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=seconds)
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> None:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
 
-    async def _one(self, link: Link | None = None) -> None:
-        """One request with a new id; on this connection, or as a client picks one."""
+    async def _send_request(self, connection: ClientConnection | None = None) -> None:
+        """Sends a request with a new id, on this connection or on one that it acquires."""
         random = self._random
-        manner = Manner.PLAIN
+        style = WritingStyle.PLAIN
         if random.random() < self.traffic.odd_share:
-            manner = random.choice(self.traffic.manners)
+            style = random.choice(self.traffic.styles)
         effect = random.choice(self.traffic.effects)
         deadline = random.choice(self.traffic.deadlines)
         key = f"k{self._prefix}{self._count}"
-        if manner is Manner.PIPELINES:
-            await self._pipelined(link or await self._pick(), effect, deadline)
+        if style is WritingStyle.PIPELINES:
+            await self._send_pipelined(connection or await self._acquire_connection(), effect, deadline)
             return
-        for _ in range(RESEND_MOST + 1):
-            if link is None:
-                link = await self._pick()
-            if link is None:
+        for _ in range(MAX_RESENDS + 1):
+            if connection is None:
+                connection = await self._acquire_connection()
+            if connection is None:
                 return
-            each = self._new_exchange(link, effect, deadline)
-            await self._exchange(link, each, manner, key)
-            crossed = each.closed_at is not None and each.client_left_at is None
-            if not crossed or manner is not Manner.PLAIN:
+            exchange = self._new_exchange(connection, effect, deadline)
+            await self._exchange(connection, exchange, style, key)
+            crossed = exchange.closed_at is not None and exchange.client_left_at is None
+            if not crossed or style is not WritingStyle.PLAIN:
                 return
-            link = None
+            connection = None
 
-    def _new_exchange(self, link: Link, effect: Effect, deadline: float) -> Exchange:
+    def _new_exchange(self, connection: ClientConnection, effect: Effect, deadline: float) -> Exchange:
         self._count += 1
-        each = Exchange(
+        exchange = Exchange(
             f"{self._prefix}{self._count}",
-            link.node.name,
+            connection.node.name,
             effect,
             deadline,
             asyncio.get_running_loop().time(),
-            first_on_connection=not link.used,
+            first_on_connection=not connection.used,
         )
-        self._journal.exchanges.append(each)
-        link.used = True
-        return each
-
-    async def _pipelined(self, link: Link | None, effect: Effect, deadline: float) -> None:
-        """Several requests at once on one connection; each counts from its own turn at the latest."""
-        if link is None:
+        self._journal.exchanges.append(exchange)
+        connection.used = True
+        return exchange
+
+    async def _send_pipelined(
+        self, connection: ClientConnection | None, effect: Effect, deadline: float
+    ) -> None:
+        """Sends several requests at once on one connection; each is timed from its turn at the latest."""
+        if connection is None:
             return
         loop = asyncio.get_running_loop()
-        # One reader: several answers may come at once.
-        answers = AnswerReader(body_most=1 << 26)
-        waiting = [self._new_exchange(link, effect, deadline) for _ in range(PIPELINED)]
-        for each in waiting:
-            link.writer.write(self._wire(each, Manner.PLAIN, f"k{each.request}"))
+        # One parser: several responses may come at once.
+        responses = AnswerReader(body_most=1 << 26)
+        waiting = [self._new_exchange(connection, effect, deadline) for _ in range(PIPELINE_DEPTH)]
+        for exchange in waiting:
+            connection.writer.write(self._encode(exchange, WritingStyle.PLAIN, f"k{exchange.request}"))
         try:
-            for each in waiting:
-                each.sent_at = loop.time()
-                with noting_end(each):
-                    async with asyncio.timeout(deadline + ANSWER_MOST):
-                        await self._answer(link, each, answers)
-                if each.status is None or each.closing:
+            for exchange in waiting:
+                exchange.sent_at = loop.time()
+                with recording_end(exchange):
+                    async with asyncio.timeout(deadline + RESPONSE_GRACE_S):
+                        await self._read_response(connection, exchange, responses)
+                if exchange.status is None or exchange.closing:
                     break
         finally:
-            # Those behind one that ended the connection were never owed an answer on it.
-            link.writer.close()
+            # Requests behind one that ended the connection are owed no response on it.
+            connection.writer.close()
 
-    async def _pick(self) -> Link | None:
-        """A kept connection to a random node, or a new one where the front would still open one."""
+    async def _acquire_connection(self) -> ClientConnection | None:
+        """An idle connection to a random node, or a new one where the node accepts any."""
         now = asyncio.get_running_loop().time()
-        nodes = [node for node in self._nodes if self._takes_new(node, now) or self._kept[node.name]]
+        nodes = [
+            node for node in self._nodes if self._accepts_connections(node, now) or self._idle[node.name]
+        ]
         self._random.shuffle(nodes)
         for node in nodes:
-            kept = self._kept[node.name]
-            while kept:
-                link = kept.pop()
-                if link.is_open() and link.generation == node.generation:
-                    return link
-                link.writer.close()
-            if self._takes_new(node, now):
+            idle = self._idle[node.name]
+            while idle:
+                connection = idle.pop()
+                if connection.is_open() and connection.generation == node.generation:
+                    return connection
+                connection.writer.close()
+            if self._accepts_connections(node, now):
                 with suppress(OSError, TimeoutError):
                     async with asyncio.timeout(1.0):
                         return await self._connect(node)
         return None
 
-    def _takes_new(self, node: SoakNode, now: float) -> bool:
+    def _accepts_connections(self, node: SoakNode, now: float) -> bool:
         if node.terminated_at is not None:
-            return now < node.terminated_at + NEW_CONNECTIONS_SPAN
+            return now < node.terminated_at + NEW_CONNECTIONS_SPAN_S
         return node.ready
 
-    async def _connect(self, node: SoakNode) -> Link:
+    async def _connect(self, node: SoakNode) -> ClientConnection:
         reader, writer = await asyncio.open_connection(*node.listen)
-        return Link(node, reader, writer)
+        return ClientConnection(node, reader, writer)
 
-    async def _exchange(self, link: Link, each: Exchange, manner: Manner, key: str) -> None:
-        kept = False
+    async def _exchange(
+        self, connection: ClientConnection, exchange: Exchange, style: WritingStyle, key: str
+    ) -> None:
+        reusable = False
         try:
-            with noting_end(each):
-                await self._write(link, each, manner, key)
-                if manner in LEAVING_MANNERS:
-                    kept = await self._answer_or_leave(link, each, manner)
+            with recording_end(exchange):
+                await self._write(connection, exchange, style, key)
+                if style in CANCELLING_STYLES:
+                    reusable = await self._read_or_cancel(connection, exchange, style)
                 else:
-                    async with asyncio.timeout(each.deadline_seconds + ANSWER_MOST):
-                        kept = await self._answer(link, each)
+                    async with asyncio.timeout(exchange.deadline_seconds + RESPONSE_GRACE_S):
+                        reusable = await self._read_response(connection, exchange)
         finally:
-            if kept and link.is_open():
-                self._kept[link.node.name].append(link)
+            if reusable and connection.is_open():
+                self._idle[connection.node.name].append(connection)
             else:
-                link.writer.close()
+                connection.writer.close()
 
-    async def _answer_or_leave(self, link: Link, each: Exchange, manner: Manner) -> bool:
-        """Waits for a part of its time, and goes where no answer came."""
+    async def _read_or_cancel(
+        self, connection: ClientConnection, exchange: Exchange, style: WritingStyle
+    ) -> bool:
+        """Waits for a random part of the deadline, and cancels where no response came."""
         try:
-            async with asyncio.timeout(self._random.random() * each.deadline_seconds):
-                return await self._answer(link, each)
+            async with asyncio.timeout(self._random.random() * exchange.deadline_seconds):
+                return await self._read_response(connection, exchange)
         except TimeoutError:
-            each.client_left_at = asyncio.get_running_loop().time()
-        if manner is Manner.RESETS:
-            link.abort()
-        elif manner is Manner.HALF_CLOSES:
+            exchange.client_left_at = asyncio.get_running_loop().time()
+        if style is WritingStyle.RESETS:
+            connection.abort()
+        elif style is WritingStyle.HALF_CLOSES:
             with suppress(OSError):
-                link.writer.write_eof()
-            await asyncio.sleep(HALF_CLOSED_FOR)
+                connection.writer.write_eof()
+            await asyncio.sleep(HALF_CLOSED_S)
         return False
 
-    async def _write(self, link: Link, each: Exchange, manner: Manner, key: str) -> None:
-        wire = self._wire(each, manner, key)
+    async def _write(
+        self, connection: ClientConnection, exchange: Exchange, style: WritingStyle, key: str
+    ) -> None:
+        wire = self._encode(exchange, style, key)
         loop = asyncio.get_running_loop()
-        if manner is Manner.STOPS:
-            each.malformed = True
-            link.writer.write(wire[: len(wire) // 2])
+        if style is WritingStyle.STOPS:
+            exchange.malformed = True
+            connection.writer.write(wire[: len(wire) // 2])
             return
-        if manner is Manner.NONSENSE:
-            each.malformed = True
-            link.writer.write(b"\x16\x03\x01 what?\r\n\r\n")
+        if style is WritingStyle.NONSENSE:
+            exchange.malformed = True
+            connection.writer.write(b"\x16\x03\x01 what?\r\n\r\n")
             return
-        if manner is Manner.EXPECTS:
+        if style is WritingStyle.EXPECTS:
             head, _, body = wire.partition(b"\r\n\r\n")
-            link.writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
+            connection.writer.write(head + b"\r\nExpect: 100-continue\r\n\r\n")
             await asyncio.sleep(0.05 * self._random.random())
-            each.sent_at = loop.time()
-            link.writer.write(body)
+            exchange.sent_at = loop.time()
+            connection.writer.write(body)
             return
-        if manner in (Manner.SLOW, Manner.LARGE):
-            pieces = 4
-            step = len(wire) // pieces + 1
-            for index in range(pieces):
-                each.sent_at = loop.time()
-                link.writer.write(wire[index * step : (index + 1) * step])
-                await link.writer.drain()
-                if index < pieces - 1:
-                    each.sent_at = None
+        if style in (WritingStyle.SLOW, WritingStyle.LARGE):
+            chunks = 4
+            step = len(wire) // chunks + 1
+            for index in range(chunks):
+                exchange.sent_at = loop.time()
+                connection.writer.write(wire[index * step : (index + 1) * step])
+                await connection.writer.drain()
+                if index < chunks - 1:
+                    exchange.sent_at = None
                     await asyncio.sleep(0.05 * self._random.random())
             return
-        each.sent_at = loop.time()
-        link.writer.write(wire)
+        exchange.sent_at = loop.time()
+        connection.writer.write(wire)
 
-    def _wire(self, each: Exchange, manner: Manner, key: str) -> bytes:
+    def _encode(self, exchange: Exchange, style: WritingStyle, key: str) -> bytes:
         body = b""
-        if each.effect is not Effect.SAFE:
-            body = b"b" * (LARGE_REQUEST if manner is Manner.LARGE else 10)
+        if exchange.effect is not Effect.SAFE:
+            body = b"b" * (LARGE_BODY_SIZE if style is WritingStyle.LARGE else 10)
         lines = [
-            f"{'GET' if each.effect is Effect.SAFE else 'POST'} /api HTTP/1.1",
+            f"{'GET' if exchange.effect is Effect.SAFE else 'POST'} /api HTTP/1.1",
             "Host: app.svc",
-            f"Req-Id: {each.request}",
-            f"Req-Kind: {each.effect.value}",
-            f"Req-Deadline-Ms: {int(each.deadline_seconds * 1000)}",
+            f"Req-Id: {exchange.request}",
+            f"Req-Kind: {exchange.effect.value}",
+            f"Req-Deadline-Ms: {int(exchange.deadline_seconds * 1000)}",
         ]
-        if each.effect is Effect.KEYED:
+        if exchange.effect is Effect.KEYED:
             lines.append(f"Idempotency-Key: {key}")
-        if body and manner is Manner.CHUNKED:
+        if body and style is WritingStyle.CHUNKED:
             lines.append("Transfer-Encoding: chunked")
             body = b"%x;x=1\r\n%b\r\n0\r\nTrailer: 1\r\n\r\n" % (len(body), body)
         elif body:
             lines.append(f"Content-Length: {len(body)}")
         return "\r\n".join([*lines, "", ""]).encode() + body
 
-    async def _answer(self, link: Link, each: Exchange, answers: AnswerReader | None = None) -> bool:
-        """Reads the answer; whether the connection can be used again. OSError where it ends first."""
-        answers = answers or AnswerReader(body_most=1 << 26)
-        while (answer := answers.next()) is None:
-            piece = await link.reader.read(65536)
-            if not piece:
+    async def _read_response(
+        self, connection: ClientConnection, exchange: Exchange, responses: AnswerReader | None = None
+    ) -> bool:
+        """Reads the response; whether the connection can be reused. OSError where it ends first."""
+        responses = responses or AnswerReader(body_most=1 << 26)
+        while (response := responses.next()) is None:
+            chunk = await connection.reader.read(65536)
+            if not chunk:
                 raise ConnectionResetError
-            each.answer_begun = True
-            answers.feed(piece)
-        each.ended_at = asyncio.get_running_loop().time()
-        each.status, each.body = answer.status, answer.body
-        each.closing = "close" in answer.headers.get("connection", "").lower()
-        return answer.keep
+            exchange.answer_begun = True
+            responses.feed(chunk)
+        exchange.ended_at = asyncio.get_running_loop().time()
+        exchange.status, exchange.body = response.status, response.body
+        exchange.closing = "close" in response.headers.get("connection", "").lower()
+        return response.keep
--- a/notchjunction/soak/oracle.py
+++ b/notchjunction/soak/oracle.py
@@ -13,14 +13,16 @@
 
 from notchjunction.soak.events import Attempt, ColdStart, Disposition, Effect, Exchange, Journal, RequestId
 
-ANSWER_SLACK = 0.5  # s past its deadline up to which an answer only earns nothing; later it counts as lost
-GONE_AFTER = 0.1  # s after its client closed from which no attempt may begin
-DEADLINE_SLACK = 0.15  # s by which the time told to a backend may exceed what the client has left
-DRAIN_GRACE = 0.55  # s after a node was notified within which it may still send; the rule's, on sockets
-UPGRADE_GRACE = 2.0  # s after the later process's yes from which word to either of a node's two binds both
-NOTIFIED_AFTER = 6.0  # s after discovery had a change and could be reached from which it counts
-UNREAD_SPAN = 0.05  # s after its last byte within which a close may have crossed a request
-NETWORK_SLACK = 0.02  # s that a byte may take on loopback between two busy processes
+RESPONSE_SLACK_S = (
+    0.5  # s past its deadline up to which an answer only earns nothing; later it counts as lost
+)
+CANCEL_SLACK_S = 0.1  # s after its client closed from which no attempt may begin
+DEADLINE_SLACK_S = 0.15  # s by which the time told to a backend may exceed what the client has left
+DRAIN_GRACE_S = 0.55  # s after a node was notified within which it may still send; the rule's, on sockets
+UPGRADE_GRACE_S = 2.0  # s after the later process's yes from which word to either of a node's two binds both
+NOTIFICATION_LIMIT_S = 6.0  # s after discovery had a change and could be reached from which it counts
+UNREAD_SPAN_S = 0.05  # s after its last byte within which a close may have crossed a request
+NETWORK_SLACK_S = 0.02  # s that a byte may take on loopback between two busy processes
 SMALL_BUDGET = 30  # calls under which a cold backend's budget is widened by three roots instead of two
 
 
@@ -71,7 +73,7 @@
     for each in journal.exchanges:
         if each.malformed or each.sent_at is None or each.client_left_at is not None:
             continue
-        due = each.sent_at + each.deadline_seconds + ANSWER_SLACK
+        due = each.sent_at + each.deadline_seconds + RESPONSE_SLACK_S
         ended = each.ended_at if each.ended_at is not None else each.closed_at
         if any(each.sent_at <= at <= (ended or inf) + 1.0 for at in killed.get(each.node, ())):
             continue
@@ -86,7 +88,7 @@
             if each.answer_begun and each.request in journal.cut_by_backend:
                 continue  # the client can tell that it is not whole, and the node is not to blame
             forwarded = attempts.get(each.request, [])
-            unread = each.closed_at <= each.sent_at + UNREAD_SPAN + slack
+            unread = each.closed_at <= each.sent_at + UNREAD_SPAN_S + slack
             if forwarded:
                 yield Violation("lost", each.closed_at, f"{_name(each)} forwarded, then closed unanswered")
             elif not unread:
@@ -115,9 +117,9 @@
     for each in journal.exchanges:
         left = each.client_left_at
         for attempt in attempts.get(each.request, ()):
-            late = journal.lateness(attempt.first_byte_at, attempt.last_byte_at) + NETWORK_SLACK
+            late = journal.lateness(attempt.first_byte_at, attempt.last_byte_at) + NETWORK_SLACK_S
             late += journal.held_up(each.node, attempt.first_byte_at - 1.0, attempt.first_byte_at)
-            if left is not None and attempt.first_byte_at > left + GONE_AFTER + late:
+            if left is not None and attempt.first_byte_at > left + CANCEL_SLACK_S + late:
                 after = attempt.first_byte_at - left
                 yield Violation(
                     "lost", attempt.first_byte_at, f"{_name(each)} sent {after:.3f} s after its client closed"
@@ -135,7 +137,7 @@
         if each is None or each.sent_at is None:
             continue
         left = each.sent_at + each.deadline_seconds - attempt.first_byte_at
-        slack = DEADLINE_SLACK + NETWORK_SLACK + journal.lateness(each.sent_at, attempt.first_byte_at)
+        slack = DEADLINE_SLACK_S + NETWORK_SLACK_S + journal.lateness(each.sent_at, attempt.first_byte_at)
         slack += journal.held_up(each.node, each.sent_at, attempt.first_byte_at)
         if attempt.told_seconds > left + slack:
             text = f"{_name(each)} told {attempt.told_seconds:.3f} s with {left:.3f} s left"
@@ -178,9 +180,9 @@
         if node is None:
             continue
         at = attempt.first_byte_at
-        late = journal.lateness(at - DRAIN_GRACE, at) + NETWORK_SLACK
+        late = journal.lateness(at - DRAIN_GRACE_S, at) + NETWORK_SLACK_S
         since = _binding(journal, node, notified(node, attempt.backend, at))
-        if since is not None and at > since + DRAIN_GRACE + late:
+        if since is not None and at > since + DRAIN_GRACE_S + late:
             text = f"{node} sent {attempt.request} to {attempt.backend}, notified {at - since:.3f} s ago"
             yield Violation("drain", at, text)
 
@@ -188,7 +190,7 @@
 def _binding(journal: Journal, node: str, since: float | None) -> float | None:
     """The same, or what comes later: when it binds both processes of a node, where two ran side by side."""
     for upgrade in journal.upgrades:
-        binds_at = upgrade.ready_at + UPGRADE_GRACE
+        binds_at = upgrade.ready_at + UPGRADE_GRACE_S
         if since is not None and upgrade.node == node and upgrade.began_at <= since < binds_at:
             since = binds_at
     return since
@@ -230,7 +232,7 @@
     def knows(attempt: Attempt, start: ColdStart) -> bool:
         at = attempt.first_byte_at
         times = told.get((nodes.get(attempt.request, ""), start.backend), [])
-        return at >= start.at + NOTIFIED_AFTER or any(start.at <= heard <= at for heard in times)
+        return at >= start.at + NOTIFICATION_LIMIT_S or any(start.at <= heard <= at for heard in times)
 
     return knows
 
@@ -315,12 +317,12 @@
         for when, reachable in reached.get(node, ()):
             if when > at:
                 break
-            if began is not None and when - max(began, drained) >= NOTIFIED_AFTER:
+            if began is not None and when - max(began, drained) >= NOTIFICATION_LIMIT_S:
                 break  # it counts already, whatever came later
             began = when if reachable else None
         if began is None:
             return None
-        due = max(began, drained) + NOTIFIED_AFTER
+        due = max(began, drained) + NOTIFICATION_LIMIT_S
         return due if due <= at else None
 
     return counted
--- a/notchjunction/soak/run.py
+++ b/notchjunction/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan against real node processes on loopback; what was seen goes to a journal."""
+"""Plays a plan against real node processes on loopback; the observations go to a journal."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from notchjunction.addresses import text_of
 from notchjunction.soak.backend import CAPACITY_SPAN_S, Backend, Behaviour, Trouble
-from notchjunction.soak.client import Clients, Manner
+from notchjunction.soak.client import FakeClients, WritingStyle
 from notchjunction.soak.discovery import ACTIVE, LEAVING, LEFT, FakeDiscovery
 from notchjunction.soak.events import Effect, Journal
 from notchjunction.soak.node import SoakNode
@@ -36,7 +36,7 @@
 TAIL = LONGEST_DEADLINE + 1.5  # s after the last arrival in which all has to end
 CROWD_SHARE = 1.2  # idle clients for each descriptor that a node may hold
 ALL_TROUBLES = tuple(trouble for trouble in Trouble if trouble not in (Trouble.NONE, Trouble.HANG))
-ALL_MANNERS = tuple(manner for manner in Manner if manner is not Manner.PLAIN)
+ALL_MANNERS = tuple(manner for manner in WritingStyle if manner is not WritingStyle.PLAIN)
 
 
 @dataclass(slots=True)
@@ -67,41 +67,42 @@
         self.backends: list[Backend] = []
         self.discovery = FakeDiscovery(self.journal, self.random)
         self.second_discovery = False
-        self.clients = Clients(self.nodes, self.journal, self.random, f"r{plan.seed}x")
+        self.clients = FakeClients(self.nodes, self.journal, self.random, f"r{plan.seed}x")
         self._tasks: set[asyncio.Task[None]] = set()
         self._configuration = 0
         self._busy_nodes: set[str] = set()
 
     async def play(self) -> Result:
+        """Plays the plan to its end; what the oracle found."""
         loop = asyncio.get_running_loop()
         plan = self.plan
-        watching = self._start(self._watch_stalls())
+        watching = self._spawn(self._watch_stalls())
         try:
             await self.open()
             began = loop.time()
             self.clients.traffic.rate = plan.rate
-            self.clients.traffic.manners = ALL_MANNERS
-            arrivals = self._start(self.clients.arrive(began + plan.seconds))
-            guard = self._start(self._watch_crashes())
-            faults = [self._start(self._play(fault, began)) for fault in plan.faults]
+            self.clients.traffic.styles = ALL_MANNERS
+            arrivals = self._spawn(self.clients.send_until(began + plan.seconds))
+            guard = self._spawn(self._watch_crashes())
+            faults = [self._spawn(self._play_fault(fault, began)) for fault in plan.faults]
             await asyncio.gather(arrivals, *faults)
             await self.clients.finish(TAIL)
             guard.cancel()
-            await asyncio.gather(*(self._end(node) for node in self.nodes))
+            await asyncio.gather(*(self._terminate_ready(node) for node in self.nodes))
         finally:
             watching.cancel()
             await self.close()
-        self._read_logs()
+        self._collect_node_errors()
         return self._result()
 
     async def open(self) -> None:
         """Starts backends, discovery and nodes; all are ready then."""
         plan = self.plan
         for number in range(plan.backends):
-            self.backends.append(await self._backend(f"s{number}", number % plan.zones))
+            self.backends.append(await self._open_backend(f"s{number}", number % plan.zones))
         self.discovery.list_backends(self.backends)
         for node in self.nodes:
-            await self._tell(node)
+            await self._write_config(node)
             node.start()
         await asyncio.gather(*(node.wait_until_ready() for node in self.nodes))
 
@@ -115,14 +116,14 @@
             backend.crash()
         self.discovery.close()
 
-    async def _backend(self, name: str, zone: int) -> Backend:
+    async def _open_backend(self, name: str, zone: int) -> Backend:
         backend = Backend(name, f"z{zone}", self.journal, self.random)
         backend.capacity = self.capacity * CAPACITY_SPAN_S
         backend.behaviour.idle_seconds = self.random.choice((1.0, CONNECTION_IDLE, CONNECTION_IDLE))
         await backend.open()
         return backend
 
-    async def _tell(self, node: SoakNode, **settings: Any) -> None:
+    async def _write_config(self, node: SoakNode, **settings: Any) -> None:
         port = self.discovery.ports.get(node.name) or await self.discovery.open_port(node.name)
         known = self.discovery.list_response(None)
         number = self.nodes.index(node)
@@ -180,7 +181,7 @@
 
     # Faults.
 
-    async def _play(self, fault: Fault, began: float) -> None:
+    async def _play_fault(self, fault: Fault, began: float) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(began + fault.at - loop.time())
         await PLAYERS[fault.kind](self, fault, fault.until - fault.at)
@@ -191,6 +192,7 @@
         return node if node.ready and node.name not in self._busy_nodes else None
 
     def pick_backends(self, fault: Fault) -> list[Backend]:
+        """Draws the listed backends that a fault concerns, from its target alone."""
         listed = [backend for backend in self.backends if backend.listed]
         count = max(1, round(len(listed) * fault.size))
         return Random(fault.target).sample(listed, min(count, len(listed)))
@@ -199,7 +201,7 @@
         """SIGTERM, while its clients go on; then it starts again."""
         self._busy_nodes.add(node.name)
         loop = asyncio.get_running_loop()
-        pressing = self._start(self.clients.press_ending(node, loop.time() + LONGEST_DEADLINE + 2.0))
+        pressing = self._spawn(self.clients.send_to_draining(node, loop.time() + LONGEST_DEADLINE + 2.0))
         await node.terminate(LONGEST_DEADLINE)
         pressing.cancel()
         await self._restart(node)
@@ -211,29 +213,32 @@
         self._busy_nodes.discard(node.name)
 
     async def upgrade_that_fails(self, node: SoakNode, seconds: float) -> None:
+        """Starts a node's next process, which dies so many seconds later."""
         self._busy_nodes.add(node.name)
         await node.upgrade_that_fails(seconds)
         self._busy_nodes.discard(node.name)
 
     async def kill(self, node: SoakNode) -> None:
+        """Kills a node and starts it again."""
         self._busy_nodes.add(node.name)
         await node.kill()
         await self._restart(node)
 
     async def _restart(self, node: SoakNode) -> None:
-        await self._tell(node)
+        await self._write_config(node)
         node.start()
         await node.wait_until_ready()
         self._busy_nodes.discard(node.name)
 
-    async def hang_up(self, node: SoakNode) -> None:
+    async def reload(self, node: SoakNode) -> None:
         """A new configuration, which names another order of attempts."""
         self._configuration += 1
         limits = {**self._settings(0)["limits"], "max_dispatches": 3 + self._configuration % 3}
-        await self._tell(node, limits=limits)
+        await self._write_config(node, limits=limits)
         node.signal(signal.SIGHUP)
 
     def publish(self, *changes: tuple[Backend, str]) -> None:
+        """Changes statuses in discovery's list, in one version."""
         for backend, status in changes:
             backend.listed = status == ACTIVE
         self.discovery.change(changes)
@@ -243,18 +248,19 @@
         joined = []
         for _ in range(count):
             number = len(self.backends)
-            backend = await self._backend(f"s{number}", number % self.plan.zones)
+            backend = await self._open_backend(f"s{number}", number % self.plan.zones)
             await backend.restart(time.time())
             self.backends.append(backend)
             joined.append(backend)
         return joined
 
     def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        return self._start(work)
+        """Starts a task that ends with the run."""
+        return self._spawn(work)
 
     # Plumbing.
 
-    def _start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+    def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -276,11 +282,11 @@
                 if node.has_crashed and node.name not in self._busy_nodes:
                     node.record_crash()
 
-    async def _end(self, node: SoakNode) -> None:
+    async def _terminate_ready(self, node: SoakNode) -> None:
         if node.ready:
             await node.terminate(LONGEST_DEADLINE)
 
-    def _read_logs(self) -> None:
+    def _collect_node_errors(self) -> None:
         for node in self.nodes:
             for line in node.log_lines():
                 if "level=error" in line or "Traceback" in line:
@@ -344,7 +350,7 @@
     for _ in range(round(fault.size)):
         for node in run.nodes:
             if node.ready:
-                await run.hang_up(node)
+                await run.reload(node)
         await asyncio.sleep(min(0.1, seconds / fault.size))
 
 
@@ -352,7 +358,7 @@
     for node in run.nodes:
         await run.discovery.move_port(node.name)
         if node.ready:
-            await run.hang_up(node)
+            await run.reload(node)
 
 
 async def _backends_crash(run: SoakRun, fault: Fault, seconds: float) -> None:
@@ -448,7 +454,7 @@
 
 
 async def _clients_leave(run: SoakRun, fault: Fault, _: float) -> None:
-    run.clients.leave_in_a_burst(fault.size)
+    run.clients.cancel_share(fault.size)
 
 
 async def _burst(run: SoakRun, fault: Fault, seconds: float) -> None:
@@ -460,7 +466,7 @@
 async def _crowd(run: SoakRun, fault: Fault, seconds: float) -> None:
     node = run.nodes[fault.target % len(run.nodes)]
     if node.ready:
-        await run.clients.crowd(node, round(run.plan.descriptors * CROWD_SHARE), seconds)
+        await run.clients.open_idle_connections(node, round(run.plan.descriptors * CROWD_SHARE), seconds)
 
 
 PLAYERS: Mapping[Kind, Player] = {
