--- a/notchjunction/emulator/clock.py
+++ b/notchjunction/emulator/clock.py
@@ -1,4 +1,4 @@
-"""What the emulator's parts need of time; virtual in the world, real where stand-ins play on sockets."""
+"""What the emulator needs of time: virtual in a world, real where the testbed runs it on sockets."""
 
 from __future__ import annotations
 
@@ -7,9 +7,11 @@
 
 
 class Clock(Protocol):
+    """The time, and timers on it."""
+
     @property
     def now(self) -> float:
         """Unix time in seconds that never jumps."""
 
     def after(self, delay: float, due: Callable[[], None]) -> None:
-        """Calls `due` after so many seconds; at once in order, never inside this call."""
+        """Call `due` in `delay` seconds; timers due at once run in order, never inside this call."""
--- a/notchjunction/emulator/discovery.py
+++ b/notchjunction/emulator/discovery.py
@@ -11,7 +11,7 @@
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.servers import Server
-from notchjunction.emulator.trace import Published, Reached, Row
+from notchjunction.emulator.trace import DiscoveryReachable, EndpointPublished, TraceRow
 
 Heard = Callable[[Sequence[EndpointEntry] | None, int], None]  # None: the call failed; the version
 
@@ -32,13 +32,17 @@
     """
 
     def __init__(
-        self, scenario: Scenario, clock: Clock, tiers: int, note: Callable[[Row], None] = lambda row: None
+        self,
+        scenario: Scenario,
+        clock: Clock,
+        tiers: int,
+        note: Callable[[TraceRow], None] = lambda row: None,
     ) -> None:
         self._scenario, self._clock, self._note = scenario, clock, note
         self._up = True
         self.late = 0.0  # s that news comes later
         self._deaf: Callable[[int], bool] = lambda asker: False  # whose calls fail
-        self._reached: dict[int, Reached] = {}  # by asker, the last row of it
+        self._reached: dict[int, DiscoveryReachable] = {}  # by asker, the last row of it
         self._free_at = clock.now
         self._changes: list[list[EndpointEntry]] = [[] for _ in range(tiers)]
         self._watching: list[Watch] = []
@@ -97,7 +101,7 @@
 
     def join(self, tier: int, asker: int) -> None:
         """It is there from now on, with the list as it is."""
-        self._reached[asker] = Reached(self._clock.now, asker, tier, self._reachable(asker))
+        self._reached[asker] = DiscoveryReachable(self._clock.now, asker, tier, self._reachable(asker))
         self._note(self._reached[asker])
 
     def forget(self, asker: int) -> None:
@@ -131,7 +135,7 @@
 
     def _publish(self, tier: int, entry: EndpointEntry) -> None:
         self._changes[tier].append(entry)
-        self._note(Published(self._clock.now, tier, entry.number, entry.state))
+        self._note(EndpointPublished(self._clock.now, tier, entry.number, entry.state))
         told = [each for each in self._watching if each.tier == tier]
         self._watching = [each for each in self._watching if each.tier != tier]
         for each in told:
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -28,8 +28,16 @@
 from notchjunction.emulator.discovery import Heard as Listener
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.servers import Call, Server
-from notchjunction.emulator.trace import Answered, Final, Landed, Probed, Row, Sent, Taken
-from notchjunction.emulator.trace import Told as Heard
+from notchjunction.emulator.trace import (
+    AttemptEnded,
+    AttemptSent,
+    FinalResponse,
+    ProbeSent,
+    RequestAccepted,
+    RequestAnswered,
+    TraceRow,
+)
+from notchjunction.emulator.trace import EndpointNotified as Heard
 
 TICK = 0.005  # s; what a node is told its timers may be late by
 ASK_WITHIN = 10.0  # s in which a node has to ask for the list
@@ -48,7 +56,7 @@
     scenario: Scenario
     discovery: Discovery
     random: Random
-    rows: list[Row]
+    rows: list[TraceRow]
     servers: list[Server]  # by number
     tiers: list[list[Server]]
 
@@ -66,7 +74,7 @@
     profile: int
     left: float
     work: float
-    done: Callable[[Final, float], None]
+    done: Callable[[FinalResponse, float], None]
     operator: int = 0
     first_try: int = NO_TRY
     repeat: bool = False
@@ -190,7 +198,9 @@
         job = self._jobs
         self._asked[job] = asked
         now = self.world.now
-        self.world.rows.append(Taken(now, self.number, job, asked.profile, now + asked.left, asked.first_try))
+        self.world.rows.append(
+            RequestAccepted(now, self.number, job, asked.profile, now + asked.left, asked.first_try)
+        )
         self._core.request_arrived(
             NewRequest(job, asked.profile, asked.operator, asked.left, is_client_retry=asked.repeat)
         )
@@ -198,14 +208,14 @@
 
     def withdraw(self, job: int) -> None:
         if self.alive and job in self._asked:
-            self._answer(job, Final.WITHDRAWN)
+            self._answer(job, FinalResponse.CANCELLED)
             self._core.request_cancelled(job)
 
     def die(self) -> None:
         """Goes with the server that it serves; nothing more is heard of it."""
         self.alive = False
         for job in list(self._asked):
-            self._answer(job, Final.WITHDRAWN)
+            self._answer(job, FinalResponse.CANCELLED)
         for key, out in list(self._out.items()):
             self._has_landed(key, out)
             self._let_go(out)
@@ -219,7 +229,7 @@
         number = self._count.get(job, 0)
         self._count[job] = number + 1
         world, now = self.world, self.world.now
-        world.rows.append(Sent(now, self.number, job, number, server, now + within))
+        world.rows.append(AttemptSent(now, self.number, job, number, server, now + within))
         asked = self._asked.get(job)
         to = world.servers[server]
         key = (job, number)
@@ -287,23 +297,23 @@
             else:
                 self._links.give_back(out.link)
         if result is AttemptResult.SUCCEEDED and job in self._asked:
-            self._answer(job, Final.HONOURED)
+            self._answer(job, FinalResponse.SUCCEEDED)
         over = job not in self._asked
         seconds = self.world.now - out.at
         self._core.attempt_ended(AttemptOutcome(job, number, out.server.number, result, seconds, over))
 
     def _has_landed(self, key: tuple[int, int], out: Out) -> None:
-        self.world.rows.append(Landed(self.world.now, self.number, *key, out.server.number))
+        self.world.rows.append(AttemptEnded(self.world.now, self.number, *key, out.server.number))
 
     def _let_go(self, out: Out) -> None:
         self.world.carry(self.zone, out.server.zone, partial(out.server.drop, out.call))
 
-    def _answer(self, job: int, final: Final, advice: float = 0.0) -> None:
+    def _answer(self, job: int, final: FinalResponse, advice: float = 0.0) -> None:
         """Its caller's one final answer; a second one is a row too, which the checkers shall see."""
-        self.world.rows.append(Answered(self.world.now, self.number, job, final))
+        self.world.rows.append(RequestAnswered(self.world.now, self.number, job, final))
         self._count.pop(job, None)
         asked = self._asked.pop(job, None)
-        if asked is not None and final is not Final.WITHDRAWN:
+        if asked is not None and final is not FinalResponse.CANCELLED:
             asked.done(final, advice)
 
     # The list.
@@ -357,7 +367,7 @@
 
     def send_probe(self, server: int) -> None:
         world, to = self.world, self.world.servers[server]
-        world.rows.append(Probed(world.now, self.number, server))
+        world.rows.append(ProbeSent(world.now, self.number, server))
         done = False
 
         def answered(result: AttemptResult, load: LoadReport | None) -> None:
@@ -382,10 +392,10 @@
         world.after(PROBE_WITHIN, partial(answered, AttemptResult.TIMED_OUT, None))
 
     def reject(self, job: int, come_back_in: float) -> None:
-        self._answer(job, Final.TURNED_BACK, come_back_in)
+        self._answer(job, FinalResponse.REJECTED, come_back_in)
 
     def fail(self, job: int) -> None:
-        self._answer(job, Final.WRITTEN_OFF)
+        self._answer(job, FinalResponse.FAILED)
 
     def set_timer(self, delay: float, token: int) -> None:
         self.world.after(delay, lambda: self._core.timer_fired(token) if self.alive else None)
--- a/notchjunction/emulator/trace.py
+++ b/notchjunction/emulator/trace.py
@@ -1,4 +1,4 @@
-"""What happened in a run, one row an event; checkers and tables read nothing else."""
+"""The trace of a run: one row an event, the only input of the checkers and of the result tables."""
 
 from __future__ import annotations
 
@@ -10,120 +10,132 @@
 from notchjunction.discovery.endpoints import EndpointState
 
 
-class Final(Enum):
-    HONOURED = auto()
-    TURNED_BACK = auto()
-    WRITTEN_OFF = auto()
-    WITHDRAWN = auto()
+class FinalResponse(Enum):
+    """How a request ended for its client."""
+
+    SUCCEEDED = auto()
+    REJECTED = auto()  # with advice when to retry
+    FAILED = auto()
+    CANCELLED = auto()  # by the client
 
 
 @dataclass(frozen=True, slots=True)
-class Taken:
+class RequestAccepted:
+    """A node accepted a request from a client or from a server that calls another tier."""
+
     at: float
     node: int
-    job: int
-    profile: int
-    abandon_at: float
-    first_try: int  # the number of the client's first try; the same for all its tries; -1: a server's call
+    request: int
+    request_class: int
+    deadline: float
+    first_request: int  # number of the client's first try, the same for all its tries; -1: a server's call
 
 
 @dataclass(frozen=True, slots=True)
-class Sent:
+class AttemptSent:
+    """A node sent an attempt to a server."""
+
     at: float
     node: int
-    job: int
-    dispatch: int
+    request: int
+    attempt: int
     server: int
-    until: float = inf  # when the time that it was given is over
+    timeout_at: float = inf  # when the time that the attempt was given is over
 
 
 @dataclass(frozen=True, slots=True)
-class Landed:
-    """It is out no more: answered, reset or closed, as the row's writer saw it."""
+class AttemptEnded:
+    """An attempt is no longer in flight: answered, reset or closed, as the row's writer saw it."""
 
     at: float
     node: int
-    job: int
-    dispatch: int
+    request: int
+    attempt: int
     server: int
 
 
 @dataclass(frozen=True, slots=True)
-class Ran:
-    """The server began to work on it; a repeat that it dropped is none."""
+class AttemptExecuted:
+    """The server began to execute an attempt; a duplicate that it dropped has no row."""
 
     at: float
     node: int
-    job: int
-    dispatch: int
+    request: int
+    attempt: int
     server: int
 
 
 @dataclass(frozen=True, slots=True)
-class Answered:
+class RequestAnswered:
+    """A node gave a request its final response."""
+
     at: float
     node: int
-    job: int
-    final: Final
+    request: int
+    final: FinalResponse
 
 
 @dataclass(frozen=True, slots=True)
-class Left:
-    """Its caller's connection has ended without an answer; a withdrawal is Answered instead."""
+class ClientClosed:
+    """The client's connection ended without a response; a cancelled request is `RequestAnswered` instead."""
 
     at: float
     node: int
-    job: int
+    request: int
 
 
 @dataclass(frozen=True, slots=True)
-class Told:
+class EndpointNotified:
+    """A node was notified of an endpoint's state."""
+
     at: float
     node: int
     server: int
-    presence: EndpointState
+    state: EndpointState
 
 
 @dataclass(frozen=True, slots=True)
-class Probed:
+class ProbeSent:
+    """A node probed a server."""
+
     at: float
     node: int
     server: int
 
 
 @dataclass(frozen=True, slots=True)
-class Tipped:
-    """A cold server was sent more than it bears, and is down for good."""
+class ServerOverloaded:
+    """A server in slow start received more than it bears, and is down for good."""
 
     at: float
     server: int
-    knowing: float  # share of the work that came from nodes that had been told of its start
+    informed: float  # share of the work that came from nodes that had been notified of its start
 
 
 @dataclass(frozen=True, slots=True)
-class Pushed:
-    """Work reached a cold server, whether it takes it or not."""
+class ColdLoadReceived:
+    """Work reached a server in slow start, whether the server accepts it or not."""
 
     at: float
     server: int
     work: float  # in requests of mean work
-    allowed: float  # the same, that the settings allow it over their span as warm as it is now
-    knowing: bool  # whether the sender had been told of its start
+    allowed: float  # the same, as the settings allow over their span at the server's present warmth
+    informed: bool  # whether the sender had been notified of its start
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
-    """Discovery has a change, whoever hears of it."""
+class EndpointPublished:
+    """Discovery has an endpoint's new state, whichever nodes have been notified of it."""
 
     at: float
     tier: int
     server: int
-    presence: EndpointState
+    state: EndpointState
 
 
 @dataclass(frozen=True, slots=True)
-class Reached:
-    """Whether a node's calls can reach discovery from now on; its first one is its start."""
+class DiscoveryReachable:
+    """Whether a node's polls can reach discovery from now on; a node's first row is its start."""
 
     at: float
     node: int
@@ -131,17 +143,30 @@
     reachable: bool
 
 
-Row = Taken | Sent | Landed | Ran | Answered | Left | Told | Probed | Tipped | Pushed | Published | Reached
+TraceRow = (
+    RequestAccepted
+    | AttemptSent
+    | AttemptEnded
+    | AttemptExecuted
+    | RequestAnswered
+    | ClientClosed
+    | EndpointNotified
+    | ProbeSent
+    | ServerOverloaded
+    | ColdLoadReceived
+    | EndpointPublished
+    | DiscoveryReachable
+)
 
 
 @dataclass(frozen=True, slots=True)
-class Story:
-    """A run's rows in order, and what is needed to judge them."""
+class Trace:
+    """A run's rows in order, and what is needed to judge them; all times are in seconds."""
 
-    rows: tuple[Row, ...]
-    profiles: tuple[RequestClass, ...]
-    grace: float  # s after word of a drain within which a send is forgiven
-    slack: float  # s past the abandon time within which a final answer is forgiven
+    rows: tuple[TraceRow, ...]
+    request_classes: tuple[RequestClass, ...]
+    drain_grace: float  # after notice of a drain, in which an attempt is forgiven
+    deadline_slack: float  # past the deadline, in which a final response is forgiven
     ended_at: float
-    tip_span: float = 0.0  # s over which what is pushed on a cold server adds up; 0: nothing was noted of it
-    crossing: float = 0.0  # s after a caller withdrew within which what was under way to a server may be read
+    overload_window: float = 0.0  # over which load on a cold server adds up; 0: no such load was recorded
+    cancel_delay: float = 0.0  # after a client cancelled, in which an attempt already on its way may be read
--- a/notchjunction/emulator/world.py
+++ b/notchjunction/emulator/world.py
@@ -18,12 +18,19 @@
 from notchjunction.emulator.node import TICK, Asked, Make, Node
 from notchjunction.emulator.scenario import Fault, Scenario, Stream
 from notchjunction.emulator.servers import Below, Call, Server, build
-from notchjunction.emulator.trace import Final, Pushed, Ran, Row, Story, Tipped
+from notchjunction.emulator.trace import (
+    AttemptExecuted,
+    ColdLoadReceived,
+    FinalResponse,
+    ServerOverloaded,
+    Trace,
+    TraceRow,
+)
 
 BEGAN = 1_000_000.0  # s; Unix time at which a run begins, so that no server start is mistaken for "long ago"
 GRACE = 0.5  # s after word of a drain within which a send is forgiven
-AGAIN = (Final.TURNED_BACK,)  # after which any client may ask again
-AGAIN_HARMLESS = (Final.TURNED_BACK, Final.WRITTEN_OFF)  # the same where a repeat does no harm
+AGAIN = (FinalResponse.REJECTED,)  # after which any client may ask again
+AGAIN_HARMLESS = (FinalResponse.REJECTED, FinalResponse.FAILED)  # the same where a repeat does no harm
 
 
 class World:
@@ -31,7 +38,7 @@
         self.scenario = scenario
         self.random = Random(scenario.seed)
         self.env = simpy.Environment(BEGAN)
-        self.rows: list[Row] = []
+        self.rows: list[TraceRow] = []
         self.cut: frozenset[int] = frozenset()  # zones that are cut off from the others
         self._make = make
         self._tries = 0
@@ -64,10 +71,10 @@
         assert event.callbacks is not None
         event.callbacks.append(lambda _: due())
 
-    def play(self) -> Story:
+    def play(self) -> Trace:
         self.env.run(BEGAN + self.scenario.length)
         scenario = self.scenario
-        return Story(tuple(self.rows), scenario.profiles, GRACE, 2 * TICK, self.now, scenario.tip_span)
+        return Trace(tuple(self.rows), scenario.profiles, GRACE, 2 * TICK, self.now, scenario.tip_span)
 
     # The network.
 
@@ -103,21 +110,25 @@
         return Node(self, self._made - 1, tier, zone, group, self._make)
 
     def _call_below(self, server: int, call: Call, left: float, done: Callable[[bool], None]) -> Below:
-        asked = Asked(call.profile, left, call.seconds, lambda final, _: done(final is Final.HONOURED))
+        asked = Asked(
+            call.profile, left, call.seconds, lambda final, _: done(final is FinalResponse.SUCCEEDED)
+        )
         return self.below[server].take(asked)
 
     def _ran(self, server: Server, call: Call) -> None:
         assert isinstance(call.name, tuple)
         node, job, dispatch = call.name
-        self.rows.append(Ran(self.now, node, job, dispatch, server.number))
+        self.rows.append(AttemptExecuted(self.now, node, job, dispatch, server.number))
 
     def _has_tipped(self, server: Server, knowing: float) -> None:
-        self.rows.append(Tipped(self.now, server.number, knowing))
+        self.rows.append(ServerOverloaded(self.now, server.number, knowing))
 
     def _has_pushed(self, server: Server, call: Call) -> None:
         mean = self.scenario.mean_work
         allowed = server.allowed() / (mean * server.tier.share)
-        self.rows.append(Pushed(self.now, server.number, call.seconds / mean, allowed, call.knowing))
+        self.rows.append(
+            ColdLoadReceived(self.now, server.number, call.seconds / mean, allowed, call.knowing)
+        )
 
     # Clients.
 
@@ -136,7 +147,7 @@
         node = self._deal()
         again = AGAIN_HARMLESS if profile.idempotency is Idempotency.IDEMPOTENT else AGAIN
 
-        def done(final: Final, advice: float) -> None:
+        def done(final: FinalResponse, advice: float) -> None:
             if final in again and tries < self.scenario.client_tries:
                 pause = max(advice, self.scenario.client_pause * self.random.uniform(1, 2))
                 self.after(pause, partial(self._ask, stream, first, began, tries + 1))
--- a/notchjunction/experiments/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -19,7 +19,7 @@
 from notchjunction.config import validation
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Scenario
-from notchjunction.emulator.trace import Story
+from notchjunction.emulator.trace import Trace
 from notchjunction.experiments import report as reports
 from notchjunction.experiments.baselines import VARIANTS
 from notchjunction.experiments.files import Experiment, read_experiment
@@ -157,7 +157,7 @@
     }
 
 
-def sound(story: Story, part: FleetPart) -> Story:
+def sound(story: Trace, part: FleetPart) -> Trace:
     """Without the nodes that were paused or killed: what they had taken can't be answered in time."""
     hit = {fault.node for fault in part.processes}
     return replace(story, rows=tuple(row for row in story.rows if getattr(row, "node", None) not in hit))
--- a/notchjunction/experiments/runs.py
+++ b/notchjunction/experiments/runs.py
@@ -16,7 +16,14 @@
 from notchjunction.emulator.checkers import breaches
 from notchjunction.emulator.node import NO_TRY
 from notchjunction.emulator.scenario import Scenario
-from notchjunction.emulator.trace import Answered, Final, Probed, Sent, Story, Taken
+from notchjunction.emulator.trace import (
+    AttemptSent,
+    FinalResponse,
+    ProbeSent,
+    RequestAccepted,
+    RequestAnswered,
+    Trace,
+)
 from notchjunction.emulator.world import BEGAN, World
 from notchjunction.experiments.baselines import VARIANTS
 from notchjunction.experiments.files import Experiment
@@ -63,37 +70,38 @@
     return {**run.said(), "died": None, **figures(story, breaches(story))}
 
 
-def figures(story: Story, broken: list[str], began: float = BEGAN) -> dict[str, Any]:
+def figures(story: Trace, broken: list[str], began: float = BEGAN) -> dict[str, Any]:
     """What a run came to, by clients' first tries: a retry belongs to the try that it repeats."""
     first_at: dict[int, float] = {}
     profile_of: dict[int, int] = {}
     tries: dict[tuple[int, int], int] = {}
     honoured_at: dict[int, float] = {}
     counts: Counter[str] = Counter()
+    responses: Counter[FinalResponse] = Counter()
     for row in story.rows:
-        if isinstance(row, Taken) and row.first_try != NO_TRY:
-            first_at.setdefault(row.first_try, row.at)
-            profile_of[row.first_try] = row.profile
-            tries[row.node, row.job] = row.first_try
+        if isinstance(row, RequestAccepted) and row.first_request != NO_TRY:
+            first_at.setdefault(row.first_request, row.at)
+            profile_of[row.first_request] = row.request_class
+            tries[row.node, row.request] = row.first_request
             counts["tries"] += 1
-        elif isinstance(row, Sent):
-            counts["again" if row.dispatch else "first"] += 1
-        elif isinstance(row, Probed):
+        elif isinstance(row, AttemptSent):
+            counts["again" if row.attempt else "first"] += 1
+        elif isinstance(row, ProbeSent):
             counts["probes"] += 1
-        elif isinstance(row, Answered):
-            if (row.node, row.job) not in tries:
+        elif isinstance(row, RequestAnswered):
+            if (row.node, row.request) not in tries:
                 continue  # a call that a server made
-            counts[row.final.name.lower()] += 1
-            if row.final is Final.HONOURED:
-                honoured_at.setdefault(tries[row.node, row.job], row.at)
+            responses[row.final] += 1
+            if row.final is FinalResponse.SUCCEEDED:
+                honoured_at.setdefault(tries[row.node, row.request], row.at)
     worth = earned = 0.0
     course: dict[int, list[float]] = {}
-    longest = max(profile.deadline for profile in story.profiles)
+    longest = max(profile.deadline for profile in story.request_classes)
     seconds = []
     for first, at in first_at.items():
         if at > story.ended_at - longest:
             continue  # its answer may still be due
-        profile = story.profiles[profile_of[first]]
+        profile = story.request_classes[profile_of[first]]
         gain = 0.0
         if first in honoured_at:
             took = honoured_at[first] - at
@@ -113,8 +121,8 @@
         "dispatches_a_job": (counts["first"] + counts["again"]) / max(1, len(first_at)),
         "retry_share": counts["again"] / max(1, counts["first"]),
         "probes_a_dispatch": counts["probes"] / max(1, counts["first"]),
-        "turned_back": counts["turned_back"],
-        "written_off": counts["written_off"],
+        "turned_back": responses[FinalResponse.REJECTED],
+        "written_off": responses[FinalResponse.FAILED],
         "p50": seconds[len(seconds) // 2] if seconds else None,
         "p99": seconds[int(len(seconds) * 0.99)] if seconds else None,
         "breaches": len(broken),
--- a/notchjunction/testbed/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -18,7 +18,7 @@
 
 from notchjunction.addresses import Address, text_of
 from notchjunction.emulator.scenario import Scenario
-from notchjunction.emulator.trace import Story
+from notchjunction.emulator.trace import Trace
 from notchjunction.testbed.links import LinkFault, Links
 from notchjunction.testbed.server import HOST, free_listener
 from notchjunction.testbed.stage import Stage
@@ -145,7 +145,7 @@
                 process.launch()
 
 
-async def staged(scenario: Scenario, part: FleetPart, folder: Path) -> tuple[FleetStage, Story]:
+async def staged(scenario: Scenario, part: FleetPart, folder: Path) -> tuple[FleetStage, Trace]:
     """Plays a scenario with its fleet; the stage, and what happened on it."""
     links = await Links([f"n{number}" for number in range(scenario.nodes)], scenario.seed).open()
     stage = FleetStage(scenario, part, folder, links)
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -35,19 +35,19 @@
 from notchjunction.emulator.scenario import Fault, Scenario, Stream
 from notchjunction.emulator.servers import Below, Call, Server, build
 from notchjunction.emulator.trace import (
-    Answered,
-    Final,
-    Landed,
-    Left,
-    Probed,
-    Ran,
-    Reached,
-    Row,
-    Sent,
-    Story,
-    Taken,
-    Tipped,
-    Told,
+    AttemptEnded,
+    AttemptExecuted,
+    AttemptSent,
+    ClientClosed,
+    DiscoveryReachable,
+    EndpointNotified,
+    FinalResponse,
+    ProbeSent,
+    RequestAccepted,
+    RequestAnswered,
+    ServerOverloaded,
+    Trace,
+    TraceRow,
 )
 from notchjunction.http1.messages import Request
 from notchjunction.testbed.client import Callers
@@ -59,7 +59,7 @@
 GRACE = 0.55  # s after word of a drain within which a send is forgiven; the rule's, and its slack on sockets
 LOOK_EVERY = 0.01  # s between looks at how late this process's own loop is; short against any bound
 SLACK = 0.1  # s past the abandon time within which a final answer is forgiven, on a busy machine
-FINALS = {200: Final.HONOURED, 429: Final.TURNED_BACK, 503: Final.TURNED_BACK}
+FINALS = {200: FinalResponse.SUCCEEDED, 429: FinalResponse.REJECTED, 503: FinalResponse.REJECTED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -88,7 +88,7 @@
         self.scenario = scenario
         self.random = Random(scenario.seed)
         self.clock = LoopClock()
-        self.rows: list[Row] = []
+        self.rows: list[TraceRow] = []
         self.counters: list[Mapping[str, float]] = []
         self.lateness = 0.0  # s by which the clients' schedule fell behind at most
         self._stall = 0.0  # s by which what had come here was read late at most
@@ -97,7 +97,9 @@
         self._callers = Callers()
         self._starts: dict[tuple[int, int], float] = {}  # by node and server, as told
         self._dispatches: dict[tuple[int, str], int] = {}
-        self._out: dict[int, Sent] = {}  # by the request's identity: two dispatches of a job may be equal
+        self._out: dict[
+            int, AttemptSent
+        ] = {}  # by the request's identity: two dispatches of a job may be equal
         self._jobs: dict[tuple[int, str], int] = {}
         self._asked = 0
         self._tasks: set[asyncio.Task[None]] = set()
@@ -121,7 +123,7 @@
 
     # The day.
 
-    async def play(self) -> Story:
+    async def play(self) -> Trace:
         """Starts all, plays the scenario's length in real time, ends all; RuntimeError where a node dies."""
         scenario = self.scenario
         try:
@@ -131,7 +133,7 @@
                 for server in row:
                     self.below[server.number] = await self._node(depth + 1, server.zone, len(row))
             await self._all_ready()
-            self.rows[:] = [row for row in self.rows if isinstance(row, Reached)]
+            self.rows[:] = [row for row in self.rows if isinstance(row, DiscoveryReachable)]
             began = self.clock.now
             self._begin()
             self._start(self._look_at_stalls())
@@ -156,7 +158,7 @@
                 standin.close()
             self._callers.close()
         crossing = GONE_AFTER + self._stall
-        return Story(story_rows, scenario.profiles, GRACE, SLACK, ended, crossing=crossing)
+        return Trace(story_rows, scenario.profiles, GRACE, SLACK, ended, cancel_delay=crossing)
 
     async def _look_at_stalls(self) -> None:
         """Guards against blaming a node for what this process read late, on a busy machine."""
@@ -278,8 +280,8 @@
             final = await self._ask(
                 node, stream.profile, left, work, first, tries > 0, stream.operator, stays
             )
-            harmless = final is Final.WRITTEN_OFF and profile.idempotency is Idempotency.IDEMPOTENT
-            if final is not Final.TURNED_BACK and not harmless:
+            harmless = final is FinalResponse.FAILED and profile.idempotency is Idempotency.IDEMPOTENT
+            if final is not FinalResponse.REJECTED and not harmless:
                 return
             await asyncio.sleep(scenario.client_pause * self.random.uniform(1, 2))
 
@@ -293,7 +295,7 @@
         repeat: bool,
         operator: int = 0,
         stays: float | None = None,
-    ) -> Final:
+    ) -> FinalResponse:
         """How the node answered in `left` seconds; after `stays`, if any, the caller closes."""
         job = len(self._jobs) + 1
         name = f"j{job}"
@@ -310,31 +312,31 @@
         }
         method = "GET" if effect is Idempotency.IDEMPOTENT else "POST"
         request = Request(method, f"{protocol.REQUEST_PATH}?{WORK}={work:.5f}", headers)
-        self.rows.append(Taken(self.clock.now, node, job, profile, self.clock.now + left, first))
+        self.rows.append(RequestAccepted(self.clock.now, node, job, profile, self.clock.now + left, first))
         try:
             place = self._places[node].process.listen
             async with asyncio.timeout(stays):
                 status = await self._callers.ask(place, request, left + SLACK / 2)
         except TimeoutError:
-            self.rows.append(Answered(self.clock.now, node, job, Final.WITHDRAWN))
-            return Final.WITHDRAWN
+            self.rows.append(RequestAnswered(self.clock.now, node, job, FinalResponse.CANCELLED))
+            return FinalResponse.CANCELLED
         except asyncio.CancelledError:
-            self.rows.append(Answered(self.clock.now, node, job, Final.WITHDRAWN))
+            self.rows.append(RequestAnswered(self.clock.now, node, job, FinalResponse.CANCELLED))
             raise
         if status is None:
-            self.rows.append(Left(self.clock.now, node, job))
-            return Final.WRITTEN_OFF  # no answer at all: no row, and the rule on answers is broken
-        final = FINALS.get(status, Final.WRITTEN_OFF)
-        self.rows.append(Answered(self.clock.now, node, job, final))
+            self.rows.append(ClientClosed(self.clock.now, node, job))
+            return FinalResponse.FAILED  # no answer at all: no row, and the rule on answers is broken
+        final = FINALS.get(status, FinalResponse.FAILED)
+        self.rows.append(RequestAnswered(self.clock.now, node, job, final))
         return final
 
     def _call_below(self, server: int, call: Call, left: float, done: Callable[[bool], None]) -> Below:
         async def ask() -> None:
             node = self.below.get(server)
-            final = Final.WRITTEN_OFF
+            final = FinalResponse.FAILED
             if node is not None:
                 final = await self._ask(node, call.profile, left, call.seconds, NO_TRY, False)
-            done(final is Final.HONOURED)
+            done(final is FinalResponse.SUCCEEDED)
 
         return _Flight(self._start(ask()))
 
@@ -347,32 +349,34 @@
         self._dispatches[node, name] = number + 1
         job = self._jobs.get((node, name), 0)
         now = self.clock.now
-        sent = Sent(now, node, job, number, server.number, now + time_left(request))
+        sent = AttemptSent(now, node, job, number, server.number, now + time_left(request))
         self.rows.append(sent)
         self._out[id(request)] = sent
         return self._starts.get((node, server.number), 0.0) >= server.started_at
 
     def _has_landed(self, node: int, request: Request) -> None:
         sent = self._out.pop(id(request))
-        self.rows.append(Landed(self.clock.now, node, sent.job, sent.dispatch, sent.server))
+        self.rows.append(AttemptEnded(self.clock.now, node, sent.request, sent.attempt, sent.server))
 
     def _probed(self, server: Server, node: int) -> None:
-        self.rows.append(Probed(self.clock.now, node, server.number))
+        self.rows.append(ProbeSent(self.clock.now, node, server.number))
 
     def _ran(self, server: Server, call: Call) -> None:
         assert isinstance(call.name, tuple)
         node, name, _ = call.name
         number = self._dispatches.get((node, name), 1) - 1
-        self.rows.append(Ran(self.clock.now, node, self._jobs.get((node, name), 0), number, server.number))
+        self.rows.append(
+            AttemptExecuted(self.clock.now, node, self._jobs.get((node, name), 0), number, server.number)
+        )
 
     def _tipped(self, server: Server, knowing: float) -> None:
-        self.rows.append(Tipped(self.clock.now, server.number, knowing))
+        self.rows.append(ServerOverloaded(self.clock.now, server.number, knowing))
         self.clock.after(0.0, partial(self.stop, server))
 
     def _told(self, node: int, entries: Sequence[EndpointEntry]) -> None:
         now = self.clock.now
         self._starts.update({(node, entry.number): entry.started_at for entry in entries})
-        self.rows += [Told(now, node, entry.number, entry.state) for entry in entries]
+        self.rows += [EndpointNotified(now, node, entry.number, entry.state) for entry in entries]
 
 
 SEEN = (
@@ -386,6 +390,6 @@
 )
 
 
-def breaches(story: Story) -> list[str]:
+def breaches(story: Trace) -> list[str]:
     """What stand-ins can see of the rules; probes that meet a dead server they do not."""
     return [f"{checker.__name__}: {text}" for checker in SEEN for text in checker(story)]
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -31,16 +31,16 @@
 )
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
 from notchjunction.emulator.trace import (
-    Answered,
-    Final,
-    Left,
-    Published,
-    Reached,
-    Row,
-    Sent,
-    Story,
-    Taken,
-    Told,
+    AttemptSent,
+    ClientClosed,
+    DiscoveryReachable,
+    EndpointNotified,
+    EndpointPublished,
+    FinalResponse,
+    RequestAccepted,
+    RequestAnswered,
+    Trace,
+    TraceRow,
 )
 from notchjunction.emulator.world import GRACE, World
 
@@ -56,8 +56,8 @@
 }
 
 
-def share(story: Story, final: Final) -> float:
-    finals = [row.final for row in story.rows if isinstance(row, Answered)]
+def share(story: Trace, final: FinalResponse) -> float:
+    finals = [row.final for row in story.rows if isinstance(row, RequestAnswered)]
     return finals.count(final) / len(finals)
 
 
@@ -68,7 +68,7 @@
     rate = 10.0 if name == "list silent" else CALM.list_rate
     story = World(replace(CALM, name=name, nodes=nodes, list_rate=rate, faults=FAULTS[name])).play()
     assert breaches(story) == []
-    assert share(story, Final.HONOURED) > 0.8
+    assert share(story, FinalResponse.SUCCEEDED) > 0.8
 
 
 def test_the_same_seed_gives_the_same_rows_and_another_one_others() -> None:
@@ -78,7 +78,7 @@
 
 def test_a_fleet_that_is_asked_for_too_much_turns_back_and_breaks_no_rule() -> None:
     story = World(replace(CALM, streams=(Stream(0, 600.0), Stream(1, 100.0)))).play()
-    assert breaches(story) == [] and share(story, Final.TURNED_BACK) > 0.2
+    assert breaches(story) == [] and share(story, FinalResponse.REJECTED) > 0.2
 
 
 class Mute(Balancer):
@@ -222,7 +222,11 @@
 def test_word_of_changes_reaches_every_node_through_discovery() -> None:
     scenario = replace(CALM, nodes=40, faults=(Fault(Kind.DRAIN, 6.0, 11.9, (0,)),), length=30.0)
     rows = World(scenario).play().rows
-    heard = {row.node for row in rows if isinstance(row, Told) and row.presence is not EndpointState.ACTIVE}
+    heard = {
+        row.node
+        for row in rows
+        if isinstance(row, EndpointNotified) and row.state is not EndpointState.ACTIVE
+    }
     assert heard == set(range(40))
 
 
@@ -236,8 +240,10 @@
 def test_a_node_that_never_finds_a_watch_silent_is_caught_and_the_real_one_is_not(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def heard(story: Story) -> bool:
-        return any(isinstance(row, Told) and row.presence is EndpointState.DRAINING for row in story.rows)
+    def heard(story: Trace) -> bool:
+        return any(
+            isinstance(row, EndpointNotified) and row.state is EndpointState.DRAINING for row in story.rows
+        )
 
     for seed in (1, 2, 3):
         story = World(replace(SILENT, seed=seed)).play()
@@ -250,13 +256,13 @@
 
 HAS = 10.0  # the moment at which discovery has the change
 COUNTS = HAS + TOLD_AFTER
-JOINED = Reached(0.0, 1, 0, True)
-DRAINING = Published(HAS, 0, 5, EndpointState.DRAINING)
-BROKEN_OFF, BACK = Reached(HAS - 1, 1, 0, False), Reached(HAS + 20, 1, 0, True)
+JOINED = DiscoveryReachable(0.0, 1, 0, True)
+DRAINING = EndpointPublished(HAS, 0, 5, EndpointState.DRAINING)
+BROKEN_OFF, BACK = DiscoveryReachable(HAS - 1, 1, 0, False), DiscoveryReachable(HAS + 20, 1, 0, True)
 
 
-def sent(at: float, node: int = 1, server: int = 5) -> Sent:
-    return Sent(at, node, 1, 0, server)
+def sent(at: float, node: int = 1, server: int = 5) -> AttemptSent:
+    return AttemptSent(at, node, 1, 0, server)
 
 
 @pytest.mark.parametrize(
@@ -267,60 +273,83 @@
         ([JOINED, DRAINING, sent(COUNTS + GRACE + 0.01)], True),
         ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + GRACE)], False),
         ([JOINED, DRAINING, sent(COUNTS + 9.0, server=6)], False),
-        ([JOINED, Published(HAS, 0, 5, EndpointState.REMOVED), sent(COUNTS + GRACE + 0.01)], True),
+        ([JOINED, EndpointPublished(HAS, 0, 5, EndpointState.REMOVED), sent(COUNTS + GRACE + 0.01)], True),
         (
             [
                 JOINED,
                 DRAINING,
-                Published(HAS + 5.0, 0, 5, EndpointState.REMOVED),
+                EndpointPublished(HAS + 5.0, 0, 5, EndpointState.REMOVED),
                 sent(COUNTS + GRACE + 0.01),
             ],
             True,
         ),
         # Word of it is another rule's.
-        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS)], False),
-        ([JOINED, DRAINING, Told(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS + 1.0)], True),
+        ([JOINED, DRAINING, EndpointNotified(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS)], False),
+        (
+            [JOINED, DRAINING, EndpointNotified(HAS + 0.1, 1, 5, EndpointState.DRAINING), sent(COUNTS + 1.0)],
+            True,
+        ),
         # Not to be reached: from the end of that.
         ([JOINED, BROKEN_OFF, DRAINING, sent(HAS + 30.0)], False),
         ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE)], False),
         ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, Reached(HAS + 5.9, 1, 0, False), sent(COUNTS + GRACE + 1.0)], False),
-        ([JOINED, DRAINING, Reached(COUNTS + 0.1, 1, 0, False), sent(COUNTS + GRACE + 1.0)], True),
-        ([JOINED, Reached(0.0, 2, 0, True), BROKEN_OFF, DRAINING, sent(COUNTS + 9.0, node=2)], True),
+        ([JOINED, DRAINING, DiscoveryReachable(HAS + 5.9, 1, 0, False), sent(COUNTS + GRACE + 1.0)], False),
+        ([JOINED, DRAINING, DiscoveryReachable(COUNTS + 0.1, 1, 0, False), sent(COUNTS + GRACE + 1.0)], True),
+        (
+            [JOINED, DiscoveryReachable(0.0, 2, 0, True), BROKEN_OFF, DRAINING, sent(COUNTS + 9.0, node=2)],
+            True,
+        ),
         # A later start of the server, and a change after that.
-        ([JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE), sent(COUNTS + 9.0)], False),
+        (
+            [JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE), sent(COUNTS + 9.0)],
+            False,
+        ),
         (
             [
-                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE)),
-                *(Published(HAS + 9, 0, 5, EndpointState.REMOVED), sent(HAS + 9 + TOLD_AFTER + GRACE)),
+                *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
+                *(
+                    EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
+                    sent(HAS + 9 + TOLD_AFTER + GRACE),
+                ),
             ],
             False,
         ),
         (
             [
-                *(JOINED, DRAINING, Published(HAS + 1, 0, 5, EndpointState.ACTIVE)),
-                *(Published(HAS + 9, 0, 5, EndpointState.REMOVED), sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01)),
+                *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
+                *(
+                    EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
+                    sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01),
+                ),
             ],
             True,
         ),
         # A node of another tier, and one that began with the list as it was after the change.
-        ([Reached(0.0, 1, 1, True), DRAINING, sent(COUNTS + 9.0)], False),
-        ([DRAINING, Reached(HAS + 1, 1, 0, True), sent(COUNTS + 9.0)], False),
-        ([Reached(HAS - 1, 1, 0, False), DRAINING, Reached(HAS + 1, 1, 0, True), sent(COUNTS + 2.0)], True),
+        ([DiscoveryReachable(0.0, 1, 1, True), DRAINING, sent(COUNTS + 9.0)], False),
+        ([DRAINING, DiscoveryReachable(HAS + 1, 1, 0, True), sent(COUNTS + 9.0)], False),
+        (
+            [
+                DiscoveryReachable(HAS - 1, 1, 0, False),
+                DRAINING,
+                DiscoveryReachable(HAS + 1, 1, 0, True),
+                sent(COUNTS + 2.0),
+            ],
+            True,
+        ),
     ],
 )
 def test_a_change_counts_6_s_after_discovery_had_it_and_could_be_reached(
-    rows: list[Row], broken: bool
+    rows: list[TraceRow], broken: bool
 ) -> None:
-    story = Story(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
     assert bool(list(told_in_time(story))) is broken
 
 
-CLOSED = Answered(10.0, 1, 1, Final.WITHDRAWN)
+CLOSED = RequestAnswered(10.0, 1, 1, FinalResponse.CANCELLED)
 
 
-def again(at: float, node: int = 1, job: int = 1, dispatch: int = 1) -> Sent:
-    return Sent(at, node, job, dispatch, 5)
+def again(at: float, node: int = 1, job: int = 1, dispatch: int = 1) -> AttemptSent:
+    return AttemptSent(at, node, job, dispatch, 5)
 
 
 @pytest.mark.parametrize(
@@ -331,48 +360,50 @@
         ([CLOSED, again(10.11, dispatch=0)], True),
         ([CLOSED, again(10.05), again(10.11, dispatch=2)], True),
         ([CLOSED, again(15.0, job=2), again(15.0, node=2)], False),
-        ([Answered(10.0, 1, 1, Final.HONOURED), again(15.0)], False),  # one_answer's
-        ([Left(10.0, 1, 1), again(10.09)], False),
-        ([Left(10.0, 1, 1), again(10.11)], True),
+        ([RequestAnswered(10.0, 1, 1, FinalResponse.SUCCEEDED), again(15.0)], False),  # one_answer's
+        ([ClientClosed(10.0, 1, 1), again(10.09)], False),
+        ([ClientClosed(10.0, 1, 1), again(10.11)], True),
         ([again(9.0, dispatch=0), CLOSED], False),
     ],
 )
-def test_a_caller_that_has_closed_gets_no_attempt_later(rows: list[Row], broken: bool) -> None:
-    story = Story(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+def test_a_caller_that_has_closed_gets_no_attempt_later(rows: list[TraceRow], broken: bool) -> None:
+    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
     assert bool(list(none_for_the_gone(story))) is broken
 
 
 @pytest.mark.parametrize(
     ("end", "crossing", "after", "broken"),
     [
-        (Final.WITHDRAWN, 0.0, 0.0, True),
-        (Final.WITHDRAWN, GONE_AFTER, 0.09, False),
-        (Final.WITHDRAWN, GONE_AFTER, 0.11, True),
-        (Final.WITHDRAWN, GONE_AFTER + 0.05, 0.14, False),  # read by so much late at most
-        (Final.WITHDRAWN, GONE_AFTER + 0.05, 0.16, True),
-        (Final.HONOURED, GONE_AFTER, 0.0, True),
-        (Final.TURNED_BACK, GONE_AFTER, 0.09, True),
+        (FinalResponse.CANCELLED, 0.0, 0.0, True),
+        (FinalResponse.CANCELLED, GONE_AFTER, 0.09, False),
+        (FinalResponse.CANCELLED, GONE_AFTER, 0.11, True),
+        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.14, False),  # read by so much late at most
+        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.16, True),
+        (FinalResponse.SUCCEEDED, GONE_AFTER, 0.0, True),
+        (FinalResponse.REJECTED, GONE_AFTER, 0.09, True),
     ],
 )
 def test_a_send_may_cross_its_callers_close_on_sockets_and_no_other_end(
-    end: Final, crossing: float, after: float, broken: bool
+    end: FinalResponse, crossing: float, after: float, broken: bool
 ) -> None:
-    rows = (Taken(9.0, 1, 1, 0, 12.0, 1), Answered(10.0, 1, 1, end), again(10.0 + after))
-    story = Story(rows, CALM.profiles, GRACE, 0.01, 11.0, crossing=crossing)
+    rows = (RequestAccepted(9.0, 1, 1, 0, 12.0, 1), RequestAnswered(10.0, 1, 1, end), again(10.0 + after))
+    story = Trace(rows, CALM.profiles, GRACE, 0.01, 11.0, cancel_delay=crossing)
     assert bool(list(one_answer(story))) is broken
-    late = end is Final.WITHDRAWN and after > max(GONE_AFTER, crossing)
+    late = end is FinalResponse.CANCELLED and after > max(GONE_AFTER, crossing)
     assert bool(list(none_for_the_gone(story))) is late
 
 
 def test_so_many_clients_leave_early_and_do_not_come_again() -> None:
     story = World(replace(CALM, streams=BUSY, client_leaves=1.0)).play()
     assert breaches(story) == []
-    tries: dict[int, list[Taken]] = {}
+    tries: dict[int, list[RequestAccepted]] = {}
     for row in story.rows:
-        if isinstance(row, Taken):
-            tries.setdefault(row.first_try, []).append(row)
-    first_of = {(row.node, row.job): first for first, rows in tries.items() for row in rows}
-    gone = [row for row in story.rows if isinstance(row, Answered) and row.final is Final.WITHDRAWN]
+        if isinstance(row, RequestAccepted):
+            tries.setdefault(row.first_request, []).append(row)
+    first_of = {(row.node, row.request): first for first, rows in tries.items() for row in rows}
+    gone = [
+        row for row in story.rows if isinstance(row, RequestAnswered) and row.final is FinalResponse.CANCELLED
+    ]
     assert len(gone) > 100
     for row in gone:
-        assert tries[first_of[row.node, row.job]][-1].job == row.job
+        assert tries[first_of[row.node, row.request]][-1].request == row.request
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -20,7 +20,7 @@
 from notchjunction.config import validation
 from notchjunction.emulator.checkers import limit_held
 from notchjunction.emulator.scenario import Scenario, Stream
-from notchjunction.emulator.trace import Answered, Final
+from notchjunction.emulator.trace import FinalResponse, RequestAnswered
 from notchjunction.errors import FleetError
 from notchjunction.fleet.agent import FleetAgent, read_section
 from notchjunction.fleet.envelope import ForgedError, MalformedError
@@ -352,6 +352,6 @@
     )
     stage, story = asyncio.run(asyncio.wait_for(staged(scenario, part, tmp_path), 120))
     assert list(limit_held(story.rows, part.most, SEEN_LATE)) == []
-    finals = [row.final for row in story.rows if isinstance(row, Answered)]
-    assert finals.count(Final.HONOURED) > 10 and Final.TURNED_BACK in finals
+    finals = [row.final for row in story.rows if isinstance(row, RequestAnswered)]
+    assert finals.count(FinalResponse.SUCCEEDED) > 10 and FinalResponse.REJECTED in finals
     assert not any(counters.get("fleet_datagrams_rejected_forged") for counters in stage.counters)
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -19,7 +19,7 @@
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
-from notchjunction.emulator.trace import Landed, Probed, Row, Sent
+from notchjunction.emulator.trace import AttemptEnded, AttemptSent, ProbeSent, TraceRow
 from notchjunction.emulator.world import BEGAN, World
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import links as of_links
@@ -195,11 +195,13 @@
     assert "client_connections_closed" in await node.end()
 
 
-def rows_of(*dispatches: tuple[float, float, float], last: float = 0.0) -> list[Row]:
+def rows_of(*dispatches: tuple[float, float, float], last: float = 0.0) -> list[TraceRow]:
     """Each: when it is sent, when it has landed, when its time is over; and a row of another kind."""
-    rows: list[Row] = [Sent(at, 0, job, 0, 0, over) for job, (at, _, over) in enumerate(dispatches)]
-    rows += [Landed(at, 0, job, 0, 0) for job, (_, at, _) in enumerate(dispatches) if at < inf]
-    return sorted([*rows, Probed(last, 0, 0)], key=lambda row: row.at)
+    rows: list[TraceRow] = [
+        AttemptSent(at, 0, job, 0, 0, over) for job, (at, _, over) in enumerate(dispatches)
+    ]
+    rows += [AttemptEnded(at, 0, job, 0, 0) for job, (_, at, _) in enumerate(dispatches) if at < inf]
+    return sorted([*rows, ProbeSent(last, 0, 0)], key=lambda row: row.at)
 
 
 @pytest.mark.parametrize(
@@ -214,7 +216,9 @@
         (rows_of((0, inf, 9), (0, inf, 9), (1, inf, 9), last=1.2), 0.1, False),
     ],
 )
-def test_a_story_that_goes_one_over_its_limit_is_caught(rows: list[Row], slack: float, holds: bool) -> None:
+def test_a_story_that_goes_one_over_its_limit_is_caught(
+    rows: list[TraceRow], slack: float, holds: bool
+) -> None:
     assert (list(limit_held(rows, 2, slack)) == []) == holds
 
 
@@ -231,7 +235,11 @@
     short = (RequestClass(0.3, 0.5, idempotency=Idempotency.IDEMPOTENT),)
     scenario = Scenario("short", 1, 3, length=2.0, profiles=short, streams=(Stream(0, 40.0),), faults=faults)
     found = await Stage(scenario, tmp_path).play()
-    sent = [row for row in found.rows if isinstance(row, Sent) and row.until < found.ended_at - 0.3]
-    landed = Counter((row.node, row.job, row.dispatch) for row in found.rows if isinstance(row, Landed))
+    sent = [
+        row for row in found.rows if isinstance(row, AttemptSent) and row.timeout_at < found.ended_at - 0.3
+    ]
+    landed = Counter(
+        (row.node, row.request, row.attempt) for row in found.rows if isinstance(row, AttemptEnded)
+    )
     assert len(sent) > 40 and max(landed.values()) == 1
-    assert {(row.node, row.job, row.dispatch) for row in sent} <= landed.keys()
+    assert {(row.node, row.request, row.attempt) for row in sent} <= landed.keys()
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -20,7 +20,7 @@
 from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
 from notchjunction.emulator.node import Make, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
-from notchjunction.emulator.trace import Answered, Final, Pushed, Story
+from notchjunction.emulator.trace import ColdLoadReceived, FinalResponse, RequestAnswered, Trace
 from notchjunction.emulator.world import World
 from tests.helpers import FakeHost
 
@@ -123,13 +123,13 @@
     honoured: float  # of all jobs
 
 
-def seen(story: Story) -> Seen:
+def seen(story: Trace) -> Seen:
     windows = [window for window in cold_windows(story) if window.knowing >= KNOWING_SHARE]
     excesses = [window.excess for window in windows]
     used = sum(window.pushed / window.allowed for window in windows) / max(1, len(windows))
-    finals = [row.final for row in story.rows if isinstance(row, Answered)]
+    finals = [row.final for row in story.rows if isinstance(row, RequestAnswered)]
     over = sum(excess > CHANCE_ROOTS for excess in excesses)
-    honoured = finals.count(Final.HONOURED) / max(1, len(finals))
+    honoured = finals.count(FinalResponse.SUCCEEDED) / max(1, len(finals))
     return Seen(len(windows), over, max(excesses, default=-inf), used, honoured)
 
 
@@ -176,12 +176,15 @@
 def test_the_checker_adds_up_all_nodes_requests_in_one_span(window: tuple[float, bool]) -> None:
     """Nine are allowed: chance may add two roots and two more. What came before the span counts no more."""
     pushed, is_over = window
-    rows = [Pushed(at, 0, work, 9.0, True) for at, work in ((1.0, 90.0), (4.0, pushed - 2.0), (4.9, 2.0))]
-    story = Story(tuple(rows[1:]), (), 0.0, 0.0, 10.0, tip_span=1.0)
+    rows = [
+        ColdLoadReceived(at, 0, work, 9.0, True)
+        for at, work in ((1.0, 90.0), (4.0, pushed - 2.0), (4.9, 2.0))
+    ]
+    story = Trace(tuple(rows[1:]), (), 0.0, 0.0, 10.0, overload_window=1.0)
     assert bool(list(cold_sum(story))) is is_over
     summed = [round(window.pushed, 6) for window in cold_windows(replace(story, rows=tuple(rows)))]
     assert summed == [90.0, round(pushed - 2.0, 6), pushed]
-    untold = replace(story, rows=tuple(replace(row, knowing=False) for row in rows[1:]))
+    untold = replace(story, rows=tuple(replace(row, informed=False) for row in rows[1:]))
     assert list(cold_sum(untold)) == []
 
 
@@ -222,13 +225,13 @@
         for row in sent:
             host.end(row[1])
     pushed = [
-        Pushed(
+        ColdLoadReceived(
             at, server, 1.0, multiple * take * span * (share + (1 - share) * (at - began) / cold_time), True
         )
         for at, server in host.sent_at
         if at >= began and server < 9
     ]
-    story = Story(tuple(pushed), (), 0.0, 0.0, host.clock, tip_span=span)
+    story = Trace(tuple(pushed), (), 0.0, 0.0, host.clock, overload_window=span)
     assert list(cold_sum(story)) == [] and seen(story).windows > 9
 
 
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -22,7 +22,14 @@
 from notchjunction.emulator.discovery import Discovery
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.servers import Server
-from notchjunction.emulator.trace import Answered, Final, Left, Ran, Taken, Told
+from notchjunction.emulator.trace import (
+    AttemptExecuted,
+    ClientClosed,
+    EndpointNotified,
+    FinalResponse,
+    RequestAccepted,
+    RequestAnswered,
+)
 from notchjunction.experiments.cli import on_sockets, unaccounted
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import process
@@ -197,7 +204,7 @@
         stage = Stage(scenario, tmp_path)
         found = await stage.play()
         assert breaches(found) == []
-        ran = {row.server for row in found.rows if isinstance(row, Ran)}
+        ran = {row.server for row in found.rows if isinstance(row, AttemptExecuted)}
         assert ran == {0, 1, 2, 3}
         return stage
 
@@ -224,7 +231,7 @@
 
     async def story() -> None:
         found = await Stage(scenario, tmp_path).play()
-        assert any(isinstance(row, Told) for row in found.rows)
+        assert any(isinstance(row, EndpointNotified) for row in found.rows)
         assert any(text.startswith("clean_drains") for text in breaches(found))
 
     asyncio.run(story())
@@ -251,7 +258,9 @@
     async def story() -> None:
         found = await Stage(scenario, tmp_path).play()
         told = {
-            row.node for row in found.rows if isinstance(row, Told) and row.presence is EndpointState.DRAINING
+            row.node
+            for row in found.rows
+            if isinstance(row, EndpointNotified) and row.state is EndpointState.DRAINING
         }
         assert (len(told) == scenario.nodes) is finds_out
         caught = {text.partition(":")[0] for text in breaches(found)}
@@ -289,7 +298,9 @@
 
     async def story() -> None:
         found = await Stage(scenario, tmp_path).play()
-        assert any(isinstance(row, Answered) and row.final is Final.WITHDRAWN for row in found.rows)
+        assert any(
+            isinstance(row, RequestAnswered) and row.final is FinalResponse.CANCELLED for row in found.rows
+        )
         caught = {text.partition(":")[0] for text in breaches(found)}
         assert not caught if gives_up else "none_for_the_gone" in caught
 
@@ -309,11 +320,11 @@
         listening = await asyncio.start_server(never, HOST, 0)
         place = listening.sockets[0].getsockname()
         stage._places[0] = SimpleNamespace(process=SimpleNamespace(listen=place))  # type: ignore[assignment]
-        assert await stage._ask(0, 0, 0.1, 0.01, 1, False) is Final.WRITTEN_OFF
+        assert await stage._ask(0, 0, 0.1, 0.01, 1, False) is FinalResponse.FAILED
         await heard.wait()
-        assert [type(row) for row in stage.rows] == [Taken, Left]
-        assert await stage._ask(0, 0, 9.0, 0.01, 1, False, stays=0.1) is Final.WITHDRAWN
-        assert stage.rows[-1] == Answered(stage.rows[-1].at, 0, 2, Final.WITHDRAWN)
+        assert [type(row) for row in stage.rows] == [RequestAccepted, ClientClosed]
+        assert await stage._ask(0, 0, 9.0, 0.01, 1, False, stays=0.1) is FinalResponse.CANCELLED
+        assert stage.rows[-1] == RequestAnswered(stage.rows[-1].at, 0, 2, FinalResponse.CANCELLED)
         listening.close()
 
     run(story())
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -21,7 +21,16 @@
 from notchjunction.emulator.node import NO_TRY, Link, Links
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.servers import Call, Numbers, Server
-from notchjunction.emulator.trace import Answered, Final, Published, Reached, Row, Sent, Taken, Told
+from notchjunction.emulator.trace import (
+    AttemptSent,
+    DiscoveryReachable,
+    EndpointNotified,
+    EndpointPublished,
+    FinalResponse,
+    RequestAccepted,
+    RequestAnswered,
+    TraceRow,
+)
 from notchjunction.emulator.world import World
 from notchjunction.experiments.baselines import VARIANTS
 from notchjunction.experiments.runs import figures
@@ -85,14 +94,14 @@
 def test_a_job_is_called_on_through_all_tiers_and_each_call_is_a_job_of_its_own() -> None:
     world = World(DEEP)
     story = world.play()
-    taken = [row for row in story.rows if isinstance(row, Taken)]
-    first = [row for row in taken if row.first_try != NO_TRY]
+    taken = [row for row in story.rows if isinstance(row, RequestAccepted)]
+    first = [row for row in taken if row.first_request != NO_TRY]
     tier_of = {node.number: node.tier for node in [*world.nodes, *world.below.values()]}
     second, third = (sum(tier_of[row.node] == depth for row in taken) for depth in (1, 2))
     assert 0.9 * len(first) < second <= len(first) and 1.1 * second < third < 1.5 * second
     # What a server calls on for has no more time than callers of its profile ever give.
-    left = [max(row.abandon_at - row.at for row in first if row.profile == profile) for profile in (0, 1)]
-    assert all(row.abandon_at - row.at <= left[row.profile] for row in taken)
+    left = [max(row.deadline - row.at for row in first if row.request_class == profile) for profile in (0, 1)]
+    assert all(row.deadline - row.at <= left[row.request_class] for row in taken)
 
 
 def test_a_server_that_goes_takes_its_node_and_the_calls_under_way_with_it() -> None:
@@ -103,9 +112,12 @@
     after = world.below[0]
     assert before is not after and not before.alive and after.alive
     assert not any(
-        isinstance(row, Sent) and row.node == before.number and row.at > 1_000_004.1 for row in story.rows
+        isinstance(row, AttemptSent) and row.node == before.number and row.at > 1_000_004.1
+        for row in story.rows
     )
-    withdrawn = [row for row in story.rows if isinstance(row, Answered) and row.final is Final.WITHDRAWN]
+    withdrawn = [
+        row for row in story.rows if isinstance(row, RequestAnswered) and row.final is FinalResponse.CANCELLED
+    ]
     assert withdrawn and breaches(story) == []
 
 
@@ -126,7 +138,7 @@
     assert len(seen) == 1
 
 
-def rows_of(scenario: Scenario) -> tuple[Row, ...]:
+def rows_of(scenario: Scenario) -> tuple[TraceRow, ...]:
     return World(replace(scenario, length=4.0)).play().rows
 
 
@@ -232,7 +244,7 @@
     for number in (0, at):
         world.servers[number].reach(Call((0, 1, number), 0, 0.1, float("inf"), results.append, number=(0, 1)))
     world.env.run(world.now + 1.0)
-    ran = sum(type(row).__name__ == "Ran" for row in world.rows)
+    ran = sum(type(row).__name__ == "AttemptExecuted" for row in world.rows)
     assert results == [AttemptResult.SUCCEEDED] * 2 and ran == runs
 
 
@@ -292,7 +304,7 @@
     heard = {
         row.node: row.at
         for row in World(scenario).play().rows
-        if isinstance(row, Told) and row.presence is EndpointState.DRAINING
+        if isinstance(row, EndpointNotified) and row.state is EndpointState.DRAINING
     }
     late = sum(at > 1_000_009.0 for at in heard.values())
     assert len(heard) == 10 and 2 <= late <= 8
@@ -313,7 +325,7 @@
 
 
 def test_a_watch_is_answered_when_its_wait_is_over_and_never_once_it_has_fallen_silent() -> None:
-    clock, rows = Hand(), list[Row]()
+    clock, rows = Hand(), list[TraceRow]()
     discovery = Discovery(replace(CALM, list_rate=2.0, list_delay=0.0), clock, 1, rows.append)
     discovery.join(0, 7)
     heard: list[tuple[int, int]] = []
@@ -337,11 +349,11 @@
     assert heard == [(0, 0)] * 2
     discovery.watch(0, 7, 0, answered, 2.0)
     assert heard == [(0, 0), (0, 0), (1, 1)]
-    assert [type(row) for row in rows] == [Reached, Published]
+    assert [type(row) for row in rows] == [DiscoveryReachable, EndpointPublished]
 
 
 def test_who_can_reach_discovery_is_noted_as_it_changes_and_no_more_of_who_has_gone() -> None:
-    clock, rows = Hand(), list[Row]()
+    clock, rows = Hand(), list[TraceRow]()
     discovery = Discovery(CALM, clock, 1, rows.append)
     for asker in (1, 2, 3):
         discovery.join(0, asker)
@@ -350,7 +362,7 @@
     discovery.down()
     discovery.split(lambda asker: False)
     discovery.back()
-    seen = [(row.node, row.reachable) for row in rows if isinstance(row, Reached)]
+    seen = [(row.node, row.reachable) for row in rows if isinstance(row, DiscoveryReachable)]
     assert seen == [(1, True), (2, True), (3, True), (2, False), (1, False), (1, True), (2, True)]
 
 
