--- a/notchjunction/emulator/faults.py
+++ b/notchjunction/emulator/faults.py
@@ -1,4 +1,4 @@
-"""What each fault does to the world as it begins and as it ends: a table."""
+"""The effects of each kind of fault on the emulated world, as it begins and as it ends."""
 
 from __future__ import annotations
 
@@ -11,127 +11,131 @@
 from notchjunction.emulator.servers import Server
 
 
-class Place(Protocol):
-    """Where faults happen: the world in virtual time, or a stage on sockets."""
+class FaultTarget(Protocol):
+    """Where faults happen: the world in virtual time, or the testbed's stage on sockets."""
 
     discovery: Discovery
-    cut: frozenset[int]
+    cut: frozenset[int]  # the zones that are partitioned from all others
 
-    def stop(self, server: Server) -> None: ...
+    def stop(self, server: Server) -> None:
+        """Crash the server: its connections are reset and new ones refused."""
 
-    def start(self, server: Server) -> None: ...
+    def start(self, server: Server) -> None:
+        """Start the server again, with a new start time."""
 
 
-Do = Callable[[Place, Fault, list[Server]], None]
+Effect = Callable[[FaultTarget, Fault, list[Server]], None]
 
 
-class Row(NamedTuple):
-    begins: Do
-    ends: Do
+class FaultEffects(NamedTuple):
+    """What a kind of fault does as it begins and as it ends."""
 
+    begins: Effect
+    ends: Effect
 
-def _set(name: str, calm: object) -> Row:
-    """A figure of the fault's servers that is its size while it lasts."""
 
-    def put(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _set_attribute(name: str, normal: float) -> FaultEffects:
+    """Set an attribute of the fault's servers to the fault's size while the fault lasts."""
+
+    def apply(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
         for server in servers:
             setattr(server, name, fault.size)
 
-    def take_back(place: Place, fault: Fault, servers: list[Server]) -> None:
+    def revert(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
         for server in servers:
-            setattr(server, name, calm)
+            setattr(server, name, normal)
 
-    return Row(put, take_back)
+    return FaultEffects(apply, revert)
 
 
-def _crash(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _crash(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        place.stop(server)
+        target.stop(server)
 
 
-def _restart(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _restart(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        place.start(server)
-        place.discovery.changed(fault.tier, server)
+        target.start(server)
+        target.discovery.changed(fault.tier, server)
 
 
-def _hang(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _hang(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
         server.hung = True
 
 
-def _wake(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _resume(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
         server.hung = False
-        server._work_on()
+        server.start_queued()
 
 
-def _drain(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _drain(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
         server.presence = EndpointState.DRAINING
-        place.discovery.changed(fault.tier, server)
+        target.discovery.changed(fault.tier, server)
 
 
-def _remove(place: Place, fault: Fault, servers: list[Server]) -> None:
+def _remove(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
         server.presence = EndpointState.REMOVED
-        place.stop(server)
-        place.discovery.changed(fault.tier, server)
+        target.stop(server)
+        target.discovery.changed(fault.tier, server)
 
 
-def _cut(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.cut = frozenset(fault.zones)
+def _partition(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.cut = frozenset(fault.zones)
 
 
-def _mend(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.cut = frozenset()
+def _heal_partition(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.cut = frozenset()
 
 
-def _list_down(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.down()
+def _stop_discovery(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.down()
 
 
-def _list_up(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.back()
+def _resume_discovery(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.back()
 
 
-def _list_late(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.late = fault.size
+def _delay_changes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.late = fault.size
 
 
-def _list_timely(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.late = 0.0
+def _publish_in_time(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.late = 0.0
 
 
-def _split(place: Place, fault: Fault, servers: list[Server]) -> None:
-    # By number, evenly over the nodes: the same ones for as long as it lasts.
-    place.discovery.split(lambda asker: (asker * 0.618) % 1.0 < fault.size)
+def _cut_off_nodes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    # By number, evenly over the nodes: the same nodes for as long as the fault lasts.
+    target.discovery.split(lambda node: (node * 0.618) % 1.0 < fault.size)
 
 
-def _unite(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.split(lambda asker: False)
+def _reconnect_nodes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.split(lambda node: False)
 
 
-def _list_silent(place: Place, fault: Fault, servers: list[Server]) -> None:
-    place.discovery.fall_silent()
+def _drop_open_watches(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    target.discovery.fall_silent()
 
 
-def _nothing(place: Place, fault: Fault, servers: list[Server]) -> None:
-    """What began at one moment has no end."""
+def _do_nothing(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+    """End a fault that happens at one moment: there is nothing to undo."""
 
 
-TABLE = {
-    Kind.CRASH: Row(_crash, _restart),
-    Kind.HANG: Row(_hang, _wake),
-    Kind.SLOW: _set("slow", 1.0),
-    Kind.ERRORS: _set("errors", 0.0),
-    Kind.RESET: _set("resets", 0.0),
-    Kind.LOSE: _set("losses", 0.0),
-    Kind.LIE: _set("lies", 1.0),
-    Kind.DRAIN: Row(_drain, _remove),
-    Kind.CUT: Row(_cut, _mend),
-    Kind.LIST_DOWN: Row(_list_down, _list_up),
-    Kind.LIST_LATE: Row(_list_late, _list_timely),
-    Kind.LIST_SPLIT: Row(_split, _unite),
-    Kind.LIST_SILENT: Row(_list_silent, _nothing),
+EFFECTS = {
+    Kind.CRASH: FaultEffects(_crash, _restart),
+    Kind.HANG: FaultEffects(_hang, _resume),
+    Kind.SLOW: _set_attribute("slow", 1.0),
+    Kind.ERRORS: _set_attribute("errors", 0.0),
+    Kind.RESET: _set_attribute("resets", 0.0),
+    Kind.LOSE: _set_attribute("losses", 0.0),
+    Kind.LIE: _set_attribute("lies", 1.0),
+    Kind.DRAIN: FaultEffects(_drain, _remove),
+    Kind.CUT: FaultEffects(_partition, _heal_partition),
+    Kind.LIST_DOWN: FaultEffects(_stop_discovery, _resume_discovery),
+    Kind.LIST_LATE: FaultEffects(_delay_changes, _publish_in_time),
+    Kind.LIST_SPLIT: FaultEffects(_cut_off_nodes, _reconnect_nodes),
+    Kind.LIST_SILENT: FaultEffects(_drop_open_watches, _do_nothing),
 }
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -31,13 +31,13 @@
 from notchjunction.emulator.trace import (
     AttemptEnded,
     AttemptSent,
+    EndpointNotified,
     FinalResponse,
     ProbeSent,
     RequestAccepted,
     RequestAnswered,
     TraceRow,
 )
-from notchjunction.emulator.trace import EndpointNotified as Heard
 
 TICK = 0.005  # s; what a node is told its timers may be late by
 ASK_WITHIN = 10.0  # s in which a node has to ask for the list
@@ -160,7 +160,7 @@
         world.discovery.join(tier, number)
         self._version = world.discovery.version(tier)
         # Calls wait for ever where none falls silent: to make them again would cost each run events.
-        self._following = ListWatch(ASK_WITHIN, seed=number) if scenario.silences else None
+        self._following = ListWatch(ASK_WITHIN, seed=number) if scenario.has_unanswered_polls else None
         self._call = 0  # the last call for the list; what comes of an earlier one is not heard
         self._jobs = 0
         self._asked: dict[int, Asked] = {}
@@ -175,7 +175,7 @@
             tenant_quotas=() if tier else scenario.quotas,
             node_count=group,
             tier=tier,
-            tier_count=len(scenario.rows),
+            tier_count=len(scenario.effective_tiers),
             zone=zone,
             polls_list=True,
             max_attempts=MAX_DISPATCHES,
@@ -353,7 +353,9 @@
     def _hear(self, kind: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
         now = self.world.now
         self._starts.update({entry.number: entry.started_at for entry in entries})
-        self.world.rows += [Heard(now, self.number, entry.number, entry.state) for entry in entries]
+        self.world.rows += [
+            EndpointNotified(now, self.number, entry.number, entry.state) for entry in entries
+        ]
         self._core.list_updated(kind, entries)
 
     # The rest of the module's Host.
--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -194,7 +194,7 @@
             call.answer(AttemptResult.SUCCEEDED)  # the answer that was made before
             return
         self.waiting.append(call)
-        self._work_on()
+        self.start_queued()
         self._look_at_load()
 
     def drop(self, call: Call) -> None:
@@ -205,7 +205,7 @@
         elif call in self.calling:
             self._leave_below(call)
             self.calling.remove(call)
-            self._work_on()
+            self.start_queued()
         self._look_at_load()
 
     def pace(self) -> float:
@@ -230,7 +230,8 @@
         while self.pushed and self.pushed[0][0] < self._clock.now - self._scenario.tip_span:
             self.pushed.popleft()
 
-    def _work_on(self) -> None:
+    def start_queued(self) -> None:
+        """Start queued calls while a worker and a slot are free."""
         while self.up and not self.hung and self.waiting and self._has_room():
             call = self.waiting.popleft()
             self.running.append(call)
@@ -260,7 +261,7 @@
         self.running.remove(call)
         self.calling.append(call)
         self._call_on(call, left)
-        self._work_on()
+        self.start_queued()
 
     def _call_on(self, call: Call, left: int) -> None:
         if left <= 0 or self._below is None or call.over:
@@ -298,7 +299,7 @@
             call.answer(AttemptResult.RESET)
         else:
             call.answer(result)
-        self._work_on()
+        self.start_queued()
         self._look_at_load()
 
     def _leave_below(self, call: Call) -> None:
@@ -369,8 +370,8 @@
     memory = Memory(scenario.profiles)
     tiers: list[list[Server]] = []
     number = 0
-    for depth, tier in enumerate(scenario.rows):
-        last = depth + 1 == len(scenario.rows)
+    for depth, tier in enumerate(scenario.effective_tiers):
+        last = depth + 1 == len(scenario.effective_tiers)
         row = []
         for index in range(tier.servers):
             server = Server(
@@ -385,7 +386,7 @@
                 tipped=tipped,
                 pushed=pushed,
                 below=None if last else partial(call_below, number),
-                calls=0.0 if last else scenario.rows[depth + 1].calls,
+                calls=0.0 if last else scenario.effective_tiers[depth + 1].calls,
                 numbers=partial(memory.of, depth),
             )
             row.append(server)
--- a/notchjunction/emulator/world.py
+++ b/notchjunction/emulator/world.py
@@ -58,7 +58,7 @@
         for stream in scenario.streams:
             self.after(stream.at + self.random.expovariate(stream.rate), partial(self._arrive, stream))
         for fault in scenario.faults:
-            row = faults.TABLE[fault.kind]
+            row = faults.EFFECTS[fault.kind]
             self.after(fault.at, partial(self._fault, row.begins, fault))
             self.after(fault.until, partial(self._fault, row.ends, fault))
 
@@ -166,5 +166,5 @@
 
     # Faults.
 
-    def _fault(self, do: faults.Do, fault: Fault) -> None:
+    def _fault(self, do: faults.Effect, fault: Fault) -> None:
         do(self, fault, [self.tiers[fault.tier][number] for number in fault.servers])
--- a/notchjunction/testbed/process.py
+++ b/notchjunction/testbed/process.py
@@ -32,7 +32,7 @@
 def settings(scenario: Scenario, tier: int, zone: int, group: int) -> dict[str, Any]:
     """What the platform would tell a node that stands before `tier`."""
     return {
-        "layers": [f"tier{depth}" for depth in range(len(scenario.rows))],
+        "layers": [f"tier{depth}" for depth in range(len(scenario.effective_tiers))],
         "layer": tier,
         "localities": [zone_name(each) for each in range(scenario.zones)],
         "zone": zone,
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -82,7 +82,7 @@
 
 
 class Stage:
-    """One scenario on sockets; what `faults.TABLE` sees of it is what it sees of the emulator's world."""
+    """One scenario on sockets; what `faults.EFFECTS` sees of it is what it sees of the emulator's world."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
@@ -140,7 +140,7 @@
             for stream in scenario.streams:
                 self._start(self._arrivals(stream, began))
             for fault in scenario.faults:
-                row_of = faults.TABLE[fault.kind]
+                row_of = faults.EFFECTS[fault.kind]
                 self.clock.after(fault.at, partial(self._fault, row_of.begins, fault))
                 self.clock.after(fault.until, partial(self._fault, row_of.ends, fault))
             await asyncio.sleep(scenario.length)
@@ -233,7 +233,7 @@
             self.below[server.number] = node
         await self._standins[server.number].start()
 
-    # What `faults.TABLE` sets.
+    # What `faults.EFFECTS` sets.
 
     @property
     def cut(self) -> frozenset[int]:
