--- a/notchjunction/testbed/process.py
+++ b/notchjunction/testbed/process.py
@@ -43,7 +43,7 @@
 def node_settings(scenario: Scenario, placement: NodePlacement) -> dict[str, Any]:
     """The settings that the platform would give to a node of the scenario, in the file's words."""
     return {
-        "layers": [f"tier{depth}" for depth in range(len(scenario.rows))],
+        "layers": [f"tier{depth}" for depth in range(len(scenario.effective_tiers))],
         "layer": placement.tier,
         "localities": [zone_name(zone) for zone in range(scenario.zones)],
         "zone": placement.zone,
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -35,19 +35,19 @@
 from notchjunction.emulator.scenario import Fault, Scenario, Stream
 from notchjunction.emulator.servers import Below, Call, Server, build
 from notchjunction.emulator.trace import (
-    Answered,
-    Final,
-    Landed,
-    Left,
-    Probed,
-    Ran,
-    Reached,
-    Row,
-    Sent,
-    Story,
-    Taken,
-    Tipped,
-    Told,
+    AttemptEnded,
+    AttemptExecuted,
+    AttemptSent,
+    ClientClosed,
+    DiscoveryReachable,
+    EndpointNotified,
+    FinalResponse,
+    ProbeSent,
+    RequestAccepted,
+    RequestAnswered,
+    ServerOverloaded,
+    Trace,
+    TraceRow,
 )
 from notchjunction.http1.messages import Request
 from notchjunction.testbed.client import FakeClients
@@ -62,7 +62,7 @@
 )
 STALL_CHECK_INTERVAL_S = 0.01  # of this process's own loop; short against any bound of the rules
 DEADLINE_SLACK_S = 0.1  # past the deadline; a final response in it is allowed, on a busy machine
-FINAL_BY_STATUS = {200: Final.HONOURED, 429: Final.TURNED_BACK, 503: Final.TURNED_BACK}
+FINAL_BY_STATUS = {200: FinalResponse.SUCCEEDED, 429: FinalResponse.REJECTED, 503: FinalResponse.REJECTED}
 
 
 @dataclass(frozen=True, slots=True)
@@ -86,13 +86,13 @@
 
 
 class Stage:
-    """One scenario on sockets; `faults.TABLE` acts on it as on the emulator's world."""
+    """One scenario on sockets; `faults.EFFECTS` acts on it as on the emulator's world."""
 
     def __init__(self, scenario: Scenario, folder: Path) -> None:
         self.scenario = scenario
         self.random = Random(scenario.seed)
         self.clock = LoopClock()
-        self.rows: list[Row] = []
+        self.rows: list[TraceRow] = []
         self.counters: list[Mapping[str, float]] = []
         self.schedule_lag = 0.0  # s by which the clients' schedule fell behind, at its worst
         self._loop_stall = 0.0  # s by which this process's loop ran late, at its worst
@@ -102,7 +102,7 @@
         self._notified_starts: dict[tuple[int, int], float] = {}  # by node and server, as discovery notified
         self._attempt_counts: dict[tuple[int, str], int] = {}
         self._in_flight: dict[
-            int, Sent
+            int, AttemptSent
         ] = {}  # by the HTTP request's identity: two attempts of a request may be equal
         self._request_numbers: dict[tuple[int, str], int] = {}
         self._request_count = 0
@@ -129,7 +129,7 @@
 
     # The run.
 
-    async def play(self) -> Story:
+    async def play(self) -> Trace:
         """Starts all, plays the scenario's length in real time, and ends all.
 
         Raises:
@@ -138,7 +138,7 @@
         try:
             await self._start_nodes()
             await self._all_ready()
-            self.rows[:] = [row for row in self.rows if isinstance(row, Reached)]
+            self.rows[:] = [row for row in self.rows if isinstance(row, DiscoveryReachable)]
             self._start_schedule()
             await asyncio.sleep(self.scenario.length)
             ended = self.clock.now
@@ -146,8 +146,8 @@
         finally:
             await self._end_all()
         crossing = GONE_AFTER + self._loop_stall
-        return Story(
-            story_rows, self.scenario.profiles, DRAIN_GRACE_S, DEADLINE_SLACK_S, ended, crossing=crossing
+        return Trace(
+            story_rows, self.scenario.profiles, DRAIN_GRACE_S, DEADLINE_SLACK_S, ended, cancel_delay=crossing
         )
 
     async def _start_nodes(self) -> None:
@@ -166,7 +166,7 @@
         for stream in self.scenario.streams:
             self._spawn(self._send_stream(stream, began))
         for fault in self.scenario.faults:
-            row_of = faults.TABLE[fault.kind]
+            row_of = faults.EFFECTS[fault.kind]
             self.clock.after(fault.at, partial(self._apply_fault, row_of.begins, fault))
             self.clock.after(fault.until, partial(self._apply_fault, row_of.ends, fault))
 
@@ -257,7 +257,7 @@
             self.below[server.number] = node
         await self._fake_servers[server.number].start()
 
-    # What `faults.TABLE` sets.
+    # What `faults.EFFECTS` sets.
 
     @property
     def cut(self) -> frozenset[int]:
@@ -307,18 +307,20 @@
                     node, stream.profile, timeout, work, first, tries > 0, stream.operator, cancel_after
                 )
             )
-            harmless = final is Final.WRITTEN_OFF and request_class.idempotency is Idempotency.IDEMPOTENT
-            if final is not Final.TURNED_BACK and not harmless:
+            harmless = final is FinalResponse.FAILED and request_class.idempotency is Idempotency.IDEMPOTENT
+            if final is not FinalResponse.REJECTED and not harmless:
                 return
             await asyncio.sleep(scenario.client_pause * self.random.uniform(1, 2))
 
-    async def _send_request(self, sent: ClientRequest) -> Final:
+    async def _send_request(self, sent: ClientRequest) -> FinalResponse:
         """Sends one request to its node; how the node answered."""
         node, number = sent.node, len(self._request_numbers) + 1
         name = f"j{number}"
         self._request_numbers[node, name] = number
         deadline = self.clock.now + sent.timeout
-        self.rows.append(Taken(self.clock.now, node, number, sent.request_class, deadline, sent.first))
+        self.rows.append(
+            RequestAccepted(self.clock.now, node, number, sent.request_class, deadline, sent.first)
+        )
         try:
             address = self._placed_nodes[node].process.listen
             async with asyncio.timeout(sent.cancel_after):
@@ -326,28 +328,28 @@
                     address, http_request(name, sent, self.scenario), sent.timeout + DEADLINE_SLACK_S / 2
                 )
         except TimeoutError:
-            self.rows.append(Answered(self.clock.now, node, number, Final.WITHDRAWN))
-            return Final.WITHDRAWN
+            self.rows.append(RequestAnswered(self.clock.now, node, number, FinalResponse.CANCELLED))
+            return FinalResponse.CANCELLED
         except asyncio.CancelledError:
-            self.rows.append(Answered(self.clock.now, node, number, Final.WITHDRAWN))
+            self.rows.append(RequestAnswered(self.clock.now, node, number, FinalResponse.CANCELLED))
             raise
         if status is None:
             # No response at all: no row of an answer, and the rule on answers is broken.
-            self.rows.append(Left(self.clock.now, node, number))
-            return Final.WRITTEN_OFF
-        final = FINAL_BY_STATUS.get(status, Final.WRITTEN_OFF)
-        self.rows.append(Answered(self.clock.now, node, number, final))
+            self.rows.append(ClientClosed(self.clock.now, node, number))
+            return FinalResponse.FAILED
+        final = FINAL_BY_STATUS.get(status, FinalResponse.FAILED)
+        self.rows.append(RequestAnswered(self.clock.now, node, number, final))
         return final
 
     def _call_below(self, server: int, call: Call, timeout: float, done: Callable[[bool], None]) -> Below:
         async def send() -> None:
             node = self.below.get(server)
-            final = Final.WRITTEN_OFF
+            final = FinalResponse.FAILED
             if node is not None:
                 final = await self._send_request(
                     ClientRequest(node, call.profile, timeout, call.seconds, NO_TRY)
                 )
-            done(final is Final.HONOURED)
+            done(final is FinalResponse.SUCCEEDED)
 
         return _DownstreamCall(self._spawn(send()))
 
@@ -360,34 +362,36 @@
         self._attempt_counts[node, name] = attempt + 1
         request_number = self._request_numbers.get((node, name), 0)
         now = self.clock.now
-        sent = Sent(now, node, request_number, attempt, server.number, now + remaining_time(request))
+        sent = AttemptSent(now, node, request_number, attempt, server.number, now + remaining_time(request))
         self.rows.append(sent)
         self._in_flight[id(request)] = sent
         return self._notified_starts.get((node, server.number), 0.0) >= server.started_at
 
     def _on_attempt_ended(self, node: int, request: Request) -> None:
         sent = self._in_flight.pop(id(request))
-        self.rows.append(Landed(self.clock.now, node, sent.job, sent.dispatch, sent.server))
+        self.rows.append(AttemptEnded(self.clock.now, node, sent.request, sent.attempt, sent.server))
 
     def _on_probe(self, server: Server, node: int) -> None:
-        self.rows.append(Probed(self.clock.now, node, server.number))
+        self.rows.append(ProbeSent(self.clock.now, node, server.number))
 
     def _on_effect(self, server: Server, call: Call) -> None:
         assert isinstance(call.name, tuple)
         node, name, _ = call.name
         attempt = self._attempt_counts.get((node, name), 1) - 1
         self.rows.append(
-            Ran(self.clock.now, node, self._request_numbers.get((node, name), 0), attempt, server.number)
+            AttemptExecuted(
+                self.clock.now, node, self._request_numbers.get((node, name), 0), attempt, server.number
+            )
         )
 
     def _on_overload(self, server: Server, knowing: float) -> None:
-        self.rows.append(Tipped(self.clock.now, server.number, knowing))
+        self.rows.append(ServerOverloaded(self.clock.now, server.number, knowing))
         self.clock.after(0.0, partial(self.stop, server))
 
     def _on_notified(self, node: int, entries: Sequence[EndpointEntry]) -> None:
         now = self.clock.now
         self._notified_starts.update({(node, entry.number): entry.started_at for entry in entries})
-        self.rows += [Told(now, node, entry.number, entry.state) for entry in entries]
+        self.rows += [EndpointNotified(now, node, entry.number, entry.state) for entry in entries]
 
 
 OBSERVABLE_CHECKERS = (
@@ -401,6 +405,6 @@
 )
 
 
-def breaches(story: Story) -> list[str]:
+def breaches(story: Trace) -> list[str]:
     """Violations of the rules that fakes can observe; probes of a dead server reach none of them."""
     return [f"{checker.__name__}: {text}" for checker in OBSERVABLE_CHECKERS for text in checker(story)]
