--- a/notchjunction/net/client_closing.py
+++ b/notchjunction/net/client_closing.py
@@ -3,6 +3,7 @@
 from __future__ import annotations
 
 import asyncio
+import weakref
 from contextlib import suppress
 from dataclasses import replace
 
@@ -27,12 +28,19 @@
         state: ConnectionState,
         intake: RequestIntake,
     ) -> None:
-        self._connection = connection
+        # Guards against memory of closed connections that waits for the cycle collector.
+        self._connection_ref = weakref.ref(connection)
         self._context = context
         self._stream = stream
         self._state = state
         self._intake = intake
 
+    @property
+    def _connection(self) -> ManagedConnection:
+        connection = self._connection_ref()
+        assert connection is not None  # whoever calls this is the connection, or is awaited by it
+        return connection
+
     def is_idle(self) -> bool:
         """Whether the connection may be closed now though its client has not asked for that."""
         return may_close(self._intake.closing_facts()) is None
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -114,8 +114,10 @@
     async def _serve(self, connection: ClientConnection, work: Coroutine[Any, Any, None]) -> None:
         try:
             await work
-        except StreamClosedError:
-            pass
+        except StreamClosedError as error:
+            # Guards against memory of closed connections that waits for the cycle collector: the traceback's
+            # frames hold the connection, and the read that failed, which holds the error.
+            error.__traceback__ = None
         except Exception as error:
             self.counters.add_failure("client connection failed", error)
         finally:
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -4,6 +4,7 @@
 
 import asyncio
 import time
+import weakref
 from collections.abc import Awaitable, Callable
 from typing import Any
 
@@ -45,7 +46,8 @@
         # s; when the request's last byte was read; of one that came ahead of its turn, the first.
         self.arrived_at = context.clock()
         self.bytes_discarded = 0  # sent too far ahead; what comes after them makes no sense
-        self._connection = connection
+        # Guards against memory of closed connections that waits for the cycle collector.
+        self._connection_ref = weakref.ref(connection)
         self._context = context
         self._stream = stream
         self.state = state
@@ -56,6 +58,12 @@
         # The first request is due by the time of connecting: bytes that drip in do not renew it.
         self._due = self.arrived_at + (REJECTED_TIMEOUT_S if state.over_limit else HEAD_TIMEOUT_S)
 
+    @property
+    def _connection(self) -> ManagedConnection:
+        connection = self._connection_ref()
+        assert connection is not None  # whoever calls this is the connection, or is awaited by it
+        return connection
+
     def note_queued(self, since: float) -> None:
         """The connection may have been in the queue since then (s), and what has come by now as well."""
         if self._stream.has_unread():
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -4,6 +4,9 @@
 
 import asyncio
 import errno
+import gc
+import socket
+import weakref
 from collections.abc import Callable
 from typing import Any
 
@@ -503,3 +506,29 @@
             assert not whole and sum(figures.get(name, 0) for name in broken_off) == 1
 
     run(story())
+
+
+@pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\n", b"GET /ready HTTP/1.1\r\n\r\n"])
+def test_a_connection_that_has_ended_leaves_nothing_to_the_cycle_collector(sent: bytes) -> None:
+    """Else a crowd of clients that come and go would fill the memory before the collector runs."""
+
+    async def scenario() -> None:
+        async with Peer() as peer, running(peer) as (node, address):
+            gc.collect()
+            gc.disable()
+            try:
+                client = socket.create_connection(address)
+                while not node._clients.connections:
+                    await asyncio.sleep(0.001)
+                connection = weakref.ref(next(iter(node._clients.connections)))
+                client.sendall(sent)
+                await asyncio.sleep(0.02)
+                client.close()
+                while node._clients.connections:
+                    await asyncio.sleep(0.001)
+                await asyncio.sleep(0.01)
+                assert connection() is None
+            finally:
+                gc.enable()
+
+    run(scenario())
