--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -1,4 +1,4 @@
-"""One node: wires callers, decisions, servers and discovery together; starts, drains and ends."""
+"""One node process: connects clients, the balancer, endpoints and discovery; starts and shuts down."""
 
 from __future__ import annotations
 
@@ -49,573 +49,634 @@
 from notchjunction.upgrade.listener_sharing import InheritedState
 from notchjunction.upgrade.messages import NodeState, OperatorCommand, ProcessIdentity, ResourceUsage
 from notchjunction.upgrade.serving_state import ServingAction, ServingEvent, ServingState, ServingStateMachine
-from notchjunction.upgrade.shutdown import GracefulShutdown
-from notchjunction.upgrade.shutdown import ShutdownAction as Do
+from notchjunction.upgrade.shutdown import GracefulShutdown, ShutdownAction
 
 if TYPE_CHECKING:
     from notchjunction.net.fleet_transport import FleetTransport
 
 log = logging.getLogger(__name__)
 
-SWEEP_SPAN = 1.0  # s between looks at idle connections; short against the time they may stand idle
-LOOK_SPAN = 0.05  # s between looks whether a draining node has answered all
-LEAD_SPAN = 0.4  # s from a node's "not ready" until callers are parted with; they come for 0.3 s more
-PART_SPAN = 0.6  # s of a drain's end in which callers that have just stood idle are left to part on an answer
-KEY_MOST = 128  # characters of a job's key that count; a longer one still goes to its own servers
-IDLE_LEAST = 0.5  # s that a caller may stand idle while it is led away: its next request brings its end
+# Between checks for idle upstream connections; short against their idle timeout.
+SWEEP_INTERVAL_S = 1.0
+# Between checks of a node that drains its clients, out of service or shutting down.
+DRAIN_CHECK_INTERVAL_S = 0.05
+# From the first "not ready" until clients are drained; new clients still come for 0.3 s of it.
+READINESS_NOTICE_S = 0.4
+# From the start of a shutdown's drain until idle clients are closed, however briefly they have been idle.
+IDLE_GRACE_S = 0.6
+# Characters of an affinity key that are used; a longer key is cut and still maps to fixed endpoints.
+MAX_AFFINITY_KEY_LENGTH = 128
+# A client idle for less is not closed during a drain: the response to its next request closes it.
+MIN_IDLE_S = 0.5
 
 
-def _longest(told: NodeConfig) -> float:
-    """s of the longest abandon time."""
-    return max((profile.deadline for profile in told.balancer.request_classes), default=0.0)
+def _max_request_deadline(config: NodeConfig) -> float:
+    """Returns the longest deadline (s) of the request classes."""
+    return max((request_class.deadline for request_class in config.balancer.request_classes), default=0.0)
 
 
 class Node:
-    def __init__(self, told: NodeConfig) -> None:
-        self._told = told
-        self._offset = time.time() - time.monotonic()
+    """A node process: owns its listeners, connections, balancer, watch on discovery and background tasks.
+
+    It is the target of the admin API and of the handover between processes of one node.
+    """
+
+    def __init__(self, config: NodeConfig) -> None:
+        self._config = config
+        self._clock_offset = time.time() - time.monotonic()
         self._loop = asyncio.get_running_loop()
         self.counters = counters = Counters(self.now)
-        kept_back = admin.DESCRIPTORS if told.admin_address else 0
-        kept_back += gossip_socket.DESCRIPTORS if told.gossip else 0
-        kept_back += gossip_socket.DESCRIPTORS if told.fleet is not None else 0
-        self._descriptors = descriptors = Descriptors(told.max_descriptors, kept_back)
+        reserved = admin.DESCRIPTORS if config.admin_address else 0
+        reserved += gossip_socket.DESCRIPTORS if config.gossip else 0
+        reserved += gossip_socket.DESCRIPTORS if config.fleet is not None else 0
+        self._descriptors = descriptors = Descriptors(config.max_descriptors, reserved)
         streams = StreamBuffers()
-        self._following = ListWatch(
-            told.balancer.poll_interval, told.list_is_pushed, told.balancer.seed, told.balancer.node_count
+        self._list_watch = ListWatch(
+            config.balancer.poll_interval,
+            config.list_is_pushed,
+            config.balancer.seed,
+            config.balancer.node_count,
         )
         self._discovery = DiscoveryClient(
-            told.discovery, self._following, self.now, self._spare_one, counters.recorder
+            config.discovery, self._list_watch, self.now, self._close_oldest_client, counters.recorder
         )
-        self._servers = UpstreamPool(
+        self._upstreams = UpstreamPool(
             self.now,
-            told.connect_timeout,
-            told.connection_idle_timeout,
-            told.load_path,
-            self._spare_one,
+            config.connect_timeout,
+            config.connection_idle_timeout,
+            config.load_path,
+            self._close_oldest_client,
             descriptors,
             counters,
             streams,
         )
-        self._fleet = self._share(told) if told.fleet is not None else None
+        self._fleet = self._create_fleet_transport(config) if config.fleet is not None else None
         services = ClientServices(
             clock=self.now,
-            take=self._take,
+            take=self._start_request,
             ready=lambda: self._ready,
-            profiles=frozenset(told.setting_names.request_classes),
+            profiles=frozenset(config.setting_names.request_classes),
             descriptors=descriptors,
             counters=counters,
             streams=streams,
             admit=self._fleet.admit if self._fleet is not None else None,
         )
         self._clients = ClientRegistry(services)
-        self._client_listener = ClientListener(self._clients, self._servers.close_oldest)
-        self._management = AdminListener(self, counters)
-        self._service = ServingStateMachine()
+        self._client_listener = ClientListener(self._clients, self._upstreams.close_oldest)
+        self._admin_listener = AdminListener(self, counters)
+        self._serving_state = ServingStateMachine()
         self._handover: Handover | None = None
-        self._inherited: list[socket.socket] = []  # of which nobody is let in yet: there is no list
-        self._leading: asyncio.Task[None] | None = None
-        self._known = KnownEndpoints()
+        self._inherited_listeners: list[socket.socket] = []  # no clients are accepted from them yet
+        self._drain_task: asyncio.Task[None] | None = None
+        self._endpoints = KnownEndpoints()
         self._ready = False
-        self._ready_now = asyncio.Event()
-        self._list_fails = False
+        self._ready_event = asyncio.Event()
+        self._list_failing = False
         self._list_due = asyncio.Event()
-        self._stopping = asyncio.Event()
+        self._shutdown_requested = asyncio.Event()
         self.listening = asyncio.Event()
-        self._ending: GracefulShutdown | None = None
-        self._end_at = math.inf
-        self._wake_call: asyncio.TimerHandle | None = None
-        self._move_call: asyncio.TimerHandle | None = None
+        self._shutdown: GracefulShutdown | None = None
+        self._shutdown_deadline = math.inf
+        self._run_timers_call: asyncio.TimerHandle | None = None
+        self._address_change_call: asyncio.TimerHandle | None = None
         self._tasks = BackgroundTasks(counters)
-        self._decider = BalancerEngine(told.balancer, told.setting_names, self.now, self._wake, time.time)
-        self._talk = (
-            gossip_socket.GossipSocket(*told.gossip, self._decider.receive_gossip, counters)
-            if told.gossip
+        self._engine = BalancerEngine(
+            config.balancer, config.setting_names, self.now, self._schedule_timers, time.time
+        )
+        self._gossip = (
+            gossip_socket.GossipSocket(*config.gossip, self._engine.receive_gossip, counters)
+            if config.gossip
             else None
         )
-        if self._talk is not None:
-            register_gossip_gauges(counters, self._decider)
-        register_gauges(counters, self._decider, self._discovery, descriptors, streams)
+        if self._gossip is not None:
+            register_gossip_gauges(counters, self._engine)
+        register_gauges(counters, self._engine, self._discovery, descriptors, streams)
 
-    def _share(self, told: NodeConfig) -> FleetTransport:
-        # Loaded here and not above: where nothing is shared, nothing of it is in memory.
+    def _create_fleet_transport(self, config: NodeConfig) -> FleetTransport:
+        # Imported here so that a node without a fleet does not load the fleet's modules into memory.
         from notchjunction.net.fleet_transport import FleetTransport
 
-        assert told.fleet is not None
-        terms = told.balancer
+        assert config.fleet is not None
+        balancer = config.balancer
         return FleetTransport(
-            told.fleet, told.name, _longest(told), terms.seed, terms.retry_after_max, self.counters
+            config.fleet,
+            config.name,
+            _max_request_deadline(config),
+            balancer.seed,
+            balancer.retry_after_max,
+            self.counters,
         )
 
-    def _spare_one(self) -> bool:
+    def _close_oldest_client(self) -> bool:
         return self._client_listener.close_oldest()
 
     def now(self) -> float:
-        """Unix time that never jumps."""
-        return time.monotonic() + self._offset
+        """Returns Unix time (s) that advances with the monotonic clock and so never jumps."""
+        return time.monotonic() + self._clock_offset
 
     async def run(self) -> None:
-        told = self._told
+        """Serves clients until `stop` is called and the shutdown has finished."""
+        config = self._config
         handlers = {
             signal.SIGTERM: self.stop,
             signal.SIGINT: self.stop,
             signal.SIGUSR1: self._print_counters,
-            signal.SIGHUP: self.read_again,
+            signal.SIGHUP: self.reload,
         }
         for number, handler in handlers.items():
             self._loop.add_signal_handler(number, handler)
         signal.pthread_sigmask(signal.SIG_UNBLOCK, {signal.SIGHUP})
-        log.info("start", extra=pairs(node=told.name, listen=text_of(told.listen), tier=told.balancer.tier))
-        inherited = await self._join()
+        log.info(
+            "start", extra=pairs(node=config.name, listen=text_of(config.listen), tier=config.balancer.tier)
+        )
+        inherited = await self._join_serving_process()
         if inherited is not None:
-            self._inherit(inherited)
+            self._apply_inherited_state(inherited)
         else:
-            self._client_listener.open(told.listen, shared=told.shared_directory is not None)
-        if told.admin_address is not None:
-            self._management.open(told.admin_address)
-        if self._talk is not None:
-            await self._talk.open()
+            self._client_listener.open(config.listen, shared=config.shared_directory is not None)
+        if config.admin_address is not None:
+            self._admin_listener.open(config.admin_address)
+        if self._gossip is not None:
+            await self._gossip.open()
         if self._fleet is not None:
             await self._fleet.open()
         self.listening.set()
         if self._handover is not None:
-            self._tasks.start(self._offer())
-        if told.cached_list is not None and not self._ready:
-            first = self._following.initial_wait()
-            if first > 0:
-                self._tasks.start(self._go_by_late(told.cached_list, first))
+            self._tasks.start(self._offer_handover())
+        if config.cached_list is not None and not self._ready:
+            wait = self._list_watch.initial_wait()
+            if wait > 0:
+                self._tasks.start(self._use_cached_list_later(config.cached_list, wait))
             else:
-                self._go_by(told.cached_list)
-        self._tasks.start(self._run_errands())
+                self._use_cached_list(config.cached_list)
+        self._tasks.start(self._run_commands())
         self._tasks.start(self._follow_list())
         self._tasks.start(self._sweep())
-        await self._stopping.wait()
-        await self._drain()
+        await self._shutdown_requested.wait()
+        await self._run_shutdown()
 
-    def _go_by(self, known: EndpointList) -> None:
-        """Serves by the remembered list, and asks for what came after it; for all, where it is not whole."""
-        if known.is_snapshot:
-            self._discovery.resume_from(known.version)
-        self._hear(known, ListUpdate.CACHED)
+    def _use_cached_list(self, cached: EndpointList) -> None:
+        """Serves with a cached list; resumes the watch from its version if it is a complete snapshot."""
+        if cached.is_snapshot:
+            self._discovery.resume_from(cached.version)
+        self._apply_list(cached, ListUpdate.CACHED)
 
-    async def _go_by_late(self, known: EndpointList, after: float) -> None:
-        """The same where the agent says nothing for so long; until then the whole list is asked for."""
+    async def _use_cached_list_later(self, cached: EndpointList, after: float) -> None:
+        """Uses the cached list if discovery has sent none after `after` s; snapshots are polled meanwhile."""
         with suppress(TimeoutError):
             async with asyncio.timeout(after):
-                await self._ready_now.wait()
+                await self._ready_event.wait()
         if not self._ready:
-            self._go_by(known)
+            self._use_cached_list(cached)
 
     def stop(self) -> None:
-        """Begins the drain; a second call changes nothing."""
-        if self._service.handle(ServingEvent.SHUTDOWN_REQUESTED) is ServingAction.SHUT_DOWN:
-            # Not in the drain. Guards against jobs that the kill cuts off where the start is not over.
+        """Starts the graceful shutdown; a second call has no effect."""
+        if self._serving_state.handle(ServingEvent.SHUTDOWN_REQUESTED) is ServingAction.SHUT_DOWN:
+            # The deadline is set here, not once the shutdown runs. Guards against requests that SIGKILL cuts
+            # off when SIGTERM arrives while the node is still starting.
             longest = max(
-                (profile.deadline for profile in self._told.balancer.request_classes), default=math.inf
+                (request_class.deadline for request_class in self._config.balancer.request_classes),
+                default=math.inf,
             )
-            self._ending = GracefulShutdown(self.now(), longest)
-            self._end_at = self._ending.deadline
-            self._stopping.set()
+            self._shutdown = GracefulShutdown(self.now(), longest)
+            self._shutdown_deadline = self._shutdown.deadline
+            self._shutdown_requested.set()
 
-    # Another process of this node, before or after this one.
+    # Handover: other processes of this node.
 
-    async def _join(self) -> InheritedState | None:
-        told = self._told
-        if told.shared_directory is None:
+    async def _join_serving_process(self) -> InheritedState | None:
+        config = self._config
+        if config.shared_directory is None:
             return None
-        identity = ProcessIdentity(told.name, text_of(told.listen))
-        self._handover = Handover(told.shared_directory, identity, self, self.counters)
+        identity = ProcessIdentity(config.name, text_of(config.listen))
+        self._handover = Handover(config.shared_directory, identity, self, self.counters)
         return await self._handover.join()
 
-    def _inherit(self, inherited: InheritedState) -> None:
-        """Goes on where the serving process stands: its list, operators' word, and then its callers."""
+    def _apply_inherited_state(self, inherited: InheritedState) -> None:
+        """Applies the serving process's bans, list, learned state and service state; takes its listeners."""
         state = inherited.state
-        for server in state.banned:
-            self._decider.ban(server, known=True)
+        for endpoint in state.banned:
+            self._engine.ban(endpoint, known=True)
         try:
-            self._decider.restore_start_times(state.start_times)
+            self._engine.restore_start_times(state.start_times)
         except (TypeError, ValueError, AttributeError) as error:
             log.warning("start times not restored", extra=pairs(why=repr(error)))
         with suppress(ListUnavailableError):
-            known = read_list(state.endpoint_list)
-            if known.endpoints:
-                self._discovery.resume_from(known.version)
-                self._hear(known, ListUpdate.CACHED)
+            endpoint_list = read_list(state.endpoint_list)
+            if endpoint_list.endpoints:
+                self._discovery.resume_from(endpoint_list.version)
+                self._apply_list(endpoint_list, ListUpdate.CACHED)
         try:
-            self._decider.restore_state(state.learned_state)
+            self._engine.restore_state(state.learned_state)
         except (KeyError, TypeError, ValueError) as error:
             log.warning("learned state not restored", extra=pairs(why=repr(error)))
         if state.out_of_service:
-            self._led(ServingEvent.TAKEN_OUT_OF_SERVICE)
-        self._inherited = inherited.listeners
-        self._tasks.start(self._adopt(inherited.listeners))
+            self._change_serving_state(ServingEvent.TAKEN_OUT_OF_SERVICE)
+        self._inherited_listeners = inherited.listeners
+        self._tasks.start(self._adopt_when_ready(inherited.listeners))
         log.info(
-            "handover received", extra=pairs(endpoints=len(self._known), banned=len(self._decider.banned))
+            "handover received", extra=pairs(endpoints=len(self._endpoints), banned=len(self._engine.banned))
         )
 
-    async def _adopt(self, listeners: list[socket.socket]) -> None:
-        # Guards against letting in callers for whom there is no list yet; the other process has them.
-        await self._ready_now.wait()
-        self._inherited = []
+    async def _adopt_when_ready(self, listeners: list[socket.socket]) -> None:
+        # Guards against accepting clients before there is a list; until then the other process accepts them.
+        await self._ready_event.wait()
+        self._inherited_listeners = []
         self._client_listener.adopt(listeners)
 
-    def _adopt_last(self) -> None:
-        """Guards against resets for who waits where the end comes before a list, and the other has gone."""
-        if self._inherited and self._handover is not None and not self._handover.peer_count:
-            listeners, self._inherited = self._inherited, []
+    def _adopt_remaining(self) -> None:
+        """Adopts the inherited listeners when no other process is left to accept from them.
+
+        Guards against resets for queued clients when this process shuts down before it had a list.
+        """
+        if self._inherited_listeners and self._handover is not None and not self._handover.peer_count:
+            listeners, self._inherited_listeners = self._inherited_listeners, []
             self._client_listener.adopt(listeners)
 
-    async def _offer(self) -> None:
-        """The next process is sent to this one as soon as it can serve."""
-        await self._ready_now.wait()
+    async def _offer_handover(self) -> None:
+        """Offers the handover to later processes as soon as this one is ready to serve."""
+        await self._ready_event.wait()
         assert self._handover is not None
         self._handover.offer()
 
     def listeners(self) -> list[socket.socket]:
+        """Returns the sockets on which the node listens for clients."""
         return self._client_listener.listeners
 
     def state(self) -> NodeState:
-        out = self._service.state in (ServingState.NOT_READY, ServingState.DRAINING)
+        """Returns what the next process needs to be ready at once."""
+        out_of_service = self._serving_state.state in (ServingState.NOT_READY, ServingState.DRAINING)
         version = self._discovery.version
-        listed = None
+        endpoint_list = None
         if version is not None:
-            listed = {"index": version, "snapshot": True, "endpoints": self._known.rows()}
-        barred = sorted(self._decider.banned)
+            endpoint_list = {"index": version, "snapshot": True, "endpoints": self._endpoints.rows()}
+        banned = sorted(self._engine.banned)
         return NodeState(
-            banned=barred,
-            out_of_service=out,
-            endpoint_list=listed,
-            start_times=self._decider.start_ages(),
-            learned_state=self._decider.export_state(),
+            banned=banned,
+            out_of_service=out_of_service,
+            endpoint_list=endpoint_list,
+            start_times=self._engine.start_ages(),
+            learned_state=self._engine.export_state(),
         )
 
     def usage(self) -> ResourceUsage:
+        """Returns the descriptors that this process uses and the clients it has."""
         return ResourceUsage(self._descriptors.held, self._descriptors.callers)
 
-    def apply_operator_command(self, word: str, value: Any) -> None:
-        """An operator's word to the other process, which is word to the node."""
-        match word:
+    def apply_operator_command(self, command: str, value: Any) -> None:
+        """Applies a command that an operator sent to another process of the node."""
+        match command:
             case OperatorCommand.BAN:
-                self._decider.ban(str(value), known=True)
+                self._engine.ban(str(value), known=True)
             case OperatorCommand.LIFT_BAN:
-                self._decider.lift_ban(str(value))
+                self._engine.lift_ban(str(value))
             case OperatorCommand.OUT_OF_SERVICE:
-                self._led(ServingEvent.TAKEN_OUT_OF_SERVICE if value else ServingEvent.PUT_IN_SERVICE)
-        self._point()
+                self._change_serving_state(
+                    ServingEvent.TAKEN_OUT_OF_SERVICE if value else ServingEvent.PUT_IN_SERVICE
+                )
+        self._update_upstreams()
 
     def peers_changed(self) -> None:
+        """Updates the number of processes among which the balancer divides the node's share."""
         assert self._handover is not None
-        self._decider.set_process_count(1 + self._handover.peer_count)
+        self._engine.set_process_count(1 + self._handover.peer_count)
 
-    def adopt_stream(self, state: Mapping[str, Any], caller: socket.socket, server: socket.socket) -> None:
-        """An answer that the process before this one began to pass on."""
-        download = self._servers.adopt(state["answers"], server)
-        self._clients.adopt_stream(state, caller, download)
+    def adopt_stream(self, state: Mapping[str, Any], client: socket.socket, upstream: socket.socket) -> None:
+        """Continues a response that another process of the node began to forward."""
+        download = self._upstreams.adopt(state["answers"], upstream)
+        self._clients.adopt_stream(state, client, download)
 
-    def adopt_upload(self, state: Mapping[str, Any], caller: socket.socket) -> None:
-        """A caller whose job the process before this one has answered, and whose body still comes."""
-        self._clients.adopt_upload(state, caller)
+    def adopt_upload(self, state: Mapping[str, Any], client: socket.socket) -> None:
+        """Takes over a client that another process has answered and that still sends its request body."""
+        self._clients.adopt_upload(state, client)
 
     def peer_usage_changed(self) -> None:
+        """Updates the descriptors and clients that the node's other processes use of the shared limit."""
         if self._handover is not None:
             others = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
             self._descriptors.elsewhere = self._handover.peer_usage().descriptors + others
             self._descriptors.callers_elsewhere = self._handover.peer_usage().clients
 
-    async def _tell_others(self, word: str, value: Any) -> bool:
-        return self._handover is None or await self._handover.send_command(word, value)
+    async def _send_to_peers(self, command: str, value: Any) -> bool:
+        return self._handover is None or await self._handover.send_command(command, value)
 
-    # What operators ask.
+    # Admin API.
 
     def control_ready(self) -> bool:
-        return self._ready and self._service.state is not ServingState.SHUTTING_DOWN
+        """Returns whether the node has a list and is not shutting down."""
+        return self._ready and self._serving_state.state is not ServingState.SHUTTING_DOWN
 
-    async def take_offline(self, server: str) -> bool:
-        known = self._decider.ban(server)
-        self._point()
-        return known and await self._tell_others(OperatorCommand.BAN, server)
+    async def take_offline(self, endpoint: str) -> bool:
+        """Bans an endpoint; returns whether it is known and all processes of the node have banned it."""
+        known = self._engine.ban(endpoint)
+        self._update_upstreams()
+        return known and await self._send_to_peers(OperatorCommand.BAN, endpoint)
 
-    async def bring_online(self, server: str) -> bool:
-        known = self._decider.lift_ban(server)
-        self._point()
-        return known and await self._tell_others(OperatorCommand.LIFT_BAN, server)
+    async def bring_online(self, endpoint: str) -> bool:
+        """Lifts an endpoint's ban; returns whether it is known and all processes of the node have done so."""
+        known = self._engine.lift_ban(endpoint)
+        self._update_upstreams()
+        return known and await self._send_to_peers(OperatorCommand.LIFT_BAN, endpoint)
 
     async def out_of_service(self) -> bool:
-        return self._led(ServingEvent.TAKEN_OUT_OF_SERVICE) and await self._tell_others(
+        """Takes the node out of service; returns whether all of its processes have done so."""
+        return self._change_serving_state(ServingEvent.TAKEN_OUT_OF_SERVICE) and await self._send_to_peers(
             OperatorCommand.OUT_OF_SERVICE, True
         )
 
     async def in_service(self) -> bool:
-        return self._led(ServingEvent.PUT_IN_SERVICE) and await self._tell_others(
+        """Puts the node back in service; returns whether all of its processes have done so."""
+        return self._change_serving_state(ServingEvent.PUT_IN_SERVICE) and await self._send_to_peers(
             OperatorCommand.OUT_OF_SERVICE, False
         )
 
     def fleet_figures(self) -> Mapping[str, Any] | None:
+        """Returns the state of the fleet as JSON; None for a node without a fleet."""
         return self._fleet.figures() if self._fleet is not None else None
 
-    def _led(self, event: ServingEvent) -> bool:
-        effect = self._service.handle(event)
-        self.counters.recorder.note(Occurrence.STATE_CHANGED, service=self._service.state.name.lower())
-        if effect is ServingAction.REPORT_NOT_READY:
+    def _change_serving_state(self, event: ServingEvent) -> bool:
+        action = self._serving_state.handle(event)
+        self.counters.recorder.note(Occurrence.STATE_CHANGED, service=self._serving_state.state.name.lower())
+        if action is ServingAction.REPORT_NOT_READY:
             log.info("out of service", extra=pairs(clients=self._client_listener.connected))
             self._clients.drain()
-            self._leading = asyncio.create_task(self._lead_away())
-        elif effect is ServingAction.RESUME:
+            self._drain_task = asyncio.create_task(self._drain_idle_clients())
+        elif action is ServingAction.RESUME:
             log.info("in service", extra=pairs(clients=self._client_listener.connected))
-            self._stop_leading()
+            self._cancel_drain_task()
             self._clients.serve()
-        return effect is not None
+        return action is not None
 
-    def _stop_leading(self) -> None:
-        if self._leading is not None:
-            self._leading.cancel()
-            self._leading = None
+    def _cancel_drain_task(self) -> None:
+        if self._drain_task is not None:
+            self._drain_task.cancel()
+            self._drain_task = None
 
-    async def _lead_away(self) -> None:
-        await asyncio.sleep(LEAD_SPAN)
-        if self._service.handle(ServingEvent.NOTICE_TIME_OVER) is ServingAction.DRAIN_CLIENTS:
+    async def _drain_idle_clients(self) -> None:
+        await asyncio.sleep(READINESS_NOTICE_S)
+        if self._serving_state.handle(ServingEvent.NOTICE_TIME_OVER) is ServingAction.DRAIN_CLIENTS:
             self._clients.part()
         while True:
-            self._clients.close_idle(IDLE_LEAST)
-            await asyncio.sleep(LOOK_SPAN)
+            self._clients.close_idle(MIN_IDLE_S)
+            await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
 
-    # Configuration and end.
+    # Reload and shutdown.
 
-    def read_again(self) -> None:
-        """Takes the file's discovery and settings, whole; where anything is wrong, all stays as it was."""
+    def reload(self) -> None:
+        """Applies discovery and settings of the configuration file; on any error nothing is changed."""
         try:
-            told = node_config.reload_config(self._told)
+            config = node_config.reload_config(self._config)
         except (InvalidConfigurationError, OSError, UnicodeDecodeError) as error:
             self.counters.add("reloads_failed")
-            for each in error.errors if isinstance(error, InvalidConfigurationError) else [str(error)]:
-                log.error("configuration invalid", extra=pairs(why=each))
+            for text in error.errors if isinstance(error, InvalidConfigurationError) else [str(error)]:
+                log.error("configuration invalid", extra=pairs(why=text))
             return
         self.counters.add("reloads")
-        if self._fleet is not None and told.fleet is not None:
+        if self._fleet is not None and config.fleet is not None:
             try:
-                self._fleet.renew(told.fleet, _longest(told))
+                self._fleet.renew(config.fleet, _max_request_deadline(config))
             except NotchjunctionError as error:
-                # Guards against half a file: what the fleet can't take yet keeps all of it out.
+                # Guards against applying half of a file: nothing is applied if the fleet rejects its part.
                 self.counters.add("reloads_failed")
                 log.error("configuration rejected", extra=pairs(why=error))
                 return
-        before, self._told = self._told, told
-        self._decider.apply_settings(told.balancer, told.setting_names)
-        self._clients.profiles = frozenset(told.setting_names.request_classes)
-        self._servers.retune(told.connect_timeout, told.connection_idle_timeout, told.load_path)
-        found, had = set(told.setting_names.request_classes), set(before.setting_names.request_classes)
+        before, self._config = self._config, config
+        self._engine.apply_settings(config.balancer, config.setting_names)
+        self._clients.profiles = frozenset(config.setting_names.request_classes)
+        self._upstreams.retune(config.connect_timeout, config.connection_idle_timeout, config.load_path)
+        after_names, before_names = (
+            set(config.setting_names.request_classes),
+            set(before.setting_names.request_classes),
+        )
         log.info(
             "configuration reloaded",
             extra=pairs(
-                discovery=text_of(told.discovery),
-                profiles=",".join(told.setting_names.request_classes),
-                new=",".join(sorted(found - had)) or "none",
-                gone=",".join(sorted(had - found)) or "none",
-                attempts=told.balancer.max_attempts,
-                needs_restart=",".join(node_config.changed(before, told)) or "none",
+                discovery=text_of(config.discovery),
+                profiles=",".join(config.setting_names.request_classes),
+                new=",".join(sorted(after_names - before_names)) or "none",
+                gone=",".join(sorted(before_names - after_names)) or "none",
+                attempts=config.balancer.max_attempts,
+                needs_restart=",".join(node_config.changed(before, config)) or "none",
             ),
         )
-        if told.discovery != before.discovery:
-            self._move_soon(told.discovery)
-
-    def _move_soon(self, discovery: Address) -> None:
-        """The list is asked for there from soon on; a later word takes the place of an earlier one."""
-        if self._move_call is not None:
-            self._move_call.cancel()
-        pause = self._following.address_change_delay()
-        if pause > 0:
-            self._move_call = self._loop.call_later(pause, self._move, discovery)
+        if config.discovery != before.discovery:
+            self._schedule_address_change(config.discovery)
+
+    def _schedule_address_change(self, discovery: Address) -> None:
+        """Polls the new address after the delay for an address change; replaces an earlier pending change."""
+        if self._address_change_call is not None:
+            self._address_change_call.cancel()
+        delay = self._list_watch.address_change_delay()
+        if delay > 0:
+            self._address_change_call = self._loop.call_later(
+                delay, self._change_discovery_address, discovery
+            )
         else:
-            self._move(discovery)
+            self._change_discovery_address(discovery)
 
-    def _move(self, discovery: Address) -> None:
-        self._move_call = None
+    def _change_discovery_address(self, discovery: Address) -> None:
+        self._address_change_call = None
         self._discovery.change_address(discovery)
-        self._list_due.set()  # at once, also in a failed call's pause: a new place has not failed
+        self._list_due.set()  # also during the backoff of a failed poll: the new address has not failed yet
 
-    async def _drain(self) -> None:
+    async def _run_shutdown(self) -> None:
         log.info(
             "shutdown started",
-            extra=pairs(in_flight=self._decider.in_flight, clients=self._client_listener.connected),
+            extra=pairs(in_flight=self._engine.in_flight, clients=self._client_listener.connected),
         )
-        ending = self._ending
-        assert ending is not None
-        self._stop_leading()
-        part_until = math.inf
-        giver: StreamSender | None = None
-        moves = False
-        while not ending.finished:
+        shutdown = self._shutdown
+        assert shutdown is not None
+        self._cancel_drain_task()
+        grace_until = math.inf
+        sender: StreamSender | None = None
+        is_migrating = False
+        while not shutdown.finished:
             handover, now = self._handover, self.now()
-            for effect in ending.next_actions(now, self._followed(), self._connected):
-                self.counters.recorder.note(Occurrence.STATE_CHANGED, ending=effect.name.lower())
-                match effect:
-                    case Do.REPORT_NOT_READY:
+            for action in shutdown.next_actions(now, self._has_successor(), self._count_clients):
+                self.counters.recorder.note(Occurrence.STATE_CHANGED, ending=action.name.lower())
+                match action:
+                    case ShutdownAction.REPORT_NOT_READY:
                         self._clients.drain()
-                    case Do.PAUSE_ACCEPTING:
+                    case ShutdownAction.PAUSE_ACCEPTING:
                         self._client_listener.pause()
                         self._clients.part()
-                        part_until = now + PART_SPAN
-                    case Do.RESUME_ACCEPTING:
-                        log.warning("successor lost", extra=pairs(left=ending.serve_time_left(now)))
+                        grace_until = now + IDLE_GRACE_S
+                    case ShutdownAction.RESUME_ACCEPTING:
+                        log.warning("successor lost", extra=pairs(left=shutdown.serve_time_left(now)))
                         self._clients.serve()
                         self._client_listener.resume()
-                        part_until = math.inf
-                        moves = False
-                        if giver is not None:
-                            giver.close()
-                            giver = None
+                        grace_until = math.inf
+                        is_migrating = False
+                        if sender is not None:
+                            sender.close()
+                            sender = None
                             self._clients.keep_streams()
-                    case Do.CLOSE_LISTENERS:
-                        self._adopt_last()
+                    case ShutdownAction.CLOSE_LISTENERS:
+                        self._adopt_remaining()
                         self._client_listener.stop()
-                    case Do.DRAIN_CLIENTS:
+                    case ShutdownAction.DRAIN_CLIENTS:
                         self._clients.part()
-                        part_until = now + PART_SPAN
-                    case Do.MIGRATE_STREAMS:
-                        moves = True
-                    case Do.REJECT_UPLOADS:
+                        grace_until = now + IDLE_GRACE_S
+                    case ShutdownAction.MIGRATE_STREAMS:
+                        is_migrating = True
+                    case ShutdownAction.REJECT_UPLOADS:
                         self._clients.reject_uploads()
-            # Guards against answers to slow readers that the end of this process would cut off; where no
-            # descriptor is left, or the other process is busy, it is tried again at the next look.
-            if moves and giver is None and handover is not None and not ending.finished:
-                giver = handover.open_stream_sender()
-                if giver is not None:
-                    self._clients.move_streams(giver)
-            if part_until < math.inf:
-                self._clients.close_idle(IDLE_LEAST if now < part_until else 0.0)
-            if not ending.finished:
-                await asyncio.sleep(LOOK_SPAN)
-        if giver is not None:
-            giver.close()
+            # Guards against responses to slow clients that the end of this process would cut off. If there is
+            # no descriptor, or the other process is busy, the next check tries again.
+            if is_migrating and sender is None and handover is not None and not shutdown.finished:
+                sender = handover.open_stream_sender()
+                if sender is not None:
+                    self._clients.move_streams(sender)
+            if grace_until < math.inf:
+                self._clients.close_idle(MIN_IDLE_S if now < grace_until else 0.0)
+            if not shutdown.finished:
+                await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
+        if sender is not None:
+            sender.close()
         await self._tasks.cancel()
-        # While what operators ask about is there yet, but no longer than callers are read from at the end.
-        await self._management.close(
-            min(LINGER_FINAL_S, max(0.0, self._end_at + LINGER_FINAL_S - self.now()))
+        # Closed first, as admin calls in progress still use the rest; bounded by the final linger time.
+        await self._admin_listener.close(
+            min(LINGER_FINAL_S, max(0.0, self._shutdown_deadline + LINGER_FINAL_S - self.now()))
         )
-        if self._talk is not None:
-            self._talk.close()
+        if self._gossip is not None:
+            self._gossip.close()
         if self._fleet is not None:
             self._fleet.close()
         if self._handover is not None:
             self._handover.close()
         self._client_listener.close()
         self._discovery.close()
-        self._servers.close()
+        self._upstreams.close()
         self._print_counters()
-        log.info("exit", extra=pairs(in_flight=self._decider.in_flight))
+        log.info("exit", extra=pairs(in_flight=self._engine.in_flight))
+
+    def _count_clients(self) -> int:
+        """Returns the number of connected clients, plus 1 while others are still to be accepted.
 
-    def _connected(self) -> int:
-        """Callers, and whom another process of the node has given to this one; asked before it ends."""
-        given = False
+        Those are queued clients and migrated streams. When no client is connected, this accepts the streams
+        that another process has sent to this one.
+        """
+        streams_queued = False
         if not self._client_listener.connected and self._handover is not None:
             self._handover.accept_last_streams()
-            given = self._handover.has_queued_streams and not self._clients.final
-        # Guards against a reset for each in a queue where there was no descriptor for them as it closed.
-        return self._client_listener.connected + (self._client_listener.queued or given)
+            streams_queued = self._handover.has_queued_streams and not self._clients.final
+        # Guards against resets for clients in a queue that found no descriptor while it was being closed.
+        return self._client_listener.connected + (self._client_listener.queued or streams_queued)
 
-    def _followed(self) -> bool:
+    def _has_successor(self) -> bool:
         return self._handover is not None and self._handover.has_successor
 
-    def _take(
-        self, ask: RequestSpec, request: Request, upload: Upload | None, rights: QuotaPermits | None
+    def _start_request(
+        self, spec: RequestSpec, request: Request, upload: Upload | None, permits: QuotaPermits | None
     ) -> RequestHandler:
-        # Guards against a job that the end of the node would leave unanswered.
-        ask = replace(ask, time_left=min(ask.time_left, self._end_at - self.now()))
-        if self._told.key_header:
-            ask = replace(ask, affinity_key=request.headers.get(self._told.key_header, "")[:KEY_MOST])
-        left = lambda: self._end_at - self.now()  # noqa: E731
-        return RequestHandler(self._decider, self._servers, self.counters, ask, request, upload, left, rights)
+        # Guards against a request that the end of the process would leave unanswered.
+        spec = replace(spec, time_left=min(spec.time_left, self._shutdown_deadline - self.now()))
+        if self._config.key_header:
+            spec = replace(
+                spec, affinity_key=request.headers.get(self._config.key_header, "")[:MAX_AFFINITY_KEY_LENGTH]
+            )
+        time_left = lambda: self._shutdown_deadline - self.now()  # noqa: E731
+        return RequestHandler(
+            self._engine, self._upstreams, self.counters, spec, request, upload, time_left, permits
+        )
 
     # Timers.
 
-    def _wake(self, delay: float) -> None:
-        if self._wake_call is not None:
-            self._wake_call.cancel()
-        self._wake_call = self._loop.call_later(delay, self._tick)
+    def _schedule_timers(self, delay: float) -> None:
+        if self._run_timers_call is not None:
+            self._run_timers_call.cancel()
+        self._run_timers_call = self._loop.call_later(delay, self._run_timers)
 
-    def _tick(self) -> None:
+    def _run_timers(self) -> None:
         try:
-            self._decider.run_due_timers()
+            self._engine.run_due_timers()
         except Exception as error:
             self.counters.add_failure("timer failed", error)
 
-    # Errands.
+    # Commands of the balancer, probes and the endpoint list.
 
-    async def _run_errands(self) -> None:
+    async def _run_commands(self) -> None:
         while True:
-            match await self._decider.next_node_command():
-                case SendProbe(server):
-                    self._tasks.start(self._probe(server))
+            match await self._engine.next_node_command():
+                case SendProbe(endpoint):
+                    self._tasks.start(self._probe(endpoint))
                 case PollList():
                     self._list_due.set()
-                case SendGossip(peer, note) if self._talk is not None:
-                    self._talk.send(peer, note)
-                case ReportEjection(server, seconds):
+                case SendGossip(peer, payload) if self._gossip is not None:
+                    self._gossip.send(peer, payload)
+                case ReportEjection(endpoint, seconds):
                     self.counters.add("endpoints_ejected")
-                    log.warning("endpoint ejected", extra=pairs(endpoint=server, seconds=round(seconds, 1)))
+                    log.warning("endpoint ejected", extra=pairs(endpoint=endpoint, seconds=round(seconds, 1)))
 
-    async def _probe(self, server: str) -> None:
-        ended = await self._servers.probe(server)
+    async def _probe(self, endpoint: str) -> None:
+        outcome = await self._upstreams.probe(endpoint)
         self.counters.add("probes")
-        self.counters.add_result("probes", ended.result)
-        self._decider.report_probe(server, ended)
+        self.counters.add_result("probes", outcome.result)
+        self._engine.report_probe(endpoint, outcome)
 
     async def _follow_list(self) -> None:
-        """The one owner of calls to discovery: when one is due, again and again until one fails."""
+        """Polls discovery: whenever a poll is due, one after another until one fails.
+
+        No other task polls, so at most one poll is open.
+        """
         while True:
             await self._list_due.wait()
             try:
                 while True:
-                    news = await self._discovery.next_update()
+                    update = await self._discovery.next_update()
                     try:
-                        self._hear(news, ListUpdate.SNAPSHOT if news.is_snapshot else ListUpdate.CHANGES)
+                        self._apply_list(
+                            update, ListUpdate.SNAPSHOT if update.is_snapshot else ListUpdate.CHANGES
+                        )
                     except Exception:
-                        # Guards against changes lost for good where the node's own code fails at them.
+                        # Guards against losing changes for good when an error of the node's own code stops
+                        # them from being applied: the next poll requests them again.
                         self._discovery.version = self._discovery.previous_version
                         raise
                     self.counters.add("list_polls")
-                    if self._list_fails:
-                        log.info("list recovered", extra=pairs(version=news.version))
-                    self._list_fails = False
+                    if self._list_failing:
+                        log.info("list recovered", extra=pairs(version=update.version))
+                    self._list_failing = False
             except Exception as error:
-                # Guards against a second call for an earlier pause, which ran out while this one went on.
+                # Guards against an extra poll when an earlier backoff ended while this poll was open.
                 self._list_due.clear()
-                self._list_failed(error)
-                pause = self._following.backoff()
-                self._loop.call_later(pause, self._list_due.set)
+                self._record_list_failure(error)
+                backoff = self._list_watch.backoff()
+                self._loop.call_later(backoff, self._list_due.set)
 
-    def _list_failed(self, error: Exception) -> None:
+    def _record_list_failure(self, error: Exception) -> None:
         self.counters.add("list_polls_failed")
-        if not self._list_fails:
+        if not self._list_failing:
             log.warning("list poll failed", extra=pairs(why=error))
-        self._list_fails = True
+        self._list_failing = True
         if not isinstance(error, ListUnavailableError):
-            # Guards against a node that never asks for the list again after one failure of its own.
+            # Guards against a watch that ends for good at an error of the node's own code: the error is
+            # counted and logged, and polling goes on.
             self.counters.add_failure("list update failed", error)
 
-    def _hear(self, news: EndpointList, kind: ListUpdate) -> None:
-        kind = ListUpdate.CHANGES if len(self._known) else kind
-        new = self._known.apply(news)
-        ready = self._point()
-        self._decider.apply_list_update(kind, new.endpoints)
+    def _apply_list(self, update: EndpointList, kind: ListUpdate) -> None:
+        kind = ListUpdate.CHANGES if len(self._endpoints) else kind
+        changes = self._endpoints.apply(update)
+        ready = self._update_upstreams()
+        self._engine.apply_list_update(kind, changes.endpoints)
         self.counters.recorder.note(
-            Occurrence.LIST_APPLIED, version=news.version, changes=len(new.endpoints), ready=ready
+            Occurrence.LIST_APPLIED, version=update.version, changes=len(changes.endpoints), ready=ready
         )
         if not self._ready:
             self._ready = True
-            self._ready_now.set()
-            log.info("ready", extra=pairs(endpoints=ready, version=news.version))
+            self._ready_event.set()
+            log.info("ready", extra=pairs(endpoints=ready, version=update.version))
 
-    def _point(self) -> int:
-        """Shows the connections' owner who may get anything new."""
-        ready = self._known.active(self._decider.banned)
-        self._servers.point(ready)
+    def _update_upstreams(self) -> int:
+        """Sets the endpoints to which the upstream pool may connect; returns how many there are."""
+        ready = self._endpoints.active(self._engine.banned)
+        self._upstreams.point(ready)
         return len(ready)
 
     async def _sweep(self) -> None:
         while True:
-            await asyncio.sleep(SWEEP_SPAN)
-            self._servers.sweep()
+            await asyncio.sleep(SWEEP_INTERVAL_S)
+            self._upstreams.sweep()
 
     def _print_counters(self) -> None:
         log.info("counters", extra=pairs(**self.counters.read()))
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -11,10 +11,10 @@
 pytest_plugins = ("tests.known_red",)
 
 SPANS = {
-    "LOOK_SPAN": 0.005,
-    "LEAD_SPAN": 0.05,
-    "PART_SPAN": 0.05,
-    "IDLE_LEAST": 0.03,
+    "DRAIN_CHECK_INTERVAL_S": 0.005,
+    "READINESS_NOTICE_S": 0.05,
+    "IDLE_GRACE_S": 0.05,
+    "MIN_IDLE_S": 0.03,
 }
 
 
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -326,7 +326,7 @@
             node.stop()
             while not node._clients.parting:
                 await asyncio.sleep(0.001)
-            node._offset += 10.0
+            node._clock_offset += 10.0
             caller.setblocking(False)
             await asyncio.get_running_loop().sock_sendall(caller, wire[1:])
             found = await heard(caller)
@@ -354,14 +354,14 @@
         late.append(connect(address))
         late[0].sendall(wire_of(1, left=60_000))
 
-    monkeypatch.setattr(Node, "_join", join)
+    monkeypatch.setattr(Node, "_join_serving_process", join)
     monkeypatch.setattr(ClientListener, "open", opened)
 
     async def story() -> None:
         async def told_to_end_meanwhile(starts: Node) -> None:
             await waiting.wait()
             starts.stop()
-            starts._offset += 1.0
+            starts._clock_offset += 1.0
             joined.set()
 
         async with Peer() as peer, running(peer, starting=told_to_end_meanwhile):
@@ -387,7 +387,7 @@
         waiting.set()
         await joined.wait()
 
-    monkeypatch.setattr(Node, "_join", join)
+    monkeypatch.setattr(Node, "_join_serving_process", join)
 
     async def story() -> None:
         async def told_meanwhile(starts: Node) -> None:
@@ -405,14 +405,14 @@
             while not any(one._intake.parser.begun for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
-            end_at = node._end_at
+            end_at = node._shutdown_deadline
             while not node._clients.parting:
                 await asyncio.sleep(0.001)
             if when == "as it ends":
                 os.kill(os.getpid(), signal.SIGHUP)
                 while not node.counters.read().get("reloads"):
                     await asyncio.sleep(0.001)
-                assert node._end_at == end_at and not node._client_listener.listeners
+                assert node._shutdown_deadline == end_at and not node._client_listener.listeners
             assert node._clients.draining and node._clients.parting
             left = end_at - node.now()
             stays.sendall(wire[1:])
@@ -431,7 +431,7 @@
     async def story() -> None:
         async with Peer() as peer, running(known=False) as (node, address):
             (queue,) = bind_sockets(0, "127.0.0.1")
-            node._tasks.start(node._adopt([queue]))
+            node._tasks.start(node._adopt_when_ready([queue]))
             stays, waits = connect(address), connect(queue.getsockname())
             stays.sendall(wire_of(1)[:1])
             waits.sendall(wire_of(2))
@@ -441,7 +441,7 @@
             while node._client_listener.listeners:
                 await asyncio.sleep(0.001)
             endpoints = {"index": 1, "snapshot": True, "endpoints": rows(peer)}
-            node._hear(read_list(endpoints), ListUpdate.CACHED)
+            node._apply_list(read_list(endpoints), ListUpdate.CACHED)
             assert (await heard(waits)).startswith(b"HTTP/1.1 200")
             assert not node._client_listener.listeners and queue.fileno() < 0
             stays.close()
@@ -564,7 +564,7 @@
             node.stop()
             while not node.counters.read().get("uploads_adopted"):
                 await asyncio.sleep(0.001)
-            assert gave == [True] and node._ending is not None and not node._ending.finished
+            assert gave == [True] and node._shutdown is not None and not node._shutdown.finished
             caller.sendall(b"x" * 30_000)
             assert await heard(caller) == b""
         assert node.counters.read()["uploads_adopted"] == 1 and not node.counters.read().get(
@@ -821,12 +821,12 @@
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, _):
             node.stop()
-            assert node._ending is not None
+            assert node._shutdown is not None
             while not node._client_listener.queued:
                 await asyncio.sleep(0.001)
-            while not node._ending.finished:
+            while not node._shutdown.finished:
                 await asyncio.sleep(0.001)
-            assert node.now() >= node._ending.deadline
+            assert node.now() >= node._shutdown.deadline
 
     run(story())
 
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -163,7 +163,7 @@
         async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
             await warm(address, 10)  # for the budget of retries
             client = await Client().open(address)
-            at_the_writing(monkeypatch, 1, lambda: node._decider._command(11, order))
+            at_the_writing(monkeypatch, 1, lambda: node._engine._command(11, order))
             client.ask()
             status = (await client.answer()).status
             assert status == (502 if isinstance(order, FailRequest) else 503)
@@ -313,7 +313,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._servers._connect_within = 10.0  # s, over what the story waits
+            node._upstreams._connect_within = 10.0  # s, over what the story waits
             client = RawClient(address)
             client.ask(BODY[:1000], "POST", length=10 * len(BODY))
             while not node._clients.connections:
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -246,7 +246,7 @@
             while not node.counters.read()["fleet_requests_waiting"]:
                 await asyncio.sleep(0.005)
             file.write_text(json.dumps({**told, "fleet": {**fleet, "limits": []}}))
-            node.read_again()
+            node.reload()
             assert (await second.answer()).status == 200
             slow.go_on.set()
             assert (await first.answer()).status == 200
@@ -314,7 +314,7 @@
         async with Peer() as peer, running(peer, fleet=fleet, told=told, file=file) as (node, _):
             await settled(node)
             file.write_text(json.dumps({**told, "fleet": {**fleet, **changed}}))
-            node.read_again()
+            node.reload()
             assert node.counters.read().get("reloads_failed", 0) == (not taken)
             await settled(node)
             wanted = {**fleet, **changed}["limits"][0]["owners"]["n"]
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -535,7 +535,9 @@
             dead.address = address_of_gone
             list_ = rows(dead)
             list_[0]["name"] = "dead"
-            node._hear(read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES)
+            node._apply_list(
+                read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES
+            )
             for _ in range(8):
                 caller = await Caller().open(address)
                 caller.begin(BODY)
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -238,8 +238,8 @@
         file = tmp_path / "told.json"
         file.write_text(json.dumps(beside_clients()))
         async with Peer() as server, running(server, file=file) as (node, _):
-            node.read_again()
-            assert node.counters.read()["reloads_failed"] == 1 and not node._told.balancer.sidecar
+            node.reload()
+            assert node.counters.read()["reloads_failed"] == 1 and not node._config.balancer.sidecar
 
     run(story())
 
@@ -281,15 +281,15 @@
             Peer() as server,
             running(server, **{**BESIDE, "node_count": 2, "node_index": 0}) as (node, at),
         ):
-            node._talk = GossipSocket(free_address(), [], lambda *_: None, node.counters)
-            node._talk.send = lambda peer, note: notes.append(note)  # type: ignore[method-assign]
+            node._gossip = GossipSocket(free_address(), [], lambda *_: None, node.counters)
+            node._gossip.send = lambda peer, note: notes.append(note)  # type: ignore[method-assign]
             client = await Client().open(at)
             client.ask()
             assert (await client.answer()).status == 200
             async with asyncio.timeout(5):
                 while not notes:
                     await asyncio.sleep(0.005)
-        other = BalancerEngine(node._told.balancer, SettingNames(["plain"]), lambda: 1000.0, lambda _: None)
+        other = BalancerEngine(node._config.balancer, SettingNames(["plain"]), lambda: 1000.0, lambda _: None)
         other.apply_list_update(
             ListUpdate.SNAPSHOT, [ListedEndpoint(name, EndpointState.ACTIVE) for name in ("s9", "s0")]
         )
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -536,7 +536,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             client = await Client().open(address)
             with monkeypatch.context() as patch:
-                patch.setattr(node._decider, part, failing)
+                patch.setattr(node._engine, part, failing)
                 client.ask(left="100")
                 assert (await client.answer()).status == 500
             client.ask()
@@ -575,7 +575,7 @@
             teller = Peer(lambda request: news(2, rows(peer)) if "after=1" in request.target else SILENT)
             async with teller, running(peer, discovery=teller) as (node, _):
                 with monkeypatch.context() as patch:
-                    patch.setattr(node._servers, "point", None)
+                    patch.setattr(node._upstreams, "point", None)
                     while not node.counters.read().get("list_polls_failed"):
                         await asyncio.sleep(0.001)
                 seen = len(teller.requests)
@@ -787,7 +787,7 @@
             )
             async with agent, running(drained, sound, discovery=agent, pushed=True) as (node, address):
                 assert not node._ready
-                await node._ready_now.wait()
+                await node._ready_event.wait()
                 client = await Client().open(address)
                 for _ in range(6):
                     client.ask()
@@ -868,7 +868,7 @@
         client.ask()
         status = (await client.answer()).status
         assert node.counters.read()["endpoints_active"] == (status == 200)
-        return status, len(node._known)
+        return status, len(node._endpoints)
 
 
 @pytest.mark.parametrize(("version", "started", "status"), [(2, 0, 503), (4, 0, 200), (2, 5_000, 200)])
@@ -1147,9 +1147,9 @@
                 assert (await client.answer()).status == 200
                 for text in ("", "[]", "{}", '{"discovery": 5}', '{"discovery": "x:y"}', "[" * 100000):
                     file.write_text(text)
-                    node.read_again()
+                    node.reload()
                 file.write_text(json.dumps(configuration(old.at)))
-                node.read_again()
+                node.reload()
                 assert len(old.requests) == 1 and not old.left.is_set()
                 file.write_text(json.dumps({**configuration(new.at), "listen": "127.0.0.1:1"}))
                 os.kill(os.getpid(), signal.SIGHUP)
@@ -1184,7 +1184,7 @@
                 await asyncio.sleep(0.001)
             file.write_text(json.dumps(configuration(new.at)))
             began = node.now()
-            node.read_again()
+            node.reload()
             await new.asked.wait()
             assert node.now() - began < MIN_BACKOFF_S
             # It may be silent: one that waits would find that out only after what it has counts.
@@ -1457,7 +1457,7 @@
                 async with running(peer, discovery=old, file=file, told=told, node_count=200) as (node, _):
                     for place in (between, last):
                         file.write_text(json.dumps(configuration(place.at)))
-                        node.read_again()
+                        node.reload()
                     async with asyncio.timeout(5):
                         await last.asked.wait()
                     assert not between.asked.is_set()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -96,7 +96,7 @@
                 for _ in range(3):
                     assert await call(mgmt, "GET", "/control/ready") == 200
                 assert time.monotonic() - began < 1.0
-                assert len(node._management._calls) <= admin.CALLS_MOST
+                assert len(node._admin_listener._calls) <= admin.CALLS_MOST
                 for _, writer in silent:
                     writer.close()
 
@@ -137,7 +137,7 @@
                 first.sendall(OUT[:-2] if call_is == "half" else OUT)
                 if call_is != "half":
                     await begun.wait()
-                while call_is != "under way" and not node._management._unread:
+                while call_is != "under way" and not node._admin_listener._unread:
                     await asyncio.sleep(0.001)
                 second.connect(mgmt)
                 given_up = second if call_is == "under way" else first
@@ -181,10 +181,12 @@
                     if stands != "in the queue":
                         operator.connect(mgmt)
                         operator.sendall(OUT[:-2] if stands == "half come" else OUT)
-                        while not (begun.is_set() or (stands == "half come" and node._management._unread)):
+                        while not (
+                            begun.is_set() or (stands == "half come" and node._admin_listener._unread)
+                        ):
                             await asyncio.sleep(0.001)
                     else:
-                        for listener in node._management._listeners:
+                        for listener in node._admin_listener._listeners:
                             node._loop.remove_reader(listener.fileno())
                         operator.connect(mgmt)
                         operator.sendall(OUT)
@@ -207,7 +209,7 @@
             with socket.socket() as operator:
                 async with running(peer, mgmt=mgmt) as (node, _):
                     operator.connect(mgmt)
-                    while not node._management._unread:
+                    while not node._admin_listener._unread:
                         await asyncio.sleep(0.001)
                 assert await heard(operator) == b""
 
@@ -252,7 +254,7 @@
 
             monkeypatch.setattr(node, "out_of_service", out_of_service)
             operator.sendall(OUT)
-            while not node.counters.read().get("admin_calls") or node._management._calls:
+            while not node.counters.read().get("admin_calls") or node._admin_listener._calls:
                 await asyncio.sleep(0.001)
             assert not node.counters.read().get("internal_errors")
 
@@ -271,7 +273,7 @@
                 assert (await reader.read()).startswith(b"HTTP/1.1 408 ")
                 writer.close()
                 assert await call(mgmt, "nonsense\r\n", "") == 400
-                while node._management._calls:
+                while node._admin_listener._calls:
                     await asyncio.sleep(0)
 
     run(story())
@@ -295,7 +297,9 @@
 
 def hear(node: Node, index: int, *servers: Peer, status: str = "active") -> None:
     endpoints = rows(*servers, status=status)
-    node._hear(read_list({"index": index, "snapshot": True, "endpoints": endpoints}), ListUpdate.SNAPSHOT)
+    node._apply_list(
+        read_list({"index": index, "snapshot": True, "endpoints": endpoints}), ListUpdate.SNAPSHOT
+    )
 
 
 def test_a_server_taken_out_gets_nothing_whatever_the_list_says_until_it_is_given_back() -> None:
@@ -339,7 +343,7 @@
 
                 monkeypatch.setattr(UpstreamPool, "_connected", slowly)
                 statuses = []
-                while not other.requests or "s0" not in node._decider.banned:
+                while not other.requests or "s0" not in node._engine.banned:
                     client = await Client().open(listen)
                     client.ask()
                     statuses.append((await client.answer()).status)
@@ -364,8 +368,8 @@
                     asked.append(name)
                     if len(asked) == 1:
                         left = [f"s{i}" for i in range(3) if f"s{i}" != name]
-                        node._decider.ban(left[0])
-                        node._point()
+                        node._engine.ban(left[0])
+                        node._update_upstreams()
                         return (b"", "reset")
                     return OK
 
@@ -373,7 +377,7 @@
                     peer.reply = lambda _, name=f"s{i}": reset(name)
                 client.ask()
                 assert (await client.answer()).status == 200
-                assert len(asked) == 2 and asked[1] not in node._decider.banned
+                assert len(asked) == 2 and asked[1] not in node._engine.banned
 
     run(story())
 
@@ -415,7 +419,7 @@
                 client.ask()
                 await peer.asked.wait()
                 assert await call(mgmt, "PUT", "/control/out-of-service") == 200
-                while node._service.state is not ServingState.DRAINING:
+                while node._serving_state.state is not ServingState.DRAINING:
                     await asyncio.sleep(0.01)
                 peer.go_on.set()
                 answer = await client.answer()
@@ -455,7 +459,7 @@
                     await asyncio.sleep(0.005)
                 assert await call(mgmt, "GET", "/control/ready") == 200
                 assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
-                held = node._descriptors.held + len(node._management._calls)
+                held = node._descriptors.held + len(node._admin_listener._calls)
                 assert held <= 64 - OWN
                 for client in clients:
                     client.writer.close()
@@ -482,7 +486,7 @@
                             await asyncio.sleep(0.005)
                         client.writer.close()
                         led_away.append(time.monotonic())
-                        if node._service.state is ServingState.DRAINING:
+                        if node._serving_state.state is ServingState.DRAINING:
                             return
 
                 work = [asyncio.create_task(stays()) for _ in range(3)]
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -78,12 +78,12 @@
     async def story() -> None:
         held = Held(monkeypatch, lambda number: how)
         async with Peer() as server, running(server) as (node, listen):
-            node._servers.retune(0.05, 5.0, "/health")
+            node._upstreams.retune(0.05, 5.0, "/health")
             client = await Client().open(listen)
             client.ask()
             assert (await client.answer()).status == 503  # it never ran
             await settle(lambda: node._descriptors.held == 1)  # the caller's
-            assert len(held.opened) >= (2 if how == "late" else 1) and not node._servers._late
+            assert len(held.opened) >= (2 if how == "late" else 1) and not node._upstreams._late
             figures = node.counters.read()
             assert figures["connections_opened"] == figures["connections_closed"] == len(held.opened)
 
@@ -96,16 +96,16 @@
     async def story() -> None:
         held = Held(monkeypatch, lambda number: "late")
         async with Peer() as server, running(server, max_attempts=1) as (node, listen):
-            node._servers.retune(0.05, 5.0, "/health")
+            node._upstreams.retune(0.05, 5.0, "/health")
             clients = [await Client().open(listen) for _ in range(4)]
             for client in clients:
                 client.ask()
             assert [(await client.answer()).status for client in clients] == [503] * 4
             assert len(held.opened) == 8
-            assert len(node._servers._late["s0"]) <= upstream.LATE_MOST
-            node._servers.point({})
+            assert len(node._upstreams._late["s0"]) <= upstream.LATE_MOST
+            node._upstreams.point({})
             held.release.set()
-            await settle(lambda: not node._servers._late)
+            await settle(lambda: not node._upstreams._late)
             assert node.counters.read()["connections_idle"] == 0
             await settle(lambda: node._descriptors.held == 4)
 
@@ -124,7 +124,7 @@
             client.writer.close()
             await settle(lambda: node.counters.read().get("requests_cancelled", 0) == 1)
             held.release.set()
-            await settle(lambda: not node._servers._late)
+            await settle(lambda: not node._upstreams._late)
             assert server.requests == []
 
     asyncio.run(story())
--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -211,7 +211,7 @@
                 told = configuration(place.at)
                 told["settings"]["profiles"] = [{**first(told), "name": name, **changes} for name in names]
                 file.write_text(json.dumps(told))
-                node.read_again()
+                node.reload()
 
             assert await status("plain") == 200
             write("plain", "new")
@@ -220,9 +220,9 @@
             told = configuration("127.0.0.1:3")
             told["settings"]["limits"]["max_dispatches"] = -1
             file.write_text(json.dumps(told))
-            node.read_again()
+            node.reload()
             assert [await status("plain"), await status("new")] == [200, 200]
-            assert node._told.discovery == place.address and node._told.balancer.max_attempts == 5
+            assert node._config.discovery == place.address and node._config.balancer.max_attempts == 5
             write("new")
             assert await status("new") == 200
             assert await status("plain") == 400
@@ -252,7 +252,7 @@
             told = configuration()
             first(told)["name"] = "new"
             file.write_text(json.dumps(told))
-            node.read_again()
+            node.reload()
             assert node.counters.read()["reloads"] == 1
             peer.go_on.set()
             assert (await client.answer()).status == 200
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -215,8 +215,8 @@
 DEAF = """
 from notchjunction.balancing.interface import ListUpdate
 from notchjunction.node.node import Node
-hears = Node._hear
-Node._hear = lambda self, news, kind: hears(self, news, kind) if kind is ListUpdate.CACHED else None
+hears = Node._apply_list
+Node._apply_list = lambda self, news, kind: hears(self, news, kind) if kind is ListUpdate.CACHED else None
 from notchjunction.__main__ import main
 main()
 """
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -111,19 +111,19 @@
             async with running(shared=tmp_path, listen=listen, mgmt=mgmt2, known=False) as (new, _):
                 await until(old, "has_successor", True)
                 assert await call(mgmt2, "GET", "/control/ready") == 200
-                assert new._decider.banned == {"s0"}
+                assert new._engine.banned == {"s0"}
                 # A yes holds in both, whichever was asked; an unknown one is a no.
                 assert await call(mgmt2, "PUT", "/control/servers/s1/offline") == 200
-                assert old._decider.banned == {"s0", "s1"}
+                assert old._engine.banned == {"s0", "s1"}
                 assert await call(mgmt, "PUT", "/control/servers/s0/online") == 200
-                assert new._decider.banned == {"s1"} == old._decider.banned
+                assert new._engine.banned == {"s1"} == old._engine.banned
                 assert await call(mgmt2, "PUT", "/control/servers/s7/offline") == 404
                 for _ in range(6):
                     await served(await Client().open(listen))
                 assert not b.requests and len(a.requests) == 6
                 assert await call(mgmt, "PUT", "/control/out-of-service") == 200
                 assert await ask_ready(listen) == 503
-                assert new._service.state is old._service.state
+                assert new._serving_state.state is old._serving_state.state
                 assert await call(mgmt2, "PUT", "/control/in-service") == 200
                 assert await ask_ready(listen) == 200
 
@@ -183,9 +183,9 @@
                 while new._descriptors.elsewhere < held + OWN:
                     await asyncio.sleep(0.001)
                 assert new._descriptors.callers_elsewhere == 10
-                assert new._decider._settings.process_count == old._decider._settings.process_count == 2
+                assert new._engine._settings.process_count == old._engine._settings.process_count == 2
                 await first.aclose()
-                while new._descriptors.elsewhere or new._decider._settings.process_count != 1:
+                while new._descriptors.elsewhere or new._engine._settings.process_count != 1:
                     await asyncio.sleep(0.001)
 
     run(story())
@@ -292,7 +292,7 @@
                     sock.send(b'{"got": true}\n')
                     await until(node, "peer_count", 1)
             await until(node, "peer_count", 0)
-            assert not node._handover.has_successor and node._decider._settings.process_count == 1  # type: ignore[union-attr]
+            assert not node._handover.has_successor and node._engine._settings.process_count == 1  # type: ignore[union-attr]
             await served(await Client().open(listen))
             assert await node.take_offline("s0")
 
@@ -312,7 +312,7 @@
                 await node._loop.sock_connect(sock, str(tmp_path / FILE))
                 sock.send(b'{"got": true}\n')
                 await until(node, "peer_count", 1)
-                assert not await node.take_offline("s0") and node._decider.banned == {"s0"}
+                assert not await node.take_offline("s0") and node._engine.banned == {"s0"}
 
     run(story())
 
@@ -344,7 +344,7 @@
                 monkeypatch.setattr(Channel, "send_command", crossed)
                 async with asyncio.timeout(5):
                     assert await node.take_offline("s0")
-                assert not channel.unacknowledged and node._decider.banned == {"s0"}
+                assert not channel.unacknowledged and node._engine.banned == {"s0"}
 
     run(story())
 
