--- a/notchjunction/__main__.py
+++ b/notchjunction/__main__.py
@@ -1,21 +1,22 @@
-"""Starts one node on sockets, by the environment that it is given."""
+"""Runs one node, configured by environment variables and the file that GW_CONFIG names."""
 
 from __future__ import annotations
 
 import signal
 
 
-def hold_signals() -> None:
-    """Guards against being ended by a request that comes before the node can answer it.
+def defer_signals() -> None:
+    """Ignores SIGUSR1 and blocks SIGHUP until the node handles them.
 
-    One for counters is passed over, one for new configuration is kept until then.
+    Guards against a signal that arrives during the start and ends the process by its default action. SIGUSR1
+    (print counters) is dropped until then; SIGHUP (reload) stays pending and is delivered once unblocked.
     """
     signal.signal(signal.SIGUSR1, signal.SIG_IGN)
     signal.pthread_sigmask(signal.SIG_BLOCK, {signal.SIGHUP})
 
 
 if __name__ == "__main__":
-    hold_signals()  # also while the rest is loaded, which takes most of a start
+    defer_signals()  # before the imports below, which take most of the start
 
 # ruff: noqa: E402
 import argparse
@@ -31,21 +32,25 @@
 from notchjunction.telemetry import logs
 
 log = logging.getLogger("notchjunction")
-LATE = {signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT}
+HANDLED_SIGNALS = {signal.SIGHUP, signal.SIGUSR1, signal.SIGTERM, signal.SIGINT}
 
 
-async def serve(told: node_config.NodeConfig) -> None:
-    await Node(told).run()
-    # Guards against another end than 0: the loop's close takes the node's handlers away.
-    signal.pthread_sigmask(signal.SIG_BLOCK, LATE)
+async def serve(config: node_config.NodeConfig) -> None:
+    """Runs the node until it has shut down."""
+    await Node(config).run()
+    # Guards against an exit status other than 0: closing the loop removes the node's signal handlers.
+    signal.pthread_sigmask(signal.SIG_BLOCK, HANDLED_SIGNALS)
 
 
 def check(file: str) -> int:
-    """Whether a node in service would take the file at SIGHUP, as far as the file alone tells."""
+    """Validates a configuration file as a reload would, without a configuration in force to compare it with.
+
+    Prints the errors; returns the exit status, 0 for a valid file.
+    """
     try:
         validation.validate(validation.parse(Path(file).read_text(encoding="utf-8")))
-    except validation.InvalidConfigurationError as unfit:
-        for error in unfit.errors:
+    except validation.InvalidConfigurationError as invalid:
+        for error in invalid.errors:
             print(f"{file}: {error}")
         return 1
     except (OSError, UnicodeDecodeError) as error:
@@ -56,26 +61,34 @@
 
 
 def main() -> int:
-    hold_signals()
+    """Parses the arguments, and runs a node or checks a file.
+
+    Returns:
+        The exit status: 0, 1 if the node cannot listen or the checked file has errors, 2 for an unusable
+        configuration.
+    """
+    defer_signals()
     parser = argparse.ArgumentParser(prog="notchjunction", description=__doc__)
-    parser.add_argument("--log-level", default="INFO", help="of the standard error log (default: INFO)")
-    parser.add_argument("--check", metavar="FILE", help="say what is wrong with a configuration, and end")
-    asked = parser.parse_args()
-    logs.configure_logging(asked.log_level.upper())
-    if asked.check is not None:
-        return check(asked.check)
+    parser.add_argument(
+        "--log-level", default="INFO", help="level of the log on standard error (default: INFO)"
+    )
+    parser.add_argument("--check", metavar="FILE", help="print the errors of a configuration file and exit")
+    options = parser.parse_args()
+    logs.configure_logging(options.log_level.upper())
+    if options.check is not None:
+        return check(options.check)
     try:
-        told = node_config.load_config(os.environ)
-    except validation.InvalidConfigurationError as unfit:
-        for each in unfit.errors:
-            log.error("invalid configuration", extra=logs.pairs(why=each))
+        config = node_config.load_config(os.environ)
+    except validation.InvalidConfigurationError as invalid:
+        for text in invalid.errors:
+            log.error("invalid configuration", extra=logs.pairs(why=text))
         return 2
     except (OSError, KeyError, ValueError, TypeError, AttributeError) as error:
         log.error("unusable input", extra=logs.pairs(why=repr(error)))
         return 2
     try:
         with asyncio.Runner(loop_factory=ObservedLoop) as runner:
-            runner.run(serve(told))
+            runner.run(serve(config))
     except OSError as error:
         log.error("cannot listen", extra=logs.pairs(why=error))
         return 1
--- a/notchjunction/node/__init__.py
+++ b/notchjunction/node/__init__.py
@@ -1,1 +1,1 @@
-"""Wiring, start and shutdown of one node process."""
+"""One node process: its components, start and shutdown."""
--- a/notchjunction/node/gauges.py
+++ b/notchjunction/node/gauges.py
@@ -1,4 +1,4 @@
-"""The gauges of a node as a whole; connections, listeners and quotas register their own."""
+"""Gauges that concern a node as a whole; connections, listeners and quotas register their own."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
     descriptors: Descriptors,
     streams: StreamBuffers,
 ) -> None:
-    """Has the counters read requests, streams, descriptors, the age of the list and the loop's lag."""
+    """Registers gauges of requests, streams, descriptors, the age of the list and the event loop's lag."""
     counters.gauge("requests_in_flight", lambda: engine.in_flight)
     counters.gauge("requests_tracked", lambda: engine.tracked)
     counters.gauge("streams_open", lambda: streams.open)
@@ -27,5 +27,5 @@
 
 
 def register_gossip_gauges(counters: Counters, engine: BalancerEngine) -> None:
-    """Has the counters read what gossip was ignored, on a node that has peers."""
+    """Registers the gauge of ignored gossip reports, for a node that has peers."""
     counters.gauge("gossip_ignored", lambda: engine.ignored_reports)
