--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -385,7 +385,7 @@
                     )
                     assert told["node"] == "n"
                 else:
-                    while len(node._handover._taking) < 2:
+                    while len(node._handover._stream_sockets) < 2:
                         await asyncio.sleep(0.001)
                 # Withdrawn within the pause: it is heard no more, whatever has its number by now.
                 with no_descriptor_left():
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -770,7 +770,7 @@
             while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.001)
             giver = handover.StreamSender(str(tmp_path))
-            while len(node._handover._taking) < 2:
+            while len(node._handover._stream_sockets) < 2:
                 await asyncio.sleep(0.001)
             with no_descriptor_left():
                 assert giver({"keep": False, "rest": rest.state()}, given)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -954,7 +954,7 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.002)
-            assert node._handover.open_stream_sender() is None and len(node._handover._taking) == 1
+            assert node._handover.open_stream_sender() is None and len(node._handover._stream_sockets) == 1
 
     run(story())
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -490,7 +490,7 @@
             await until(middle, "has_successor", True)
             place = os.stat(tmp_path / FILE).st_ino
             short = no_way_once if left is None else partial(descriptors_left, left)
-            met = first_in(monkeypatch, "_retake_place", short)
+            met = first_in(monkeypatch, "_reclaim_socket_path", short)
             await second.aclose()
             while not met:
                 await asyncio.sleep(0.001)
@@ -501,7 +501,7 @@
 
 
 @pytest.mark.parametrize("left", [0, 1, 2])
-@pytest.mark.parametrize("step", ["offer", "_retake_place"])
+@pytest.mark.parametrize("step", ["offer", "_reclaim_socket_path"])
 def test_the_next_process_finds_this_one_though_descriptors_were_short_as_it_took_its_place(
     step: str, left: int, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -530,7 +530,7 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while not met:
                 await asyncio.sleep(0.001)
-            assert node._handover is not None and node._handover._retry is not None
+            assert node._handover is not None and node._handover._retry_call is not None
             node._handover.close()
             await asyncio.sleep(2 * SHORT_PAUSE)
             assert not os.listdir(tmp_path)
@@ -601,7 +601,7 @@
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """A listener that is shut down stays readable while what it gave is still served."""
-    accept = handover.Handover._accept_giver
+    accept = handover.Handover._accept_sender
     accepts = 0
 
     def counted(self: handover.Handover, listener: socket.socket) -> bool:
@@ -609,7 +609,7 @@
         accepts += 1
         return accept(self, listener)
 
-    monkeypatch.setattr(handover.Handover, "_accept_giver", counted)
+    monkeypatch.setattr(handover.Handover, "_accept_sender", counted)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
