--- a/notchjunction/upgrade/__init__.py
+++ b/notchjunction/upgrade/__init__.py
@@ -1,1 +1,1 @@
-"""What passes from one process of a node to the next, and how a process shuts down."""
+"""Handover from one process of a node to the next, and graceful shutdown."""
--- a/notchjunction/upgrade/channel.py
+++ b/notchjunction/upgrade/channel.py
@@ -1,4 +1,4 @@
-"""One connection between two processes of a node: lines of JSON both ways, open while both live."""
+"""One connection between two processes of a node: lines of JSON both ways, open while both run."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
     parse_object,
 )
 
-# For the other process to acknowledge a command; operators wait 1 s at most.
+# For a peer process to acknowledge a command; a call of the admin API is answered within 1 s.
 ACK_TIMEOUT_S = 0.6
-# Of one line; a list of tens of thousands of endpoints fits.
+# Length of one line; a list of tens of thousands of endpoints fits.
 MAX_LINE_BYTES = 8 * 1024 * 1024
 
 
@@ -26,7 +26,7 @@
     """The channel to a peer process has failed or ended."""
 
     def __init__(self, what: str) -> None:
-        super().__init__(what, "handover channel", "see whether the other process still runs")
+        super().__init__(what, "handover channel", "check whether the other process still runs")
 
 
 class Channel:
@@ -36,21 +36,25 @@
         self._reader = reader
         self._writer = writer
         self.usage = ResourceUsage()
-        self.is_ready = False  # whether it has reported so: it serves on when this process ends
-        self._last_number = 0  # of the commands sent
+        self.is_ready = False  # whether it has reported that it goes on serving when this process ends
+        self._last_number = 0  # number of the last command sent
         self.unacknowledged: dict[int, asyncio.Future[bool]] = {}
 
     @classmethod
     async def open(cls, sock: socket.socket) -> Channel:
-        """The channel on a connected socket, which it owns from then on."""
+        """Returns a channel on a connected socket, which the channel owns from then on."""
         return cls(*await asyncio.open_unix_connection(sock=sock, limit=MAX_LINE_BYTES))
 
     def send(self, message: Message) -> None:
-        """Queues a message; nothing is awaited."""
+        """Queues a message without waiting until it is sent."""
         self._writer.write(encode_line(message))
 
     async def receive(self) -> JsonObject:
-        """The next line's object; HandoverError where the channel has ended or holds something else."""
+        """Returns the JSON object of the next line.
+
+        Raises:
+            HandoverError: The channel has ended, or the line is no JSON object.
+        """
         try:
             line = await self._reader.readline()
         except (OSError, ValueError, asyncio.LimitOverrunError) as error:
@@ -62,34 +66,37 @@
     async def send_command(self, command: str, value: Any) -> bool:
         """Sends an operator's command and returns whether it was acknowledged in time.
 
-        A process that has gone has nothing left to do, and counts as one that did it.
+        A process that has ended has nothing left to do, so its command counts as acknowledged.
         """
         if self._writer.is_closing():
-            return True  # since it was listed among those that get the command
+            return True  # it has closed since the recipients of the command were listed
         self._last_number += 1
-        done: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
-        self.unacknowledged[self._last_number] = done
+        acknowledged: asyncio.Future[bool] = asyncio.get_running_loop().create_future()
+        self.unacknowledged[self._last_number] = acknowledged
         self.send(CommandMessage(self._last_number, command, value))
         try:
             async with asyncio.timeout(ACK_TIMEOUT_S):
-                return await done
+                return await acknowledged
         except TimeoutError:
             return False
         finally:
             self.unacknowledged.pop(self._last_number, None)
 
     def acknowledge(self, number: int) -> None:
-        """The other process has done the command of this number."""
-        done = self.unacknowledged.get(number)
-        if done is not None and not done.done():
-            done.set_result(True)
+        """Records that the other process has done the command of this number."""
+        acknowledged = self.unacknowledged.get(number)
+        if acknowledged is not None and not acknowledged.done():
+            acknowledged.set_result(True)
 
     def abort(self) -> None:
-        """Ends it at once. Guards against a loop that goes on watching the number of a closed descriptor."""
+        """Closes the channel at once.
+
+        Guards against an event loop that goes on watching the number of a closed descriptor.
+        """
         self._writer.transport.abort()
 
     def close(self) -> None:
-        """Ends it once all is sent; commands that wait for this process wait no longer."""
+        """Closes the channel once all is sent; commands without an acknowledgement count as acknowledged."""
         self._writer.close()
         for number in list(self.unacknowledged):
             self.acknowledge(number)
--- a/notchjunction/upgrade/listener_sharing.py
+++ b/notchjunction/upgrade/listener_sharing.py
@@ -1,6 +1,6 @@
-"""How a new process of a node joins the serving one and is given the clients' listeners and the node's state.
+"""How a new process of a node joins the serving one and receives the clients' listeners and the node's state.
 
-One queue of connections serves both processes from then on.
+Both processes accept clients from one queue of connections from then on.
 """
 
 from __future__ import annotations
@@ -14,20 +14,20 @@
 from notchjunction.upgrade.messages import HandoverError, ListenersReceived, NodeState, ProcessIdentity
 from notchjunction.upgrade.shared_folder import HANDOVER_SOCKET, short_path
 
-# For the handover as a whole; past it a start without one leaves time enough to be ready.
+# For the complete handover; after it, a start without a handover is still ready in time.
 JOIN_TIMEOUT_S = 1.5
-# Of the first line, which comes with the listeners.
+# Length of the first line, which comes with the listeners.
 MAX_IDENTITY_BYTES = 4096
-# Descriptors that may come with it; one address has one or two.
+# Listeners that may come with it; one address has one or two.
 MAX_LISTENERS = 8
 
 
 class IdentityMismatchError(HandoverError):
-    """The process that listens in the shared folder is of another node or release, or has no listener."""
+    """The process that listens in the shared folder is of another node or version, or sent no listeners."""
 
     def __init__(self) -> None:
         super().__init__(
-            "another node's, or another version's",
+            "the process there is of another node or version, or sent no listeners",
             HANDOVER_SOCKET,
             "give each node its own TMPDIR, and all processes of one node the same GW_NAME and GW_LISTEN",
         )
@@ -35,16 +35,18 @@
 
 @dataclass(frozen=True, slots=True)
 class InheritedState:
-    """What a serving process gave this one."""
+    """What a serving process has handed over to this one."""
 
     listeners: list[socket.socket]
     state: NodeState
 
 
 async def join_serving_process(folder: str, identity: ProcessIdentity) -> tuple[Channel, InheritedState]:
-    """Connects to the process that serves, and takes its listeners and its state.
+    """Connects to the serving process, and receives its listeners and its state.
 
-    Raises FileNotFoundError where there is none, else HandoverError, OSError, ValueError; closes all then.
+    Raises:
+        FileNotFoundError: There is no serving process.
+        HandoverError, OSError, ValueError: The handover failed; all sockets are closed.
     """
     sock = socket.socket(socket.AF_UNIX)
     channel: Channel | None = None
@@ -52,8 +54,8 @@
     try:
         sock.setblocking(False)
         async with asyncio.timeout(JOIN_TIMEOUT_S):
-            with short_path(folder) as short:
-                await asyncio.get_running_loop().sock_connect(sock, f"{short}/{HANDOVER_SOCKET}")
+            with short_path(folder) as short_folder:
+                await asyncio.get_running_loop().sock_connect(sock, f"{short_folder}/{HANDOVER_SOCKET}")
             await _wait_readable(sock)
             text, descriptors, _, _ = socket.recv_fds(sock, MAX_IDENTITY_BYTES, MAX_LISTENERS)
             listeners = [socket.socket(fileno=descriptor) for descriptor in descriptors]
@@ -78,9 +80,10 @@
 async def share_listeners(
     sock: socket.socket, identity: ProcessIdentity, listeners: list[socket.socket]
 ) -> Channel:
-    """Gives the listeners to a process that has connected; the channel on which it confirmed that.
+    """Sends the listeners to a process that has connected; returns the channel once it has confirmed them.
 
-    Raises HandoverError or OSError, TimeoutError among them; the connection is closed then.
+    Raises:
+        HandoverError, OSError: The handover failed or timed out; the connection is closed.
     """
     channel: Channel | None = None
     try:
--- a/notchjunction/upgrade/messages.py
+++ b/notchjunction/upgrade/messages.py
@@ -1,7 +1,7 @@
-"""The messages between two processes of one node: typed values, and the JSON they have on the channel.
+"""The messages between two processes of one node: typed values, and their JSON form on the channel.
 
-A line of the channel holds one JSON object. Words, keys and their order are a wire between two releases: they
-stay as they are, whatever the names here.
+A line of the channel holds one JSON object. Its keys, values and their order are a wire format that two
+releases of the node share: they stay as they are, even where the names in this module differ.
 """
 
 from __future__ import annotations
@@ -14,70 +14,70 @@
 
 from notchjunction.errors import NotchjunctionError
 
-PROTOCOL_VERSION = 1  # of the messages on the channel; a process of another one is not joined
+PROTOCOL_VERSION = 1  # of the messages on the channel; processes of different versions do not join
 
 JsonObject: TypeAlias = Mapping[str, Any]
 
 
 class HandoverError(NotchjunctionError):
-    """Between two processes of one node."""
+    """An error between two processes of one node."""
 
 
 class MalformedMessageError(HandoverError):
-    """A peer process sent what is no message of this protocol."""
+    """A peer process sent something that is no message of this protocol."""
 
     def __init__(self, what: str, where: str = "handover channel") -> None:
         super().__init__(what, where, "check which releases of the node run side by side")
 
 
 class Message(Protocol):
-    """What can be sent on the channel."""
+    """A message that can be sent on the channel."""
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessIdentity:
-    """Which node a process belongs to; two processes hand over to one another only if theirs are equal."""
+    """The node that a process belongs to; processes hand over to one another only if theirs are equal."""
 
     node: str
     listen: str  # host:port of the clients' listener
     version: str = str(PROTOCOL_VERSION)
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the channel's first line, which comes with the listeners."""
+        """Returns the JSON object of the channel's first line, which comes with the listeners."""
         return {"node": self.node, "listen": self.listen, "version": self.version}
 
     def matches(self, text: bytes) -> bool:
-        """Whether this is the same identity as received; ValueError for what is no JSON."""
+        """Returns whether a received identity equals this one; raises ValueError if it is no JSON."""
         return bool(json.loads(text or b"null") == self.to_object())
 
 
 @dataclass(frozen=True, slots=True)
 class ListenersReceived:
-    """The process that joins has the listeners, and waits for the node's state."""
+    """The joining process has received the listeners, and waits for the node's state."""
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {"got": True}
 
 
 @dataclass(frozen=True, slots=True)
 class NodeState:
-    """What a process needs of the one that serves to be ready at once.
+    """What a process needs from the serving one to be ready at once.
 
-    The last three are as they came: whoever restores them judges them. None where the peer sent none.
+    The last three are not validated here but by the code that restores them; None if the peer sent none.
     """
 
     banned: Iterable[str]  # names of endpoints that operators banned
     out_of_service: bool
-    endpoint_list: Any  # rows and version, as discovery has them
-    start_times: Any  # by endpoint, each with its age
-    learned_state: Any
+    endpoint_list: Any  # rows and version, in the form that discovery uses
+    start_times: Any  # by endpoint name, with its age
+    learned_state: Any  # of the balancer
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {
             "state": {
                 "barred": self.banned,
@@ -90,7 +90,7 @@
 
     @classmethod
     def from_object(cls, message: JsonObject) -> NodeState:
-        """The state in a peer's message; MalformedMessageError where it has none."""
+        """Returns the state in a peer's message; raises MalformedMessageError if it has none."""
         state = message.get("state")
         if not isinstance(state, dict):
             raise MalformedMessageError("no state in the message")
@@ -104,11 +104,11 @@
 
 
 class OperatorCommand(StrEnum):
-    """What an operator asked of one process, and holds for all processes of the node."""
+    """Commands that an operator sends to one process and that apply to all processes of the node."""
 
-    BAN = "bar"  # an endpoint, by name
-    LIFT_BAN = "unbar"  # of an endpoint, by name
-    OUT_OF_SERVICE = "out"  # whether the node is
+    BAN = "bar"  # value: the endpoint's name
+    LIFT_BAN = "unbar"  # value: the endpoint's name
+    OUT_OF_SERVICE = "out"  # value: whether the node is out of service
 
 
 @dataclass(frozen=True, slots=True)
@@ -116,39 +116,39 @@
     """An operator's command, acknowledged by its number once it is done."""
 
     number: int
-    command: str  # an OperatorCommand; another release's that is unknown here is acknowledged, too
+    command: str  # an OperatorCommand; one of another release that is unknown here is acknowledged, too
     value: Any
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {"tell": self.number, "word": self.command, "value": self.value}
 
 
 @dataclass(frozen=True, slots=True)
 class Acknowledgement:
-    """The command of this number is done."""
+    """Reports that the command of this number is done."""
 
     number: int
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {"ack": self.number}
 
 
 @dataclass(frozen=True, slots=True)
 class ResourceUsage:
-    """What a process uses of the descriptors that all processes of the node share."""
+    """What a process uses of the limit on descriptors that all processes of the node share."""
 
-    descriptors: int = 0
-    clients: int = 0  # connected to it
+    descriptors: int = 0  # in use, including those of clients
+    clients: int = 0  # connected
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {"usage": {"held": self.descriptors, "callers": self.clients}}
 
     @classmethod
     def from_counts(cls, counts: JsonObject) -> ResourceUsage:
-        """The usage in a peer's message; MalformedMessageError for a count that is no number."""
+        """Returns the usage in a peer's message; raises MalformedMessageError unless counts are numbers."""
         try:
             numbers = {name: int(value) for name, value in counts.items()}
         except (TypeError, ValueError) as error:
@@ -158,10 +158,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ReadyMessage:
-    """The process accepts clients: the node is served when the other process ends."""
+    """The process accepts clients: it goes on serving when the other process ends."""
 
     def to_object(self) -> JsonObject:
-        """The JSON object of the message's line."""
+        """Returns the JSON object of the message's line."""
         return {"ready": True}
 
 
@@ -169,23 +169,23 @@
 
 
 def encode_line(message: Message) -> bytes:
-    """The message's line on the channel, with its end."""
+    """Returns the message's line on the channel, including the newline."""
     return json.dumps(message.to_object()).encode() + b"\n"
 
 
 def parse_object(text: bytes) -> JsonObject:
-    """The JSON object of a line; MalformedMessageError for anything else."""
+    """Returns the JSON object of a line; raises MalformedMessageError for anything else."""
     try:
-        found = json.loads(text)
+        parsed = json.loads(text)
     except ValueError as error:
         raise MalformedMessageError(str(error)) from error
-    if not isinstance(found, dict):
-        raise MalformedMessageError(f"{type(found).__name__} in place of an object")
-    return found
+    if not isinstance(parsed, dict):
+        raise MalformedMessageError(f"{type(parsed).__name__} in place of an object")
+    return parsed
 
 
 def decode(message: JsonObject) -> PeerMessage | None:
-    """The message between two processes that have joined; None for one that this release doesn't know."""
+    """Returns the message of a JSON object from a peer; None for one that this release doesn't know."""
     match message:
         case {"tell": int(number), "word": str(command), "value": value}:
             return CommandMessage(number, command, value)
--- a/notchjunction/upgrade/serving_state.py
+++ b/notchjunction/upgrade/serving_state.py
@@ -1,4 +1,4 @@
-"""Whether a node serves its clients, drains them for an operator, or shuts down: a state machine, no I/O."""
+"""Whether a node serves clients, drains them for an operator, or shuts down: a state machine without I/O."""
 
 from __future__ import annotations
 
@@ -8,25 +8,25 @@
 
 
 class ServingState(Enum):
-    """What the node is to its clients."""
+    """How the node treats its clients."""
 
     SERVING = auto()
     NOT_READY = auto()  # reports that it is not ready; clients are still accepted and kept
     DRAINING = auto()  # responses close their connections, and idle client connections are closed
-    SHUTTING_DOWN = auto()  # the process was asked to end; no other state follows
+    SHUTTING_DOWN = auto()  # a shutdown was requested; no other state follows
 
 
 class ServingEvent(Enum):
-    """What changes the serving state."""
+    """An event that may change the serving state."""
 
     TAKEN_OUT_OF_SERVICE = auto()  # by an operator
     PUT_IN_SERVICE = auto()  # by an operator
-    NOTICE_TIME_OVER = auto()  # whoever polls readiness has had the time to see that it changed
+    NOTICE_TIME_OVER = auto()  # pollers of readiness have had the time to see that the node is not ready
     SHUTDOWN_REQUESTED = auto()
 
 
 class ServingAction(Enum):
-    """What the node has to do about an event."""
+    """What the node has to do after an event."""
 
     NONE = auto()
     REPORT_NOT_READY = auto()
@@ -55,13 +55,13 @@
 
 
 class ServingStateMachine:
-    """The node's serving state, which starts as SERVING."""
+    """The state machine of a node's serving state; it starts in SERVING."""
 
     def __init__(self) -> None:
         self.state = ServingState.SERVING
 
     def handle(self, event: ServingEvent) -> ServingAction | None:
-        """Goes to the next state and returns what to do; None where the event has no place in this state."""
+        """Enters the next state and returns what to do; None if the event does not apply in this state."""
         transition = SERVING_TRANSITIONS.find(self.state, event)
         if transition is None:
             return None
--- a/notchjunction/upgrade/shared_folder.py
+++ b/notchjunction/upgrade/shared_folder.py
@@ -1,4 +1,4 @@
-"""The folder that a node's processes share, and the Unix sockets by which they find one another in it."""
+"""The folder that a node's processes share, and the Unix sockets in it at which they reach one another."""
 
 from __future__ import annotations
 
@@ -9,28 +9,28 @@
 from pathlib import Path
 from typing import NamedTuple
 
-HANDOVER_SOCKET = "notchjunction.handover"  # where the serving process is joined
-STREAMS_SOCKET = "notchjunction.streams"  # where it takes streams that migrate, one message each
+HANDOVER_SOCKET = "notchjunction.handover"  # at which the next process joins the serving one
+STREAMS_SOCKET = "notchjunction.streams"  # at which a process receives migrated streams, one a message
 
 
 class FileIdentity(NamedTuple):
-    """Which file a path leads to, whatever its name."""
+    """The identity of a file, independent of its path."""
 
     device: int
     inode: int
 
     @classmethod
     def of(cls, path: str) -> FileIdentity:
-        """The file at the path; OSError where there is none."""
-        found = os.stat(path)
-        return cls(found.st_dev, found.st_ino)
+        """Returns the identity of the file at a path; raises OSError if there is none."""
+        status = os.stat(path)
+        return cls(status.st_dev, status.st_ino)
 
 
 @contextmanager
 def short_path(folder: str) -> Iterator[str]:
-    """A path of the folder short enough for a socket's address, however long its own is.
+    """Yields a path of the folder that fits into a socket address, however long the folder's own path is.
 
-    It takes one descriptor while it is used; OSError where there is none, or no such folder.
+    It uses one descriptor until the context ends. Raises OSError if none is left or there is no such folder.
     """
     descriptor = os.open(Path(folder), os.O_RDONLY | os.O_DIRECTORY)
     try:
@@ -40,9 +40,10 @@
 
 
 def publish(listener: socket.socket, folder: str, name: str, backlog: int | None = None) -> FileIdentity:
-    """Binds and listens, and puts the socket in the place of whatever has this name, at one go.
+    """Binds the socket and listens, then atomically replaces any file of this name with it.
 
-    It is bound by a name of its own first, and renamed: nobody meets a socket that does not listen yet.
+    The socket is bound under a temporary name and renamed once it listens. So no process finds a socket that
+    does not listen yet.
     """
     own_path = f"{folder}/{name}.{os.getpid()}"
     with suppress(FileNotFoundError):
--- a/notchjunction/upgrade/shutdown.py
+++ b/notchjunction/upgrade/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown: what a process does from SIGTERM until it ends. A state machine without I/O or clock."""
+"""Graceful shutdown: what a process does from SIGTERM to its end. A state machine without I/O or clock."""
 
 from __future__ import annotations
 
@@ -8,51 +8,51 @@
 
 from notchjunction.state_table import StateTable, Transition
 
-# New clients are accepted for so long after SIGTERM; they go on coming for 0.4 s.
+# From SIGTERM until no new clients are accepted; they still arrive for 0.4 s of it.
 ACCEPT_TIME_S = 0.6
-# SIGKILL comes at the earliest so long after SIGTERM, plus the longest request deadline.
+# From SIGTERM until the earliest SIGKILL, without the longest request deadline, which is added to it.
 KILL_AFTER_S = 0.7
-# That request deadline counts up to here.
+# Upper bound of the request deadline that is added.
 MAX_REQUEST_DEADLINE_S = 3.0
-# Every request is answered so long before SIGKILL; the loop may be late.
+# From the last response until SIGKILL, as the event loop may be late.
 KILL_MARGIN_S = 0.3
-# Share of the time until then that is kept for responses; before it, clients that stay are served on.
+# Share of a shutdown's duration, at its end, in which clients are drained; until then they are served on.
 DRAIN_SHARE = 0.5
 # From SIGTERM until responses in flight migrate; most have ended by then, and two seconds are left.
 MIGRATE_AFTER_S = 1.6
 
 
 class ShutdownPhase(Enum):
-    """How far the shutdown has come."""
+    """The phases of a shutdown."""
 
     STARTED = auto()
-    ACCEPTING = auto()  # clients are still accepted; whoever polls readiness sees that they should not come
-    SERVING = auto()  # the listeners are closed; clients that stay are served on
+    ACCEPTING = auto()  # clients are still accepted; readiness checks are answered with "not ready"
+    SERVING = auto()  # the listeners are closed; connected clients are served on
     SUCCESSOR_READY = auto()  # another process of the node accepts from the same queue; clients are drained
-    SUCCESSOR_LOST = auto()  # that process has gone: clients that come have only this one
+    SUCCESSOR_LOST = auto()  # that process has ended: only this one can accept new clients
     DRAINING = auto()  # responses close their connections, and idle client connections are closed
     FINISHED = auto()
 
 
 class ShutdownCondition(Enum):
-    """What is observed, in this order."""
+    """The conditions for a transition, in the order in which they are checked."""
 
     SUCCESSOR_READY = auto()
     NO_SUCCESSOR = auto()
     ACCEPT_TIME_OVER = auto()
     MIGRATION_DUE = auto()
     SERVE_TIME_OVER = auto()
-    DEADLINE_PASSED = auto()  # what is not answered by now is cut off by SIGKILL
+    DEADLINE_PASSED = auto()  # a request that is not answered by now would be cut off by SIGKILL
     NO_CLIENTS = auto()  # no client is connected
 
 
 class ShutdownAction(Enum):
-    """What the node has to do."""
+    """What the node has to do after a transition."""
 
     REPORT_NOT_READY = auto()
-    PAUSE_ACCEPTING = auto()  # accepts no clients but keeps their queue open, and drains those it has
-    RESUME_ACCEPTING = auto()  # accepts clients again, and offers the handover to the next process again
-    CLOSE_LISTENERS = auto()  # accepts the clients that wait, and none after them
+    PAUSE_ACCEPTING = auto()  # accept no clients but keep their queue open, and drain the connected ones
+    RESUME_ACCEPTING = auto()  # accept clients again, and offer the handover to the next process again
+    CLOSE_LISTENERS = auto()  # accept the clients that are queued, and none after them
     DRAIN_CLIENTS = auto()
     MIGRATE_STREAMS = auto()
     REJECT_UPLOADS = auto()
@@ -96,7 +96,8 @@
         self.phase = ShutdownPhase.STARTED
         self.deadline = now + duration
         self._accept_until = now + ACCEPT_TIME_S
-        # Guards against clients that have nowhere to go yet, as where another node is still starting.
+        # Guards against clients that are drained while they have no other node to connect to yet, because
+        # that one is still starting.
         self._serve_until = self.deadline - duration * DRAIN_SHARE
         self._migration_due_at = self._migrate_at = now + MIGRATE_AFTER_S
 
@@ -106,29 +107,30 @@
         return self.phase is ShutdownPhase.FINISHED
 
     def serve_time_left(self, now: float) -> float:
-        """Time (s) for which clients are served on as before, from `now`."""
+        """Returns the time (s) from `now` for which clients are served on as before."""
         return max(0.0, round(self._serve_until - now, 3))
 
     def next_actions(
         self, now: float, has_successor: bool, count_clients: Callable[[], int]
     ) -> Iterator[ShutdownAction]:
-        """Yields what to do now, in order; to be called again and again until the shutdown has finished.
+        """Yields the actions due now, in order; to be called repeatedly until the shutdown has finished.
 
-        Each action is to be done before the next one is taken. `count_clients` is called where its count is
-        judged. Guards against finishing over clients that an action of this very call has accepted.
+        The caller does each action before it takes the next one. `count_clients` is called only when its
+        count is checked. Guards against finishing despite clients that an action of the same call has
+        accepted.
         """
         for condition in ShutdownCondition:
             transition = SHUTDOWN_TRANSITIONS.find(self.phase, condition)
-            if transition is None or not self._holds(condition, now, has_successor, count_clients):
+            if transition is None or not self._is_met(condition, now, has_successor, count_clients):
                 continue
             self.phase = transition.next_state
             if condition is ShutdownCondition.MIGRATION_DUE:
-                self._migrate_at = math.inf  # it is tried once
+                self._migrate_at = math.inf  # migration starts once
             elif self.phase is ShutdownPhase.SUCCESSOR_LOST:
-                self._migrate_at = self._migration_due_at  # and once more with the next successor
+                self._migrate_at = self._migration_due_at  # and again with the next successor
             yield from transition.action
 
-    def _holds(
+    def _is_met(
         self,
         condition: ShutdownCondition,
         now: float,
