--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -170,7 +170,7 @@
     )
 
 
-def changed(before: NodeConfig, after: NodeConfig) -> list[str]:
+def changed_keys(before: NodeConfig, after: NodeConfig) -> list[str]:
     """Returns the keys that differ, except those that a node reloads or only reads at its start."""
     names = sorted({*before.document, *after.document} - {"discovery", "known", "seed", "settings"})
     return [name for name in names if before.document.get(name) != after.document.get(name)]
--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -36,7 +36,7 @@
 # Errors listed at once; a file with more is another kind of file.
 MAX_ERRORS = 20
 # Share by which clocks may be configured to drift; with more, leases are mostly waited for.
-DRIFT_MOST = 0.2
+MAX_CLOCK_DRIFT = 0.2
 # A node's name goes into each message between nodes.
 MAX_NAME_BYTES = 64
 
@@ -138,7 +138,7 @@
             [{Required("number"): All(whole_number, Range(min=0, max=255)), Required("secret"): _secret}],
             Length(min=1, msg="expected one key at least"),
         ),
-        Optional("clock_drift"): All(_number, Range(min=0, max=DRIFT_MOST)),
+        Optional("clock_drift"): All(_number, Range(min=0, max=MAX_CLOCK_DRIFT)),
         Optional("clock_rate"): All(_number, Range(min=0.5, max=2)),
         Optional("places"): {WORD: _address},
         Optional("limits"): [FLEET_LIMIT],
--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -13,7 +13,7 @@
 from notchjunction.balancing.interface import DeduplicationScope, Idempotency, RequestClass
 from notchjunction.config.validation import (
     ABOVE_0,
-    DRIFT_MOST,
+    MAX_CLOCK_DRIFT,
     FROM_0,
     WORD,
     InvalidConfigurationError,
@@ -88,7 +88,7 @@
 }
 FLEET = {
     Required("owners"): All([All(whole_number, Range(min=0))], Length(min=1)),
-    Optional("drift"): All(FROM_0, Range(max=DRIFT_MOST)),
+    Optional("drift"): All(FROM_0, Range(max=MAX_CLOCK_DRIFT)),
     Optional("rates"): [ABOVE_0],
     Optional("links"): [LINK_FAULT],
     Optional("processes"): [PROCESS_FAULT],
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -456,7 +456,7 @@
                 new=",".join(sorted(after_names - before_names)) or "none",
                 gone=",".join(sorted(before_names - after_names)) or "none",
                 attempts=config.balancer.max_attempts,
-                needs_restart=",".join(node_config.changed(before, config)) or "none",
+                needs_restart=",".join(node_config.changed_keys(before, config)) or "none",
             ),
         )
         if config.discovery != before.discovery:
