--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -1,4 +1,4 @@
-"""A node's configuration, from the environment and the file that GW_CONFIG names."""
+"""Reads a node's configuration from environment variables and the file that GW_CONFIG names."""
 
 from __future__ import annotations
 
@@ -17,21 +17,27 @@
 from notchjunction.config import settings, validation
 from notchjunction.discovery.endpoint_list import EndpointList, ListUnavailableError, read_list
 
-# Timers of an event loop on a shared core fire this late; at most 12 ms was seen.
+# Assumed lateness of an event loop's timers on a shared core; up to 12 ms was observed.
 LOOP_TICK_S = 0.01
-# File descriptors where no limit is given.
+# Limit on file descriptors if the configuration gives none.
 DEFAULT_MAX_DESCRIPTORS = 1024
 # The registry mode in which an agent pushes lists.
 PUSHED_LIST_MODE = "automatic"
-VARIABLES = {"name": "GW_NAME", "listen": "GW_LISTEN", "discovery": "GW_DISCOVERY", "mgmt": "GW_MGMT"}
+# Environment variables that override keys of the file, by key.
+ENVIRONMENT_VARIABLES = {
+    "name": "GW_NAME",
+    "listen": "GW_LISTEN",
+    "discovery": "GW_DISCOVERY",
+    "mgmt": "GW_MGMT",
+}
 NO_ADDRESS: Address = ("", 0)
-# Endpoints keep an idle connection for this long, where the settings do not say.
+# How long endpoints keep an idle connection open, if the settings do not say.
 DEFAULT_IDLE_TIMEOUT_MS = 5000.0
 
 
 @dataclass(frozen=True, slots=True)
 class NodeConfig:
-    """What a node runs with; times in s. Fields without a value in the file have their defaults."""
+    """The configuration of one node; times in s. Fields without a value in the file have their defaults."""
 
     name: str
     listen: Address
@@ -43,52 +49,59 @@
     connect_timeout: float
     connection_idle_timeout: float
     load_path: str
-    admin_address: Address | None = None  # of the admin API; None: it is off
-    shared_directory: str | None = None  # where a later process of the node finds this one; None: no upgrades
-    file: str | None = None
+    admin_address: Address | None = None  # of the admin API; None: no admin API
+    shared_directory: str | None = None  # in which the node's processes hand over; None: no handover
+    file: str | None = None  # path of the configuration file
     gossip: tuple[Address, list[Address]] | None = None  # own address, and those of all peers by number
-    key_header: str = ""
-    list_is_pushed: bool = False  # by an agent: its changes count at once
-    fleet: Mapping[str, Any] | None = None  # the section of that name, validated; None: no fleet
-    document: Mapping[str, Any] = field(default_factory=dict)
+    key_header: str = ""  # request header with the affinity key, in lower case; empty: none
+    list_is_pushed: bool = False  # by an agent, whose changes count at once
+    fleet: Mapping[str, Any] | None = None  # the file's section `fleet`, validated; None: no fleet
+    document: Mapping[str, Any] = field(default_factory=dict)  # the file's JSON object
 
 
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
-    """Returns what a node starts with, as lenient as is safe: a node that does not start serves nobody.
+    """Returns the configuration with which a node starts.
 
-    Raises InvalidConfigurationError for mixed kinds of deployment, ValueError for anything else unusable.
+    It is validated no more than safety needs, as a node that does not start serves no clients.
+
+    Raises:
+        InvalidConfigurationError: The file mixes two kinds of deployment, or has an invalid section `fleet`.
+        ValueError: A value is unusable.
     """
     file = environment.get("GW_CONFIG") or None
-    document = _object(file) if file else {}
+    document = _read_document(file) if file else {}
     if mixed := validation.mixed_deployment_errors(document):
-        # Guards against half of one shape and half of the other: it would serve, and lose requests.
+        # Guards against a file that mixes both kinds of deployment: the node would start and lose requests.
         raise validation.InvalidConfigurationError(mixed)
-    overrides = {name: environment[key] for name, key in VARIABLES.items() if environment.get(key)}
+    overrides = {
+        name: environment[key] for name, key in ENVIRONMENT_VARIABLES.items() if environment.get(key)
+    }
     try:
-        return _started({**document, **overrides}, document, environment)
+        return _initial_config({**document, **overrides}, document, environment)
     except (KeyError, ValueError, TypeError, AttributeError, OverflowError) as error:
-        # Guards against an error that says what is wrong and not where.
+        # Guards against an error message that does not say which key is wrong.
         errors = validation.errors_of(validation.SCHEMA, {**document, **overrides})
         raise ValueError("; ".join(errors) or repr(error)) from error
 
 
-def _started(
+def _initial_config(
     merged: Mapping[str, Any], document: Mapping[str, Any], environment: Mapping[str, str]
 ) -> NodeConfig:
     """Returns the configuration from `merged`, the file `document` overridden by the environment."""
     gossip, admin, file = merged.get("talk"), merged.get("mgmt"), environment.get("GW_CONFIG") or None
     return replace(
-        _settled(document),
+        _config_from_settings(document),
         name=merged["name"],
         listen=address_of(merged["listen"]),
         discovery=address_of(merged["discovery"]),
-        cached_list=_known(document.get("known")),
-        # Guards against counting on descriptors that the operating system will not give.
+        cached_list=_read_cached_list(document.get("known")),
+        # Guards against relying on more descriptors than the operating system allows.
         max_descriptors=min(
-            int(document.get("limits", {}).get("sockets", DEFAULT_MAX_DESCRIPTORS)), _may_open()
+            int(document.get("limits", {}).get("sockets", DEFAULT_MAX_DESCRIPTORS)), _descriptor_limit()
         ),
         admin_address=address_of(admin) if admin else None,
-        # Operators request upgrades; without a directory of its own, a node might meet another one's process.
+        # Only a node with an admin API is upgraded, as operators request that. Without a directory of its
+        # own it takes no part in handovers, as it might join a process of another node.
         shared_directory=environment.get("TMPDIR") if admin else None,
         file=file,
         gossip=(address_of(gossip["listen"]), [address_of(peer) for peer in gossip["peers"]])
@@ -98,20 +111,25 @@
 
 
 def reload_config(current: NodeConfig) -> NodeConfig:
-    """Returns the same node with discovery and settings of its file as it is now.
+    """Returns the node's configuration with discovery and settings read again from its file.
 
-    Raises InvalidConfigurationError with all errors.
+    Raises:
+        InvalidConfigurationError: The file is invalid, or changes a key that only a start applies.
     """
     if current.file is None:
-        raise validation.InvalidConfigurationError(["no file to read"])
+        raise validation.InvalidConfigurationError(["there is no configuration file to reload"])
     document = validation.parse(Path(current.file).read_text(encoding="utf-8"))
     validation.validate(document, current.document)
-    settled = _settled(document)
-    shape = _shape_changed(current.balancer, settled.balancer) + _fleet_changed(current.fleet, settled.fleet)
-    if shape:
-        raise validation.InvalidConfigurationError([f"{key}: changes with a start only" for key in shape])
+    reloaded = _config_from_settings(document)
+    fixed = _deployment_changes(current.balancer, reloaded.balancer) + _fleet_changes(
+        current.fleet, reloaded.fleet
+    )
+    if fixed:
+        raise validation.InvalidConfigurationError(
+            [f"{key}: can be changed only by a restart" for key in fixed]
+        )
     return replace(
-        settled,
+        reloaded,
         name=current.name,
         listen=current.listen,
         discovery=address_of(document["discovery"]),
@@ -124,33 +142,33 @@
     )
 
 
-def _shape_changed(before: BalancerSettings, after: BalancerSettings) -> list[str]:
-    """Returns the settings that decide the kind of deployment and differ."""
+def _deployment_changes(before: BalancerSettings, after: BalancerSettings) -> list[str]:
+    """Returns the keys of changed settings that decide the kind of deployment."""
     rows = [
         ("settings.family", before.sidecar, after.sidecar),
         ("settings.limits.may_tell", before.gossips, after.gossips),
         ("settings.extra.warm_keys", before.key_affinity, after.key_affinity),
     ]
-    return [key for key, one, other in rows if one != other]
+    return [key for key, old, new in rows if old != new]
 
 
-def _fleet_changed(before: Mapping[str, Any] | None, after: Mapping[str, Any] | None) -> list[str]:
-    """Returns what differs in section `fleet` that only a start applies; keys and limits may differ."""
+def _fleet_changes(before: Mapping[str, Any] | None, after: Mapping[str, Any] | None) -> list[str]:
+    """Returns the changed keys of section `fleet` that only a start applies; keys and limits may change."""
     if before is None or after is None:
         return [] if before is after else ["fleet"]
-    fixed = ("listen", "advertise", "seeds", "clock_drift", "clock_rate")
-    return [f"fleet.{name}" for name in fixed if before.get(name) != after.get(name)]
+    fixed_names = ("listen", "advertise", "seeds", "clock_drift", "clock_rate")
+    return [f"fleet.{name}" for name in fixed_names if before.get(name) != after.get(name)]
 
 
-def _settled(document: Mapping[str, Any]) -> NodeConfig:
-    """Returns the configuration that follows from the file's settings; other fields are blank."""
+def _config_from_settings(document: Mapping[str, Any]) -> NodeConfig:
+    """Returns the configuration that follows from the file alone; other fields have placeholders."""
     paths = settings.flatten(document.get("settings", {}))
     balancer = settings.read_settings(int(str(document.get("seed", "0")), 16), paths)
     return NodeConfig(
         name="",
         listen=NO_ADDRESS,
         discovery=NO_ADDRESS,
-        # On sockets the list must always be polled.
+        # A node on a network always polls the list.
         balancer=replace(balancer, polls_list=True, tick=max(balancer.tick, LOOP_TICK_S)),
         setting_names=SettingNames(
             request_classes=settings.names_of(paths, "profiles"),
@@ -171,40 +189,41 @@
 
 
 def changed_keys(before: NodeConfig, after: NodeConfig) -> list[str]:
-    """Returns the keys that differ, except those that a node reloads or only reads at its start."""
+    """Returns the changed keys of the file, except those that a node reloads or reads only at its start."""
     names = sorted({*before.document, *after.document} - {"discovery", "known", "seed", "settings"})
     return [name for name in names if before.document.get(name) != after.document.get(name)]
 
 
-def _object(file: str) -> dict[str, Any]:
-    found = json.loads(Path(file).read_text(encoding="utf-8"))
-    if not isinstance(found, dict):
+def _read_document(file: str) -> dict[str, Any]:
+    parsed = json.loads(Path(file).read_text(encoding="utf-8"))
+    if not isinstance(parsed, dict):
         raise ValueError("no JSON object in the file")
-    return found
+    return parsed
 
 
-def _may_open() -> int:
+def _descriptor_limit() -> int:
     """Returns how many descriptors the operating system allows this process."""
     limit, _ = resource.getrlimit(resource.RLIMIT_NOFILE)
     return sys.maxsize if limit == resource.RLIM_INFINITY else limit
 
 
-def _known(told: Any) -> EndpointList | None:
-    """Returns the cached list; None for an empty or unreadable one, and the node waits for discovery.
+def _read_cached_list(document: Any) -> EndpointList | None:
+    """Returns the cached list; None for an empty or unreadable one: the node then waits for discovery.
 
-    Guards against a node that serves nobody while discovery is down, for a row that was torn or has an
-    unknown form: what can be read counts. Then it is no snapshot, and no changes can be applied to it.
+    Guards against a node that serves no clients while discovery is down because one row of the list is
+    incomplete or has an unknown form: the readable rows are used. The list is then no snapshot, so no
+    changes can be applied to it.
     """
     try:
-        known = read_list(told)
+        cached = read_list(document)
     except ListUnavailableError:
-        rows = told.get("endpoints") if isinstance(told, Mapping) else None
-        sound = [row for row in rows if _readable(row)] if isinstance(rows, list) else []
-        known = read_list({"index": 0, "snapshot": False, "endpoints": sound})
-    return known if known.endpoints else None
+        rows = document.get("endpoints") if isinstance(document, Mapping) else None
+        readable = [row for row in rows if _is_readable(row)] if isinstance(rows, list) else []
+        cached = read_list({"index": 0, "snapshot": False, "endpoints": readable})
+    return cached if cached.endpoints else None
 
 
-def _readable(row: Any) -> bool:
+def _is_readable(row: Any) -> bool:
     try:
         read_list({"index": 0, "snapshot": False, "endpoints": [row]})
     except ListUnavailableError:
--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -13,8 +13,8 @@
 from notchjunction.balancing.interface import DeduplicationScope, Idempotency, RequestClass
 from notchjunction.config.validation import (
     ABOVE_0,
-    MAX_CLOCK_DRIFT,
     FROM_0,
+    MAX_CLOCK_DRIFT,
     WORD,
     InvalidConfigurationError,
     errors_of,
