--- a/notchjunction/config/__init__.py
+++ b/notchjunction/config/__init__.py
@@ -1,1 +1,1 @@
-"""The settings as types, and what is wrong with a configuration."""
+"""Configuration of a node: reading, typed settings, and validation."""
--- a/notchjunction/config/settings.py
+++ b/notchjunction/config/settings.py
@@ -1,6 +1,6 @@
-"""The only reader of the settings: flat `path=value` pairs from any wire or file, as types.
+"""Parses settings, flat `path=value` pairs from a file or a protocol, into types. All settings are read here.
 
-A value that is missing or unreadable gets the safest one. No decision is made here.
+A missing or unreadable value gets the safest default. No balancing decision is made here.
 """
 
 from __future__ import annotations
@@ -28,11 +28,11 @@
     "zone": DeduplicationScope.ZONE,
     "cell": DeduplicationScope.GROUP,
 }
-# Where the settings give no connect timeout.
+# Connect timeout if the settings give none.
 DEFAULT_CONNECT_TIMEOUT_MS = 250.0
 # The kind of deployment in which each client process has a node of its own.
 SIDECAR_FAMILY = "mesh"
-# Figures of a load report: names in the settings and, on sockets, in the report; fields of LoadReport.
+# Figures of a load report: by their names in settings and on the wire, the fields of LoadReport.
 LOAD_REPORT_FIELDS = {
     "rif": "in_flight",
     "q": "queued",
@@ -46,19 +46,19 @@
 def flatten(value: object, path: str = "") -> dict[str, str]:
     """Returns nested JSON as flat settings.
 
-    A list of objects gives `.count`, `.0`, `.1`, ...; other lists are joined by commas; null gives nothing.
+    A list of objects gives `.count`, `.0`, `.1`, ...; other lists are joined by commas; null is left out.
     """
-    stem = path + "." if path else ""
+    prefix = path + "." if path else ""
     flat: dict[str, str] = {}
     if isinstance(value, Mapping):
-        for name, inner in value.items():
-            flat.update(flatten(inner, stem + str(name)))
-    elif isinstance(value, list) and all(isinstance(inner, Mapping) for inner in value):
-        flat[stem + "count"] = str(len(value))
-        for i, inner in enumerate(value):
-            flat.update(flatten(inner, f"{stem}{i}"))
+        for name, item in value.items():
+            flat.update(flatten(item, prefix + str(name)))
+    elif isinstance(value, list) and all(isinstance(item, Mapping) for item in value):
+        flat[prefix + "count"] = str(len(value))
+        for i, item in enumerate(value):
+            flat.update(flatten(item, f"{prefix}{i}"))
     elif isinstance(value, list):
-        flat[path] = ",".join(str(inner) for inner in value)
+        flat[path] = ",".join(str(item) for item in value)
     elif isinstance(value, bool):
         flat[path] = "true" if value else "false"
     elif value is not None:
@@ -67,7 +67,7 @@
 
 
 def number(paths: FlatSettings, path: str, default: float) -> float:
-    """Returns the number at a path; `default` where it is missing or no number."""
+    """Returns the number at a path; `default` if it is missing or no number."""
     try:
         return float(paths[path])
     except (KeyError, ValueError):
@@ -79,37 +79,37 @@
     return [value for value in paths.get(path, "").split(",") if value]
 
 
-def names_of(paths: FlatSettings, stem: str) -> list[str]:
+def names_of(paths: FlatSettings, prefix: str) -> list[str]:
     """Returns the names in a list of objects."""
-    return [paths.get(item + "name", "") for item in _items(paths, stem)]
+    return [paths.get(item + "name", "") for item in _items(paths, prefix)]
 
 
-def _items(paths: FlatSettings, stem: str) -> list[str]:
-    """Returns the stems of the paths of the objects in a list."""
-    return [f"{stem}.{i}." for i in range(int(number(paths, f"{stem}.count", 0)))]
+def _items(paths: FlatSettings, prefix: str) -> list[str]:
+    """Returns the path prefixes of the objects in a list."""
+    return [f"{prefix}.{i}." for i in range(int(number(paths, f"{prefix}.count", 0)))]
 
 
 def _flag(paths: FlatSettings, path: str, default: bool) -> bool:
     return paths.get(path, "true" if default else "false") in ("true", "1")
 
 
-def _read_request_class(paths: FlatSettings, stem: str) -> RequestClass:
-    deadline = number(paths, stem + "abandon_time", 1000.0) / 1000
+def _read_request_class(paths: FlatSettings, prefix: str) -> RequestClass:
+    deadline = number(paths, prefix + "abandon_time", 1000.0) / 1000
     return RequestClass(
-        latency_objective=number(paths, stem + "contract_time", deadline * 1000) / 1000,
+        latency_objective=number(paths, prefix + "contract_time", deadline * 1000) / 1000,
         deadline=deadline,
-        priority_weight=number(paths, stem + "revenue", 1.0),
-        late_weight=number(paths, stem + "tardy_revenue", 0.0),
-        idempotency=IDEMPOTENCY.get(paths.get(stem + "effect", ""), Idempotency.NON_IDEMPOTENT),
+        priority_weight=number(paths, prefix + "revenue", 1.0),
+        late_weight=number(paths, prefix + "tardy_revenue", 0.0),
+        idempotency=IDEMPOTENCY.get(paths.get(prefix + "effect", ""), Idempotency.NON_IDEMPOTENT),
         deduplication_scope=DEDUPLICATION_SCOPES.get(
-            paths.get(stem + "dedup_scope", ""), DeduplicationScope.GROUP
+            paths.get(prefix + "dedup_scope", ""), DeduplicationScope.GROUP
         ),
-        deduplication_window=number(paths, stem + "window", 0.0) / 1000,
+        deduplication_window=number(paths, prefix + "window", 0.0) / 1000,
     )
 
 
 def read_settings(seed: int, paths: FlatSettings) -> BalancerSettings:
-    """Returns the balancer's settings; `seed` is that of its random generator."""
+    """Returns the balancer's settings; `seed` seeds its random number generator."""
     tiers = word_list(paths, "layers")
     tier = int(number(paths, "layer", -1))
     advises_retry = _flag(paths, "limits.retry_after", False)
@@ -146,7 +146,7 @@
 
 
 def read_load_report(report: Mapping[str, object]) -> LoadReport | None:
-    """Returns a load report by the names of its figures; None for an empty one.
+    """Returns a load report from its figures by name; None for an empty one.
 
     A figure that is missing or unreadable stays unknown.
     """
@@ -157,7 +157,7 @@
                 figure = float(value) / (1000 if name.endswith("_ms") else 1)
             except (ValueError, OverflowError):
                 continue
-            # Guards against an endpoint that reports NaN: any comparison with it would be false.
+            # Guards against an endpoint that reports NaN: every comparison with it would be false.
             if math.isfinite(figure) and figure >= 0:
                 figures[LOAD_REPORT_FIELDS[name]] = figure
     return LoadReport(**figures) if report else None
