--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -1,4 +1,4 @@
-"""Validation of a configuration: all of its errors, each with its place. Pure: no I/O and no clock."""
+"""Validation of a configuration: finds all errors, each with its key. Pure: no I/O and no clock."""
 
 from __future__ import annotations
 
@@ -33,16 +33,16 @@
     flatten,
 )
 
-# Errors listed at once; a file with more is another kind of file.
+# Errors reported at once; a file with more is hardly a node's configuration.
 MAX_ERRORS = 20
-# Share by which clocks may be configured to drift; with more, leases are mostly waited for.
+# Upper bound of the configured clock drift, as a share; with more, nodes mostly wait for leases to expire.
 MAX_CLOCK_DRIFT = 0.2
-# A node's name goes into each message between nodes.
+# Length of a node's name, which is part of each message between nodes.
 MAX_NAME_BYTES = 64
 
 
 class InvalidConfigurationError(Exception):
-    """A configuration was rejected; `errors` lists why, each with its place."""
+    """A configuration was rejected; `errors` lists the reasons, each with its key."""
 
     def __init__(self, errors: list[str]) -> None:
         super().__init__("; ".join(errors))
@@ -120,7 +120,7 @@
 FLEET_LIMIT = {
     Required("name"): WORD,
     Required("revision"): All(whole_number, Range(min=1)),
-    Required("owners"): All(OWNERS, Length(min=1, msg="expected one owner at least")),
+    Required("owners"): All(OWNERS, Length(min=1, msg="expected at least one owner")),
     Optional("before"): {
         Required("revision"): All(whole_number, Range(min=1)),
         Required("owners"): OWNERS,
@@ -133,10 +133,10 @@
     {
         Required("listen"): _address,
         Optional("advertise"): _address,
-        Required("seeds"): All([_address], Length(min=1, msg="expected one seed at least")),
+        Required("seeds"): All([_address], Length(min=1, msg="expected at least one seed")),
         Required("keys"): All(
             [{Required("number"): All(whole_number, Range(min=0, max=255)), Required("secret"): _secret}],
-            Length(min=1, msg="expected one key at least"),
+            Length(min=1, msg="expected at least one key"),
         ),
         Optional("clock_drift"): All(_number, Range(min=0, max=MAX_CLOCK_DRIFT)),
         Optional("clock_rate"): All(_number, Range(min=0.5, max=2)),
@@ -160,7 +160,7 @@
             Required("layer"): whole_number,
             Required("limits"): LIMITS,
             Required("profiles"): All(
-                [PROFILE], Length(min=1, msg="expected one profile at least"), _check_unique_names
+                [PROFILE], Length(min=1, msg="expected at least one profile"), _check_unique_names
             ),
             Optional("localities"): [WORD],
             Optional("zone"): whole_number,
@@ -176,163 +176,184 @@
     },
     extra=ALLOW_EXTRA,
 )
-# Keys that a node only reads at its start; they may be missing later.
+# Keys that a node reads only at its start; a reloaded file may lack them.
 START_ONLY_KEYS = frozenset(("known", "seed"))
 
 
 def parse(text: str) -> dict[str, Any]:
-    """Returns the file's JSON object; raises InvalidConfigurationError for anything else.
+    """Returns the JSON object in a file's text.
 
-    As when the file was read in the middle of being written.
+    Raises:
+        InvalidConfigurationError: The text is no JSON object, for instance as it was read half-written.
     """
     try:
-        found = json.loads(text)
+        document = json.loads(text)
     except json.JSONDecodeError as error:
-        place = f"line {error.lineno}, column {error.colno}"
+        position = f"line {error.lineno}, column {error.colno}"
         raise InvalidConfigurationError(
-            [f"{place}: {error.msg}" if text.strip() else "the file is empty"]
+            [f"{position}: {error.msg}" if text.strip() else "the file is empty"]
         ) from error
     except RecursionError as error:
         raise InvalidConfigurationError(["nested too deeply"]) from error
-    if not isinstance(found, dict):
+    if not isinstance(document, dict):
         raise InvalidConfigurationError(["no JSON object in the file"])
-    return found
+    return document
 
 
-def errors_of(schema: Schema, found: object) -> list[str]:
-    """Returns the errors that a schema finds in a value, each with its place."""
+def errors_of(schema: Schema, value: object) -> list[str]:
+    """Returns the errors that a schema finds in a value, each with its key."""
     try:
-        schema(found)
+        schema(value)
     except MultipleInvalid as invalid:
-        return [f"{place(error.path)}: {error.msg}" for error in invalid.errors]
+        return [f"{format_path(error.path)}: {error.msg}" for error in invalid.errors]
     return []
 
 
-def mixed_deployment_errors(found: Mapping[str, Any]) -> list[str]:
-    """Returns the errors of a configuration that mixes both kinds of deployment; checked at a start too."""
-    paths = flatten(found.get("settings", {}))
+def mixed_deployment_errors(document: Mapping[str, Any]) -> list[str]:
+    """Returns the errors of a configuration that mixes both kinds of deployment; also checked at a start."""
+    paths = flatten(document.get("settings", {}))
 
     def is_on(path: str) -> bool:
         return paths.get(path) == "true"
 
-    beside = paths.get("family") == SIDECAR_FAMILY
-    shape = f"settings.family {SIDECAR_FAMILY}"
-    tells, warm = is_on("limits.may_tell"), is_on("extra.warm_keys")
+    is_sidecar = paths.get("family") == SIDECAR_FAMILY
+    sidecar = f"settings.family {SIDECAR_FAMILY}"
+    gossips, has_key_affinity = is_on("limits.may_tell"), is_on("extra.warm_keys")
     rows = [
-        (beside and is_on("limits.second_copies"), f"settings.limits.second_copies: not with {shape}"),
-        (beside and "," in paths.get("layers", ""), f"settings.layers: one alone with {shape}"),
-        (tells and not beside, f"settings.limits.may_tell: only with {shape}"),
-        (warm and not beside, f"settings.extra.warm_keys: only with {shape}"),
-        (tells and "talk" not in found, "talk: missing, and settings.limits.may_tell is true"),
-        (not tells and "talk" in found, "talk: given, and settings.limits.may_tell is not true"),
-        (warm and "key_header" not in found, "key_header: missing, and settings.extra.warm_keys is true"),
-        (not warm and "key_header" in found, "key_header: given, and settings.extra.warm_keys is not true"),
+        (
+            is_sidecar and is_on("limits.second_copies"),
+            f"settings.limits.second_copies: must not be true with {sidecar}",
+        ),
+        (
+            is_sidecar and "," in paths.get("layers", ""),
+            f"settings.layers: expected a single layer with {sidecar}",
+        ),
+        (gossips and not is_sidecar, f"settings.limits.may_tell: allowed only with {sidecar}"),
+        (has_key_affinity and not is_sidecar, f"settings.extra.warm_keys: allowed only with {sidecar}"),
+        (gossips and "talk" not in document, "talk: missing, but settings.limits.may_tell is true"),
+        (not gossips and "talk" in document, "talk: given, but settings.limits.may_tell is not true"),
+        (
+            has_key_affinity and "key_header" not in document,
+            "key_header: missing, but settings.extra.warm_keys is true",
+        ),
+        (
+            not has_key_affinity and "key_header" in document,
+            "key_header: given, but settings.extra.warm_keys is not true",
+        ),
     ]
     errors = [error for is_wrong, error in rows if is_wrong]
-    errors += _peers(found["talk"], paths) if tells and "talk" in found else []
-    return errors + fleet_errors(found)
+    errors += _peer_errors(document["talk"], paths) if gossips and "talk" in document else []
+    return errors + fleet_errors(document)
 
 
-def fleet_errors(found: Mapping[str, Any]) -> list[str]:
-    """Returns the errors of the section `fleet`, where there is one; checked at a start too."""
-    if "fleet" not in found:
+def fleet_errors(document: Mapping[str, Any]) -> list[str]:
+    """Returns the errors of the section `fleet`, if there is one; also checked at a start."""
+    if "fleet" not in document:
         return []
-    fleet, stem = found["fleet"], "fleet"
+    fleet, prefix = document["fleet"], "fleet"
     if errors := errors_of(FLEET, fleet):
-        return [stem if error.startswith("the file: ") else f"{stem}.{error}" for error in errors]
-    profiles = {str(each.get("name")) for each in found.get("settings", {}).get("profiles", ())}
+        return [prefix if error.startswith("the file: ") else f"{prefix}.{error}" for error in errors]
+    profiles = {str(item.get("name")) for item in document.get("settings", {}).get("profiles", ())}
     numbers = [key["number"] for key in fleet["keys"]]
     limits, places = fleet.get("limits", []), fleet.get("places", {})
-    own = places.get(found.get("name"), fleet["listen"])
+    own_address = places.get(document.get("name"), fleet["listen"])
     names = [limit["name"] for limit in limits]
     rows = [
         (
-            not 0 < len(str(found.get("name", "")).encode()) <= MAX_NAME_BYTES,
+            not 0 < len(str(document.get("name", "")).encode()) <= MAX_NAME_BYTES,
             f"name: expected up to {MAX_NAME_BYTES} bytes",
         ),
-        (len(set(numbers)) < len(numbers), f"{stem}.keys: a number is given twice"),
-        (len(set(names)) < len(names), f"{stem}.limits: a name is given twice"),
-        # Guards against two processes that own the same quota: only one can have the address.
-        (own != fleet["listen"], f"{stem}.listen: expected what {stem}.places says of this node"),
+        (len(set(numbers)) < len(numbers), f"{prefix}.keys: a number is given twice"),
+        (len(set(names)) < len(names), f"{prefix}.limits: a name is given twice"),
+        # Guards against two processes that own the same quota: only one of them can listen at the address.
         (
-            "talk" in found and found["talk"].get("listen") == fleet["listen"],
-            f"{stem}.listen: taken by talk.listen",
+            own_address != fleet["listen"],
+            f"{prefix}.listen: expected the address of this node in {prefix}.places",
+        ),
+        (
+            "talk" in document and document["talk"].get("listen") == fleet["listen"],
+            f"{prefix}.listen: already used by talk.listen",
         ),
     ]
     for index, limit in enumerate(limits):
-        at = f"{stem}.limits.{index}"
+        at = f"{prefix}.limits.{index}"
         unknown = sorted(set(limit.get("profiles", ())) - profiles)
-        nowhere = sorted(set(limit["owners"]) - places.keys())
-        before = limit.get("before")
+        without_address = sorted(set(limit["owners"]) - places.keys())
+        previous = limit.get("before")
         rows += [
             (bool(unknown), f"{at}.profiles: not in settings.profiles: {', '.join(unknown)}"),
-            (bool(nowhere), f"{at}.owners: not in {stem}.places: {', '.join(nowhere)}"),
-            (not sum(limit["owners"].values()), f"{at}.owners: expected one right at least"),
+            (bool(without_address), f"{at}.owners: not in {prefix}.places: {', '.join(without_address)}"),
+            (not sum(limit["owners"].values()), f"{at}.owners: expected a total above 0"),
             (
-                before is not None and before["revision"] != limit["revision"] - 1,
-                f"{at}.before.revision: expected the one before {at}.revision",
+                previous is not None and previous["revision"] != limit["revision"] - 1,
+                f"{at}.before.revision: expected {at}.revision minus 1",
             ),
         ]
     return [error for is_wrong, error in rows if is_wrong]
 
 
-def _peers(talk: Any, paths: FlatSettings) -> list[str]:
-    """Returns the errors of the peers: they are numbered by position, and `me` is this node's position."""
+def _peer_errors(talk: Any, paths: FlatSettings) -> list[str]:
+    """Returns the errors of the list of peers, in which `settings.me` is this node's position."""
     peers = talk.get("peers") if isinstance(talk, Mapping) else None
     if not isinstance(peers, list):
         return ["talk.peers: expected a list"]
     if paths.get("group_size") != str(len(peers)):
-        return ["talk.peers: expected as many as settings.group_size, this node among them"]
-    me = paths.get("me", "")
-    if not me.isdigit() or int(me) >= len(peers):
-        return ["settings.me: expected this node's place among talk.peers"]
-    at_place = peers[int(me)] == talk.get("listen")
-    return [] if at_place else ["talk.listen: expected at its place in talk.peers"]
+        return ["talk.peers: expected settings.group_size addresses, including the one of this node"]
+    own_index = paths.get("me", "")
+    if not own_index.isdigit() or int(own_index) >= len(peers):
+        return ["settings.me: expected this node's position in talk.peers"]
+    is_own = peers[int(own_index)] == talk.get("listen")
+    return [] if is_own else ["talk.listen: expected the address at position settings.me in talk.peers"]
+
 
+def validate(document: Mapping[str, Any], in_force: Mapping[str, Any] | None = None) -> None:
+    """Validates a configuration.
 
-def validate(found: Mapping[str, Any], before: Mapping[str, Any] | None = None) -> None:
-    """Raises InvalidConfigurationError with all errors of `found`.
+    Args:
+        document: The JSON object of the configuration file.
+        in_force: The configuration in force, of which no key may be missing.
 
-    `before` is the configuration in force, no key of which may be missing.
+    Raises:
+        InvalidConfigurationError: There are errors; it lists them all, up to `MAX_ERRORS`.
     """
-    errors = errors_of(SCHEMA, dict(found)) or mixed_deployment_errors(found)
-    for missing in _missing(_permanent_part(before or {}), _permanent_part(found), ()):
-        # Guards against a file that lost a key: its setting would silently fall back to a default.
-        line = f"{place(missing)}: in force, and missing"
-        if not any(error.startswith(place(missing) + ":") for error in errors):
+    errors = errors_of(SCHEMA, dict(document)) or mixed_deployment_errors(document)
+    for path in _missing(_permanent_part(in_force or {}), _permanent_part(document), ()):
+        # Guards against a file that lost a key: the setting would silently fall back to its default.
+        line = f"{format_path(path)}: missing, but set in the configuration in force"
+        if not any(error.startswith(format_path(path) + ":") for error in errors):
             errors.append(line)
     if errors:
         raise InvalidConfigurationError(errors[:MAX_ERRORS])
 
 
-def _permanent_part(found: Mapping[str, Any]) -> dict[str, Any]:
-    """Returns it without what a later file may leave out: limits of the fleet, and how they were split."""
-    fleet = found.get("fleet")
+def _permanent_part(document: Mapping[str, Any]) -> dict[str, Any]:
+    """Returns the document without the fleet's limits and their owners, which a later file may omit."""
+    fleet = document.get("fleet")
     if not isinstance(fleet, Mapping):
-        return dict(found)
-    return {**found, "fleet": {name: value for name, value in fleet.items() if name != "limits"}}
+        return dict(document)
+    return {**document, "fleet": {name: value for name, value in fleet.items() if name != "limits"}}
 
 
-def _missing(before: Any, found: Any, path: tuple[object, ...]) -> list[tuple[object, ...]]:
-    """Returns the paths in `before` that `found` lacks; in a list of objects, those all of them share."""
-    if isinstance(before, Mapping) and isinstance(found, Mapping):
+def _missing(before: Any, after: Any, path: tuple[object, ...]) -> list[tuple[object, ...]]:
+    """Returns the paths in `before` that `after` lacks; in a list of objects, keys that all items have."""
+    if isinstance(before, Mapping) and isinstance(after, Mapping):
         paths: list[tuple[object, ...]] = []
         for name, value in before.items():
             if path or name not in START_ONLY_KEYS:
                 here = (*path, name)
-                paths += _missing(value, found[name], here) if name in found else [here]
+                paths += _missing(value, after[name], here) if name in after else [here]
         return paths
-    if isinstance(before, list) and isinstance(found, list) and before and isinstance(before[0], Mapping):
+    if isinstance(before, list) and isinstance(after, list) and before and isinstance(before[0], Mapping):
         shared = set(before[0]).intersection(*before)
         return [
             (*path, index, name)
-            for index, item in enumerate(found)
+            for index, item in enumerate(after)
             if isinstance(item, Mapping)
             for name in sorted(shared - item.keys())
         ]
     return []
 
 
-def place(path: tuple[object, ...] | list[object]) -> str:
-    """Returns a path of keys and positions as a place in the file."""
+def format_path(path: tuple[object, ...] | list[object]) -> str:
+    """Returns a path of keys and list positions as text; "the file" for the empty path."""
     return ".".join(str(part) for part in path) or "the file"
