--- a/notchjunction/config/node_config.py
+++ b/notchjunction/config/node_config.py
@@ -62,7 +62,7 @@
 def load_config(environment: Mapping[str, str]) -> NodeConfig:
     """Returns the configuration with which a node starts.
 
-    It is validated no more than safety needs, as a node that does not start serves no clients.
+    Validation is as lenient as is safe, as a node that does not start serves no clients.
 
     Raises:
         InvalidConfigurationError: The file mixes two kinds of deployment, or has an invalid section `fleet`.
--- a/notchjunction/config/validation.py
+++ b/notchjunction/config/validation.py
@@ -33,7 +33,7 @@
     flatten,
 )
 
-# Errors reported at once; a file with more is hardly a node's configuration.
+# Errors reported at once; a file with more is probably not a node's configuration.
 MAX_ERRORS = 20
 # Upper bound of the configured clock drift, as a share; with more, nodes mostly wait for leases to expire.
 MAX_CLOCK_DRIFT = 0.2
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -60,7 +60,7 @@
 SWEEP_INTERVAL_S = 1.0
 # Between checks of a node that drains its clients, out of service or shutting down.
 DRAIN_CHECK_INTERVAL_S = 0.05
-# From the first "not ready" until clients are drained; new clients still come for 0.3 s of it.
+# From the first "not ready" until clients are drained; new clients arrive for up to 0.3 s of it.
 READINESS_NOTICE_S = 0.4
 # From the start of a shutdown's drain until idle clients are closed, however briefly they have been idle.
 IDLE_GRACE_S = 0.6
@@ -353,8 +353,8 @@
     def peer_usage_changed(self) -> None:
         """Updates the descriptors and clients that the node's other processes use of the shared limit."""
         if self._handover is not None:
-            others = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
-            self._descriptors.elsewhere = self._handover.peer_usage().descriptors + others
+            reserved = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
+            self._descriptors.elsewhere = self._handover.peer_usage().descriptors + reserved
             self._descriptors.callers_elsewhere = self._handover.peer_usage().clients
 
     async def _send_to_peers(self, command: str, value: Any) -> bool:
@@ -368,15 +368,15 @@
 
     async def take_offline(self, endpoint: str) -> bool:
         """Bans an endpoint; returns whether it is known and all processes of the node have banned it."""
-        known = self._engine.ban(endpoint)
+        is_known = self._engine.ban(endpoint)
         self._update_upstreams()
-        return known and await self._send_to_peers(OperatorCommand.BAN, endpoint)
+        return is_known and await self._send_to_peers(OperatorCommand.BAN, endpoint)
 
     async def bring_online(self, endpoint: str) -> bool:
         """Lifts an endpoint's ban; returns whether it is known and all processes of the node have done so."""
-        known = self._engine.lift_ban(endpoint)
+        is_known = self._engine.lift_ban(endpoint)
         self._update_upstreams()
-        return known and await self._send_to_peers(OperatorCommand.LIFT_BAN, endpoint)
+        return is_known and await self._send_to_peers(OperatorCommand.LIFT_BAN, endpoint)
 
     async def out_of_service(self) -> bool:
         """Takes the node out of service; returns whether all of its processes have done so."""
--- a/notchjunction/upgrade/shutdown.py
+++ b/notchjunction/upgrade/shutdown.py
@@ -8,7 +8,7 @@
 
 from notchjunction.state_table import StateTable, Transition
 
-# From SIGTERM until no new clients are accepted; they still arrive for 0.4 s of it.
+# From SIGTERM until new clients are no longer accepted; they arrive for up to 0.4 s after SIGTERM.
 ACCEPT_TIME_S = 0.6
 # From SIGTERM until the earliest SIGKILL, without the longest request deadline, which is added to it.
 KILL_AFTER_S = 0.7
@@ -86,7 +86,7 @@
 
 
 class GracefulShutdown:
-    """One shutdown, from SIGTERM at `now` (s on the caller's clock) until all clients have gone.
+    """One shutdown, from SIGTERM at `now` (s) until no client is connected.
 
     `max_request_deadline` is the longest deadline (s) of the node's request classes.
     """
