--- a/notchjunction/balancing/records.py
+++ b/notchjunction/balancing/records.py
@@ -106,7 +106,7 @@
     objective_at: float
     deadline_at: float
     over_quota: bool
-    complete: bool  # whether its last byte has come; its time counts from then
+    body_complete: bool  # whether its last byte has come; its time counts from then
     affinity_key: str = ""  # where endpoints do less work for a key they have met
     state: RequestState = RequestState.NEW
     attempts: list[Attempt] = field(default_factory=list)
