--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -217,8 +217,8 @@
         self._is_deepest_tier = settings.tier is not None and settings.tier == settings.tier_count - 1
         remaining_tiers = settings.tier_count - settings.tier if settings.tier is not None else 1
         self._capacity_share = CAPACITY_OBJECTIVE_SHARE * remaining_tiers / max(1, settings.tier_count)
-        # Only the first tier limits the latency: a request that a deeper tier rejects has already cost work at
-        # the tiers above.
+        # Only the first tier limits the latency: a request that a deeper tier rejects has already cost work
+        # at the tiers above.
         self._max_latency_multiple = math.inf if settings.tier else MAX_STABLE_MULTIPLE
         self._stuck_share = STUCK_OBJECTIVE_SHARE * remaining_tiers / max(1, settings.tier_count)
         # Only the first tier applies quotas.
