--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -670,12 +670,14 @@
 
     def _select_endpoint(self, pending: PendingRequest) -> Endpoint | None:
         now = self._host.now()
-        max_in_flight = max(2.0, MAX_EVEN_SHARES * self._capacity() / max(1, len(self._active)))
+        # Maximum attempts in flight at an endpoint. Below, the variable is reassigned to a maximum score, and
+        # is_eligible() compares with that value from then on.
+        limit = max(2.0, MAX_EVEN_SHARES * self._capacity() / max(1, len(self._active)))
 
         def is_eligible(endpoint: Endpoint) -> bool:
             return (
                 self._is_healthy(endpoint, now)
-                and len(endpoint.in_flight) < max_in_flight
+                and len(endpoint.in_flight) < limit
                 and self._is_available(endpoint)
                 and not (
                     self._slow_start.is_warming_up(endpoint, now)
@@ -708,14 +710,14 @@
         candidates = connected or self._active
         choice = self._select_from_pool(pool, candidates, is_eligible, now)
         if choice is not None and pending.affinity_key:
-            max_score = AFFINITY_MAX_RATIO * self._score(choice, now)
+            limit = AFFINITY_MAX_RATIO * self._score(choice, now)
             preferred = (
                 endpoint
                 for endpoint in self._affinity_endpoints(pending.affinity_key)
                 if is_eligible(endpoint)
             )
             best = min(preferred, key=lambda endpoint: self._score(endpoint, now), default=choice)
-            choice = best if self._score(best, now) <= max_score else choice
+            choice = best if self._score(best, now) <= limit else choice
         elif (
             choice is not None
             and self._same_zone_max_ratio > 1.0
@@ -727,8 +729,8 @@
                 pool, candidates, lambda endpoint: is_same_zone(endpoint) and is_eligible(endpoint), now
             )
             spare = math.floor(SAME_ZONE_SPARE_SHARE * len(self._in_flight) / len(self._active))
-            max_score = self._same_zone_max_ratio * self._score(choice, now)
-            if same_zone is not None and self._score(same_zone, now, spare) <= max_score:
+            limit = self._same_zone_max_ratio * self._score(choice, now)
+            if same_zone is not None and self._score(same_zone, now, spare) <= limit:
                 return same_zone
         return choice
 
