--- a/notchjunction/balancing/records.py
+++ b/notchjunction/balancing/records.py
@@ -1,4 +1,4 @@
-"""What the decisions remember of requests, attempts, endpoints and outcomes: plain records."""
+"""Records that the balancer keeps of requests, attempts, endpoints and outcomes."""
 
 from __future__ import annotations
 
@@ -11,29 +11,29 @@
 
 from notchjunction.balancing.interface import EndpointEntry, LoadReport, RequestClass
 
-MAX_RECENT_OUTCOMES = 8  # outcomes kept of an endpoint; fewer are chance, more are out of date
-MAX_AGE_S = 3600.0  # s after which an event is as good as never
-MAX_IDLE_CONNECTIONS = 32  # remembered of an endpoint; a node rarely has more requests there at once
+MAX_RECENT_OUTCOMES = 8  # kept per endpoint; fewer would depend on chance, more would be out of date
+MAX_EXPORTED_AGE_S = 3600.0  # an older event is exported with this age, as it has no effect any more
+MAX_IDLE_CONNECTIONS = 32  # tracked per endpoint; a node rarely has more requests there at once
 
 
 class RequestState(Enum):
-    """Where a request stands."""
+    """The state of a request."""
 
     NEW = auto()
-    QUEUED = auto()  # no attempt in flight, waits for capacity
+    QUEUED = auto()  # without an attempt, waiting for capacity
     IN_FLIGHT = auto()  # at least one attempt in flight
-    STREAMING = auto()  # the response has begun and goes on to the client
+    STREAMING = auto()  # the response has started and is passed on to the client
     ENDED = auto()
 
 
 class RequestEvent(Enum):
-    """What can happen to a request."""
+    """An event that concerns a request."""
 
     ARRIVED = auto()
-    CAPACITY_AVAILABLE = auto()  # or may have become so
-    ENDPOINT_FAULT = auto()  # an attempt failed by its endpoint's own fault
-    OTHER_FAILURE = auto()  # an attempt failed, not or not surely by its endpoint's fault
-    COMPLETED = auto()  # the client has its response
+    CAPACITY_AVAILABLE = auto()  # capacity may have become available
+    ENDPOINT_FAULT = auto()  # an attempt failed, and its endpoint itself was at fault
+    OTHER_FAILURE = auto()  # an attempt failed, and its endpoint was not, or not certainly, at fault
+    COMPLETED = auto()  # the client has received the final response
     RESPONSE_STARTED = auto()
     OVERDUE = auto()  # an attempt has been in flight for several typical latencies
     DEADLINE_NEAR = auto()
@@ -42,61 +42,66 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One sending of a request to an endpoint."""
+    """A request that was sent to an endpoint; times in seconds."""
 
     endpoint: Endpoint
     sent_at: float
     latency_objective: float
     reused_connection: bool
     in_flight: bool = True
-    response_started: bool = False  # what remains is on its way, as fast as the client reads
+    response_started: bool = False  # the rest is limited by how fast the client reads
     may_have_run: bool = True
-    cancelled_for_retry: bool = False  # its outcome leads to a retry elsewhere
+    cancelled_for_retry: bool = False  # cancelled by this node, to retry at another endpoint
 
 
 @dataclass(slots=True, eq=False)
 class Endpoint:
-    """What this node knows of one endpoint, mostly from its own traffic; times in seconds."""
+    """The state of one endpoint as this node sees it, mostly from its own traffic; times in seconds."""
 
     entry: EndpointEntry
-    in_flight: list[Attempt] = field(default_factory=list)
+    in_flight: list[Attempt] = field(default_factory=list)  # oldest first, without those that respond already
     last_response_at: float = -math.inf
-    last_own_outcome_at: float = -math.inf  # this node's own last outcome there
+    last_own_outcome_at: float = -math.inf  # last outcome of an attempt by this node
     recent_successes: deque[bool] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_OUTCOMES))
     recent_latencies: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_RECENT_OUTCOMES))
     load_report: LoadReport | None = None
     load_reported_at: float = -math.inf
     probe_sent_at: float | None = None  # when the last probe was sent, while it is in flight
-    probe_latency: float = 0.0  # s that the last probe took; whatever its endpoint does delays it
+    probe_latency: float = 0.0  # of the last probe; all work of the endpoint delays it
     probe_ended_at: float = -math.inf
     ejected_until: float = -math.inf
+    # When each connection became idle, latest last.
     idle_connections: deque[float] = field(default_factory=lambda: deque(maxlen=MAX_IDLE_CONNECTIONS))
-    slow_start_credit_from: float = -math.inf  # since when slow start credit adds up to the next attempt
-    slow_start_credit_needed: float = 1.0  # attempts that it has to add up to
-    banned_since: float = -math.inf  # since when it was banned, if the ban was lifted
-    awaits_first_attempt: bool = False  # its ban was lifted, and nothing was sent there since
+    slow_start_credit_from: float = -math.inf  # start of collecting slow start credit for the next attempt
+    slow_start_credit_needed: float = 1.0  # credit that the next attempt takes, in attempts
+    banned_since: float = -math.inf  # start of the last ban, set when it is lifted
+    awaits_first_attempt: bool = False  # its ban was lifted, and no attempt was sent there since
 
     def export_state(self, now: float) -> dict[str, Any]:
-        """Return what another process of the node may go on from; moments as seconds ago, or to come."""
+        """Return the state to restore in another process of the node; times as seconds from now."""
         return {
             "last": list(self.recent_successes),
             "seconds": list(self.recent_latencies),
             "back_in": max(0.0, self.ejected_until - now),
-            "wait": [self.probe_latency, min(now - self.probe_ended_at, MAX_AGE_S)],
+            "wait": [self.probe_latency, min(now - self.probe_ended_at, MAX_EXPORTED_AGE_S)],
         }
 
     def restore_state(self, learned_state: Mapping[str, Any], now: float) -> None:
-        """Go on from another process's export; KeyError, TypeError or ValueError where it is none."""
+        """Restore the state that another process exported.
+
+        Raises:
+            KeyError, TypeError, ValueError: The state is malformed.
+        """
         self.recent_successes.extend(bool(success) for success in learned_state["last"])
         self.recent_latencies.extend(float(seconds) for seconds in learned_state["seconds"])
         self.ejected_until = max(self.ejected_until, now + float(learned_state["back_in"]))
-        probe, age = learned_state["wait"]
-        self.probe_latency, self.probe_ended_at = float(probe), now - float(age)
+        latency, age = learned_state["wait"]
+        self.probe_latency, self.probe_ended_at = float(latency), now - float(age)
 
 
 @dataclass(slots=True, eq=False)
 class PendingRequest:
-    """A request without its final response."""
+    """A request that has no final response yet; times in seconds."""
 
     id: int
     class_number: int
@@ -106,19 +111,19 @@
     objective_at: float
     deadline_at: float
     over_quota: bool
-    body_complete: bool  # whether its last byte has come; its time counts from then
-    affinity_key: str = ""  # where endpoints do less work for a key they have met
+    body_complete: bool  # the last byte was received; the latency objective counts from then
+    affinity_key: str = ""  # endpoints do less work for a key that they served before; empty if there is none
     state: RequestState = RequestState.NEW
     attempts: list[Attempt] = field(default_factory=list)
     chosen_endpoint: Endpoint | None = None
 
     def rank(self) -> tuple[bool, float]:
-        """Return its place in the queue: requests within their quota first, then by latency objective."""
+        """Return the sort key in the queue: within quota first, then by the end of the latency objective."""
         return (self.over_quota, self.objective_at)
 
 
 class RecentOutcome(NamedTuple):
-    """One of the last outcomes of all endpoints; `latency` in seconds, 0 if it says nothing."""
+    """A recent outcome of an attempt at any endpoint; `latency` in seconds, 0 if it shows no latency."""
 
     endpoint: Endpoint
     success: bool
@@ -126,14 +131,14 @@
 
 
 class TypicalLatencies(NamedTuple):
-    """What is typical now (s): the last response of each endpoint, probes, and all responses."""
+    """Current median latencies in seconds."""
 
-    per_endpoint: float
-    probe: float
-    median: float  # of all responses, where `per_endpoint` has one an endpoint
+    per_endpoint: float  # of the last response of each endpoint
+    probe: float  # of probes
+    median: float  # of all recent responses
 
 
 def median(values: Iterable[float], default: float) -> float:
-    """Return the middle value, the upper of two; `default` where there is none."""
+    """Return the median, the upper one of two middle values; `default` if there are no values."""
     ordered = sorted(values)
     return ordered[len(ordered) // 2] if ordered else default
