--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -247,7 +247,7 @@
                 tenant=request.tenant,
                 time_left=request.time_left,
                 is_client_retry=request.is_retry,
-                complete=request.whole,
+                body_complete=request.whole,
                 affinity_key=request.key,
             )
         )
--- a/notchjunction/balancing/balancer.py
+++ b/notchjunction/balancing/balancer.py
@@ -269,11 +269,11 @@
             objective_at,
             deadline_at,
             over_quota,
-            request.complete,
+            request.body_complete,
             affinity_key,
         )
         self._pending[request.id] = pending
-        if request.complete:
+        if request.body_complete:
             self._start_deadline_timer(pending, now)
         self._apply_event(pending, RequestEvent.ARRIVED)
 
@@ -365,7 +365,7 @@
         self._handle_event(request, RequestEvent.RESPONSE_STARTED)
 
     def request_cancelled(self, request: int) -> None:
-        """Handle that the client cancelled the request."""
+        """Handle the cancellation of a request by its client."""
         self._handle_event(request, RequestEvent.CLIENT_CANCELLED)
 
     def probe_ended(self, endpoint: int, result: AttemptResult, load: LoadReport | None) -> None:
@@ -410,7 +410,7 @@
         self._refresh_endpoints()
 
     def ban_changed(self, endpoint: int, banned: bool) -> None:
-        """Handle that an operator banned an endpoint or lifted the ban; the list does not affect bans."""
+        """Handle that an on-call operator banned an endpoint or lifted its ban; list updates lift no ban."""
         now, record = self._host.now(), self._endpoints.get(endpoint)
         if banned:
             self._banned.setdefault(endpoint, now)
--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -235,7 +235,7 @@
             time_left=spec.time_left,
             is_client_retry=spec.is_client_retry,
             work_hint=spec.work_hint,
-            complete=spec.complete,
+            body_complete=spec.complete,
             affinity_key=spec.affinity_key,
         )
         try:
--- a/notchjunction/balancing/interface.py
+++ b/notchjunction/balancing/interface.py
@@ -1,7 +1,7 @@
-"""Types that the decisions share with their host: the node, the simulator's host or the emulator.
+"""Types and protocols between the balancer and its host: the node, the simulator's host or the emulator.
 
-Times are seconds; numbers of requests and endpoints are small integers given out by the host. Nothing here
-decides.
+All times are in seconds. The host identifies requests and endpoints by small integers. This module contains
+no decisions.
 """
 
 from __future__ import annotations
@@ -15,15 +15,15 @@
 
 
 class Idempotency(Enum):
-    """What a second run of a request does."""
+    """Whether a request can run twice without a second effect."""
 
     IDEMPOTENT = "reissuable"
-    KEYED = "numbered"
+    KEYED = "numbered"  # it has an idempotency key, by which endpoints recognize repeats
     NON_IDEMPOTENT = "at-most-once"
 
 
 class DeduplicationScope(Enum):
-    """Which endpoints drop the repeats of a request with an idempotency key."""
+    """Which endpoints recognize and drop repeats of a request with an idempotency key."""
 
     ALL = "all"
     ZONE = "zone"
@@ -39,29 +39,30 @@
     TIMED_OUT = "timed out"
     NO_CONNECTION = "no connection"
     RESET = "reset"
-    MALFORMED = "malformed"  # its response could not be read: it may have run, and the connection is lost
+    # The response could not be parsed. The request may have run, and the connection is lost.
+    MALFORMED = "malformed"
     CANCELLED = "cancelled"
     NOT_SENT = "not sent"
     UNKNOWN = "unknown"
 
 
 class ListUpdate(Enum):
-    """What kind of endpoint list update came."""
+    """The kind of an endpoint list update."""
 
-    CHANGES = "changes"
-    SNAPSHOT = "snapshot"
-    CACHED = "cached"
-    FAILED = "failed"
+    CHANGES = "changes"  # entries that changed
+    SNAPSHOT = "snapshot"  # all entries
+    CACHED = "cached"  # all entries, from a copy that may be out of date
+    FAILED = "failed"  # the poll failed, without entries
 
 
 @dataclass(frozen=True, slots=True)
 class RequestClass:
-    """What requests of one class may take, are worth, and do when they run twice."""
+    """The latency limits, weights and idempotency of one class of requests."""
 
     latency_objective: float
     deadline: float
-    priority_weight: float = 1.0
-    late_weight: float = 0.0
+    priority_weight: float = 1.0  # relative revenue of a response within the latency objective
+    late_weight: float = 0.0  # relative revenue of a later response
     idempotency: Idempotency = Idempotency.NON_IDEMPOTENT
     deduplication_scope: DeduplicationScope = DeduplicationScope.GROUP
     deduplication_window: float = 0.0
@@ -69,56 +70,56 @@
 
 @dataclass(frozen=True, slots=True)
 class BalancerSettings:
-    """The settings of one node's decisions; times in seconds."""
+    """The settings of one node's balancer; times in seconds."""
 
     seed: int
     request_classes: Sequence[RequestClass]
-    tenant_quotas: Sequence[float] = ()
-    over_quota_weight: float = 1.0  # weight of a request over its tenant's quota, as a part of its class's
+    tenant_quotas: Sequence[float] = ()  # requests a second for all nodes together, by tenant; 0: no quota
+    over_quota_weight: float = 1.0  # factor of the priority weight of requests over their tenant's quota
     node_count: int = 1
-    process_count: int = 1  # that are this one node together, as during an upgrade
-    tier: int | None = None
+    process_count: int = 1  # processes that share the work of this node, as during an upgrade
+    tier: int | None = None  # counted from 0; None if unknown
     tier_count: int = 0
     zone: int = 0
-    polls_list: bool = False
+    polls_list: bool = False  # whether the endpoint list has to be polled
     probes: bool = True
     cancellation: bool = True
     hedging: bool = True
     retry_after_max: float = 0.0
-    max_attempts: int = 1
+    max_attempts: int = 1  # per request, the first one included
     poll_interval: float = 0.0
-    tick: float = 0.005
+    tick: float = 0.005  # resolution of the host's timers
     cross_zone_cost: float = 0.0
     connection_cost: float = 0.0
     connection_idle_timeout: float = 0.0
-    connect_timeout: float = 0.0  # s that a connection may take to come up
+    connect_timeout: float = 0.0  # for establishing a new connection
     streams_per_connection: int = 1
-    slow_start_share: float = 1.0
-    slow_start_time: float = 0.0
-    overload_multiple: float = 3.0
-    sidecar: bool = False  # each client process has its own node: many, each with little traffic
+    slow_start_share: float = 1.0  # capacity of an endpoint right after its start, as a share of the full one
+    slow_start_time: float = 0.0  # from its start until it has its full capacity
+    overload_multiple: float = 3.0  # multiple of the rate for its capacity that overloads an endpoint
+    sidecar: bool = False  # whether each client process has its own node, with little traffic each
     gossips: bool = False
-    node_index: int = 0  # this node's number among its peers
-    key_affinity: bool = False  # an endpoint that met a request's key lately serves it for less work
+    node_index: int = 0  # this node's number among all nodes, from 0
+    key_affinity: bool = False  # whether an endpoint does less work for a key that it served recently
 
 
 @dataclass(slots=True)
 class NewRequest:
-    """A request as it arrives; `time_left` (s) runs until its deadline."""
+    """A request that arrives; `time_left` is the time (s) until its deadline."""
 
     id: int
     request_class: int
     tenant: int
     time_left: float
     is_client_retry: bool = False
-    work_hint: float | None = None
-    complete: bool = True  # whether its last byte has come; its time counts from then
-    affinity_key: str = ""
+    work_hint: float | None = None  # estimated work (s) of the request; None if unknown
+    body_complete: bool = True  # whether the last byte was received; if not, see `body_completed`
+    affinity_key: str = ""  # empty if there is none
 
 
 @dataclass(frozen=True, slots=True)
 class LoadReport:
-    """An endpoint's own report of its load; a figure it does not give is None."""
+    """The load that an endpoint reports; None for values that it does not report."""
 
     in_flight: float | None = None
     queued: float | None = None
@@ -130,19 +131,22 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointEntry:
-    """An endpoint as the endpoint list has it; `started_at` in seconds, 0 if unknown."""
+    """An entry of the endpoint list; `started_at` in seconds, 0 if unknown."""
 
     number: int
     state: EndpointState
     started_at: float = 0.0
     zone: int = 0
     deduplication_group: int = 0
-    size: float = 1.0  # rough size against other endpoints'
-    name_hash: int = 0  # the same at all nodes: a hash of its name
+    size: float = 1.0  # approximate capacity relative to other endpoints
+    name_hash: int = 0  # hash of its name, the same at all nodes
 
 
 class PeerOutcome(NamedTuple):
-    """One outcome of an attempt, as a peer reports it; a hint, never a fact."""
+    """The outcome of an attempt as a peer reports it; a hint that may be wrong.
+
+    `age` is the time (s) since the outcome, `seconds` the latency of the attempt, 0 if it shows none.
+    """
 
     endpoint: int
     age: float
@@ -152,7 +156,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptOutcome:
-    """How an attempt of this node ended; `final` if the request has its response."""
+    """The outcome of an attempt of this node, `seconds` after it was sent.
+
+    `final` means that the request now has its response.
+    """
 
     request: int
     attempt: int
@@ -161,34 +168,34 @@
     seconds: float
     final: bool = False
     load: LoadReport | None = None
-    unrepeatable: bool = False  # the request can't be sent again: more of it was sent on than the host keeps
+    unrepeatable: bool = False  # the request can't be sent again, as the host no longer has all of its body
 
 
 class BalancerHost(Protocol):
-    """What a node can do for the decisions: the commands, a clock and timers."""
+    """The commands, clock and timers that a host provides for the balancer."""
 
     def now(self) -> float:
-        """Return the time (s) on a clock that never jumps."""
+        """Return the time (s) of a monotonic clock."""
         ...
 
     def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
-        """Send the request to an endpoint, with so many seconds for it; attempts count from 0."""
+        """Send the request to an endpoint, with a timeout in seconds; its attempts are numbered from 0."""
         ...
 
     def cancel_attempt(self, request: int, attempt: int) -> None:
-        """Cancel an attempt in flight; its outcome is still reported."""
+        """Cancel an attempt in flight; its outcome is still reported with `attempt_ended`."""
         ...
 
     def send_probe(self, endpoint: int) -> None:
-        """Probe an endpoint; the result is reported."""
+        """Probe an endpoint; the result is reported with `probe_ended`."""
         ...
 
     def reject(self, request: int, retry_after: float) -> None:
-        """Reject the request: the client may try again after so many seconds."""
+        """Reject the request; the client may retry after `retry_after` seconds."""
         ...
 
     def fail(self, request: int) -> None:
-        """Fail the request: it may have run, and is not safe to send again."""
+        """Fail the request; it may have run, so that a retry by the client is not safe."""
         ...
 
     def set_timer(self, delay: float, token: int) -> None:
@@ -196,20 +203,20 @@
         ...
 
     def poll_list(self) -> None:
-        """Poll the endpoint list."""
+        """Poll the endpoint list; the result is reported with `list_updated`."""
         ...
 
     def report_ejection(self, endpoint: int, seconds: float) -> None:
-        """Report that an endpoint is ejected for so long; nothing is to be done."""
+        """Report that an endpoint is ejected for this time (s); the host need not act on it."""
         ...
 
     def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
-        """Send outcomes to a peer, newest first; `newest` is the number of the first."""
+        """Send outcomes to a peer, newest first; `newest` is the sequence number of the first."""
         ...
 
 
 class RequestBalancer(Protocol):
-    """What a host calls for each event; `balancer.Balancer` is the one in use."""
+    """The methods that a host calls for events; implemented by `balancer.Balancer`."""
 
     def request_arrived(self, request: NewRequest) -> None:
         """Handle a new request."""
@@ -220,19 +227,19 @@
         ...
 
     def body_completed(self, request: int, time_left: float = ...) -> None:
-        """Handle the last byte of a large request, which has `time_left` seconds at most from now."""
+        """Handle the last byte of a large request, whose deadline is at most `time_left` seconds away."""
         ...
 
     def repeatable_until(self, request: int, attempt: int) -> float:
-        """Return until when (s) an attempt cannot make an effect happen twice."""
+        """Return until when (s) an attempt can run without a risk of a second effect."""
         ...
 
     def response_started(self, request: int, attempt: int) -> None:
-        """Handle the start of a large response, which is the final one."""
+        """Handle the start of a large response, which becomes the final response."""
         ...
 
     def request_cancelled(self, request: int) -> None:
-        """Handle that the client cancelled the request."""
+        """Handle the cancellation of a request by its client."""
         ...
 
     def probe_ended(self, endpoint: int, result: AttemptResult, load: LoadReport | None) -> None:
@@ -240,7 +247,7 @@
         ...
 
     def timer_fired(self, token: int) -> None:
-        """Handle a timer that is due."""
+        """Handle the end of a timer that was set with `set_timer`."""
         ...
 
     def list_updated(self, update: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
@@ -248,7 +255,7 @@
         ...
 
     def ban_changed(self, endpoint: int, banned: bool) -> None:
-        """Handle that an operator banned an endpoint or lifted the ban."""
+        """Handle that an on-call operator banned an endpoint or lifted its ban."""
         ...
 
     def gossip_received(self, outcomes: Sequence[PeerOutcome]) -> None:
@@ -258,13 +265,13 @@
     def settings_changed(
         self, settings: BalancerSettings, request_classes: Mapping[int, RequestClass]
     ) -> None:
-        """Handle new settings, which hold for what comes from now on."""
+        """Apply new settings to future requests."""
         ...
 
     def export_state(self) -> dict[str, Any]:
-        """Return what was learned, for a process that follows this one."""
+        """Return the learned state, for a successor process."""
         ...
 
     def restore_state(self, learned_state: Mapping[str, Any]) -> None:
-        """Go on from what an earlier process learned."""
+        """Restore the learned state that a predecessor process exported."""
         ...
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -633,7 +633,7 @@
 
 def large(host: FakeHost) -> int:
     host.request_count += 1
-    host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, complete=False))
+    host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, body_complete=False))
     return host.request_count
 
 
