--- a/notchjunction/balancing/throughput.py
+++ b/notchjunction/balancing/throughput.py
@@ -1,4 +1,7 @@
-"""How fast endpoints serve a node's requests, and what of it the node's next process inherits. Pure."""
+"""Estimates how fast endpoints serve a node's requests, and exports it to a successor process.
+
+The caller passes the time; nothing here does I/O.
+"""
 
 from __future__ import annotations
 
@@ -9,68 +12,72 @@
 
 from notchjunction.balancing.records import median
 
-RATE_SPAN_S = 2.0  # of responses from which the throughput is worked out
-MIN_RATE_SPAN_S = 0.1  # that counts as passed; the first responses would make a rate without bound
-STABLE_RATIO = 1.5  # times the best median latency up to which responses are stable; less is chance
-MAX_MEDIANS = 32  # remembered to find the best; a minute or more, longer than troubles
-MIN_SAMPLES = 16  # latencies for a median; fewer make one by chance
-SERVED_SPAN_S = 30.0  # of what endpoints did that counts; a fleet may be dead or warming up for many seconds
-MIN_SERVED_SHARE = 0.3  # of that span, seen before a rate is taken whole; a first request proves none
+RATE_SPAN_S = 2.0  # seconds of responses from which the throughput is computed
+# Shortest time to divide by for a rate; without it, the first responses would give an unbounded rate.
+MIN_RATE_SPAN_S = 0.1
+# Multiple of the best median latency up to which latencies are stable; smaller changes occur by chance.
+STABLE_RATIO = 1.5
+MAX_MEDIANS = 32  # medians kept to find the best one; they cover a minute or more, longer than an incident
+MIN_SAMPLES = 16  # latencies for a median; with fewer, it depends on chance
+# Seconds of responses that the served rate covers; a fleet may be down or warming up for many seconds.
+SERVED_SPAN_S = 30.0
+# Share of SERVED_SPAN_S that the served rate is divided by at least; a first request alone shows no rate.
+MIN_SERVED_SHARE = 0.3
 
 
 class ThroughputEstimate:
-    """The responses of the last seconds, and the medians of latency since the process began.
+    """Estimates throughput and capacity from recent responses and from past median latencies.
 
-    Moments and latencies are in seconds.
+    Times and latencies are in seconds.
     """
 
     def __init__(self, now: float) -> None:
         self._started_at = self._median_due_at = now
-        self._responses: deque[tuple[float, float]] = deque()  # when, and the latency objective
+        self._responses: deque[tuple[float, float]] = deque()  # time and latency objective
         self._samples: list[float] = []
         self._medians: deque[float] = deque(maxlen=MAX_MEDIANS)
 
     def record_success(self, latency_objective: float, latency: float, now: float) -> None:
-        """Count a response to a request of this node."""
+        """Record a response to a request of this node."""
         self._responses.append((now, latency_objective))
         self.record_latency(latency, now)
 
     def record_latency(self, latency: float, now: float) -> None:
-        """Note the latency of a response, to this node or to a peer."""
+        """Record the latency of a response to this node or to a peer."""
         self._samples.append(latency)
         if len(self._samples) >= MIN_SAMPLES and now >= self._median_due_at:
             self._medians.append(median(self._samples, 1.0))
             self._samples, self._median_due_at = [], now + RATE_SPAN_S
 
     def rate(self, now: float) -> float:
-        """Return the responses a second."""
+        """Return the throughput in responses a second."""
         self._prune(now)
         return len(self._responses) / RATE_SPAN_S
 
-    def capacity(self, objective_share: float, stable_multiple: float, now: float) -> float:
-        """Return the requests in flight that this throughput serves in time.
+    def capacity(self, objective_share: float, max_latency_multiple: float, now: float) -> float:
+        """Return how many requests in flight are served in time at the current throughput.
 
-        In time is within `objective_share` of their latency objective, and `stable_multiple` of the best
-        median latency.
+        In time means within `objective_share` of their latency objective, and within `max_latency_multiple`
+        times the best median latency.
         """
         self._prune(now)
         span = min(RATE_SPAN_S, max(now - self._started_at, MIN_RATE_SPAN_S))
-        # Guards against endpoints that turn slow from too much load, long before the objective is missed.
-        max_per_request = stable_multiple * min(self._medians, default=math.inf)
+        # Guards against slowing endpoints down by overload, which begins long before objectives are missed.
+        max_latency = max_latency_multiple * min(self._medians, default=math.inf)
         return (
             sum(
-                min(latency_objective * objective_share, max_per_request)
+                min(latency_objective * objective_share, max_latency)
                 for _, latency_objective in self._responses
             )
             / span
         )
 
     def is_stable(self) -> bool:
-        """Return whether the last median latency is close to the best."""
+        """Return whether the last median latency is close to the best one."""
         return len(self._medians) > 1 and self._medians[-1] <= STABLE_RATIO * min(self._medians)
 
     def export_state(self, now: float) -> dict[str, Any]:
-        """Return what another process of the node may go on from; moments as ages in seconds."""
+        """Return the state to restore in another process of the node; times as ages in seconds."""
         self._prune(now)
         return {
             "began": now - self._started_at,
@@ -79,7 +86,11 @@
         }
 
     def restore_state(self, learned_state: Mapping[str, Any], now: float) -> None:
-        """Go on from another process's export; KeyError, TypeError or ValueError where it is none."""
+        """Restore the state that another process exported.
+
+        Raises:
+            KeyError, TypeError, ValueError: The state is malformed.
+        """
         self._started_at = now - float(learned_state["began"])
         self._responses.extend(
             (now - float(age), float(latency_objective))
@@ -93,26 +104,27 @@
 
 
 class ServedRate:
-    """Requests a second that the endpoints served for this node, each an even share.
+    """The mean rate at which each active endpoint served requests of this node.
 
-    Those of the last span, not the highest seen: such counts of all nodes add up to that of the fleet, also
-    while traffic moves from node to node. It never exceeds what endpoints can do: rejections do not count.
+    It covers the last SERVED_SPAN_S and is not the highest rate seen. So the rates of all nodes add up to
+    that of the fleet, even while traffic moves from node to node. As rejections do not count, it never
+    exceeds what endpoints can serve.
     """
 
     def __init__(self, now: float) -> None:
         self._advanced_at = now
-        self._served_time = 0.0  # s that passed with an endpoint warm
-        self._rate: float | None = 0.0  # shares a second; None: not added up since time has passed
-        self._served: deque[tuple[float, float]] = deque()  # after how much of that time, and the share
+        self._served_time = 0.0  # seconds so far with at least one warm endpoint
+        self._rate: float | None = 0.0  # requests a second of each endpoint; None if outdated
+        self._served: deque[tuple[float, float]] = deque()  # served time, and share of each endpoint
 
     def record_success(self, warm: int, active: int) -> None:
-        """Count a response by one of the active endpoints."""
+        """Record a response; `warm` and `active` are the numbers of such endpoints."""
         if warm:
             self._served.append((self._served_time, 1.0 / active))
 
     def advance(self, now: float, warm: int) -> None:
-        """Note that time has passed, with so many endpoints warm; older responses count no more."""
-        # Guards against a fleet that sends ever less because it has sent little: time without warm
+        """Advance the time to now, with `warm` endpoints warm since the last call; drop old responses."""
+        # Guards against a fleet that sends less and less because it has sent little: time without warm
         # endpoints does not count.
         self._served_time += now - self._advanced_at if warm else 0.0
         self._advanced_at = now
@@ -121,9 +133,10 @@
         self._rate = None
 
     def rate(self) -> float:
-        """Return the shares served a second, as of the last `advance`."""
+        """Return the requests a second that each endpoint served, as of the last `advance`."""
         if self._rate is None:
-            # Guards against new processes that each take their first requests for a rate, and add up.
+            # Guards against overload by several new processes that each derive a high rate from their first
+            # requests: these rates would add up.
             span = min(max(self._served_time, MIN_SERVED_SHARE * SERVED_SPAN_S), SERVED_SPAN_S)
             self._rate = sum(share for _, share in self._served) / span
         return self._rate
