--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -1,10 +1,10 @@
-"""The decisions behind a small facade in blocking style.
+"""Runs a `Balancer` for the node: names instead of numbers, command queues, and timers.
 
-`next_command` waits for a request's next command, `report_attempt` and its siblings report how something
-ended, `run_due_timers` runs the timers that are due.
+The node submits requests and awaits their commands with `next_command`. It reports results with
+`report_attempt`, `report_probe` and the like, and calls `run_due_timers` when a timer is due.
 
-It owns the numbers of requests, attempts and endpoints and the one heap of timers. It knows no sockets and
-decides nothing.
+The engine assigns the numbers of requests, attempts, endpoints and request classes, and keeps all timers in
+one heap. It uses no sockets. All decisions are the balancer's.
 """
 
 from __future__ import annotations
@@ -35,14 +35,18 @@
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.discovery.start_times import StartTimes
 
-MAX_REMOVED_NAMES = 1024  # that left the list and may still be banned; a release of a large fleet
-UNKNOWN_CLASS_NUMBER = -1  # of no request class
-MAX_TIMER_LAGS = 256  # last delays of timers; some tens of seconds of ordinary traffic
+# Names of removed endpoints that operators can still ban; enough for a rollout of a large fleet.
+MAX_REMOVED_NAMES = 1024
+UNKNOWN_CLASS_NUMBER = -1  # given to the balancer for a request class that is not configured
+MAX_TIMER_LAGS = 256  # most recent timer delays kept; covers some tens of seconds of ordinary traffic
 
 
 @dataclass(frozen=True, slots=True)
 class SettingNames:
-    """The names by which clients and the endpoint list mean what the decisions number."""
+    """Names of request classes, tenants and zones, in the order in which `BalancerSettings` numbers them.
+
+    Clients and the endpoint list use the names; the balancer uses the numbers.
+    """
 
     request_classes: Sequence[str] = ()
     tenants: Sequence[str] = ()
@@ -51,7 +55,11 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestSpec:
-    """A request as its client states it; `idempotency` is what method and key say."""
+    """A request as its client states it.
+
+    `time_left` is in seconds until its deadline. `idempotency` follows from the HTTP method and the
+    idempotency key.
+    """
 
     request_class: str
     time_left: float
@@ -59,29 +67,29 @@
     tenant: str = ""
     is_client_retry: bool = False
     work_hint: float | None = None
-    complete: bool = True  # whether its last byte has come; else see `report_body_complete`
+    complete: bool = True  # whether the whole body was received; if not, `report_body_complete` follows
     affinity_key: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeOutcome:
-    """How an attempt or a probe ended, and after how many seconds."""
+    """How an attempt or a probe ended, after how many seconds, and the endpoint's load report if any."""
 
     result: AttemptResult
     seconds: float
     load: LoadReport | None = None
-    unrepeatable: bool = False  # more of the request was sent on than is kept: no retry
+    unrepeatable: bool = False  # part of the sent body is no longer stored, so a retry is impossible
 
 
 class NumberedClass(NamedTuple):
-    """A request class as it is in force, and its numbers."""
+    """A request class in use, its number, and the number of its non-idempotent variant."""
 
     request_class: RequestClass
     number: int
     non_idempotent_number: int
 
 
-# Commands for a request.
+# Commands for one request.
 
 
 @dataclass(frozen=True, slots=True)
@@ -90,45 +98,45 @@
 
     attempt: int
     endpoint: str
-    expires_at: float  # s on the engine's clock, when its timeout ends
+    expires_at: float  # when the attempt times out (s on the engine's clock)
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Cancel this attempt; its end is still reported."""
+    """Cancel this attempt; the node still reports its end."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class StartResponse:
-    """This attempt's response has begun and is the final one, whatever becomes of it."""
+    """Start forwarding this attempt's response: it is the final one, even if it later fails."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class ForwardResponse:
-    """This attempt's response is the final one."""
+    """Forward this attempt's response to the client as the final one."""
 
     attempt: int
 
 
 @dataclass(frozen=True, slots=True)
 class RejectRequest:
-    """Reject the request; the client may try again after so many seconds."""
+    """Reject the request; the client may retry after `retry_after` seconds."""
 
     retry_after: float
 
 
 @dataclass(frozen=True, slots=True)
 class FailRequest:
-    """Fail the request: trying again is not surely safe."""
+    """Fail the request: a retry by the client may cause its effect twice."""
 
 
 @dataclass(frozen=True, slots=True)
 class DropRequest:
-    """The client has gone; nothing is left to do."""
+    """Stop handling the request: the client disconnected, or the node itself failed it."""
 
 
 # Commands for the node.
@@ -148,7 +156,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReportEjection:
-    """An endpoint is ejected for so long: for logs and counters; nothing is to be done."""
+    """Log and count that an endpoint was ejected for so many seconds; needs no other action."""
 
     endpoint: str
     seconds: float
@@ -156,7 +164,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a datagram to a peer; it may be lost."""
+    """Send a gossip datagram to a peer; delivery is not required."""
 
     peer: int
     datagram: bytes
@@ -170,21 +178,27 @@
 
 @dataclass(slots=True, eq=False)
 class RequestHandle:
-    """A request, until its final response is commanded and its last attempt reported."""
+    """A request, tracked until it has ended and the end of its last attempt was reported."""
 
     number: int
     commands: asyncio.Queue[RequestCommand] = field(default_factory=asyncio.Queue)
-    endpoints: list[int] = field(default_factory=list)  # by attempt
-    in_flight: set[int] = field(default_factory=set)
-    cancelled: set[int] = field(default_factory=set)  # attempts, whether or not the command was read
-    response_started: bool = False  # a large response is on its way
-    answered: bool = False
+    endpoints: list[int] = field(default_factory=list)  # endpoint number of each attempt, in order
+    in_flight: set[int] = field(default_factory=set)  # attempt numbers
+    cancelled: set[int] = field(default_factory=set)  # attempt numbers, also if the command is still queued
+    response_started: bool = False  # a large response is being forwarded
+    ended: bool = False  # the final response is decided, or the request was dropped
 
 
 class BalancerEngine:
-    """The facade. `clock` gives Unix time that never jumps, `wake` asks for a `tick` after a delay.
-
-    `wall` gives Unix time as the machine has it now, by which the list states when endpoints started.
+    """The node's interface to its balancer.
+
+    Args:
+        settings: the balancer's settings.
+        names: the names that belong to the numbers in `settings`.
+        clock: returns Unix time (s) on a clock that is never stepped.
+        schedule_wakeup: requests a call of `run_due_timers` after a delay (s).
+        wall_clock: returns the machine's current Unix time (s), which may be stepped; the endpoint list
+            gives start times by it. Defaults to `clock`.
     """
 
     def __init__(
@@ -192,41 +206,41 @@
         settings: BalancerSettings,
         names: SettingNames,
         clock: Callable[[], float],
-        wake: Callable[[float], None],
-        wall: Callable[[], float] | None = None,
+        schedule_wakeup: Callable[[float], None],
+        wall_clock: Callable[[], float] | None = None,
     ) -> None:
         self._clock = clock
-        self._wall = wall or clock
+        self._wall_clock = wall_clock or clock
         self._start_times = StartTimes(clock())
-        self._wake = wake
+        self._schedule_wakeup = schedule_wakeup
         self._request_classes: dict[str, NumberedClass] = {}
-        self._class_numbers_given = 0
+        self._next_class_number = 0
         self._tenants = {name: index for index, name in enumerate(names.tenants)}
         self._zones = {name: index for index, name in enumerate(names.zones)}
         self._endpoint_numbers: dict[str, int] = {}
         self._endpoint_names: dict[int, str] = {}
-        self._numbers_by_hash: dict[int, int] = {}  # by the hashes of endpoint names
+        self._numbers_by_name_hash: dict[int, int] = {}
         self._gossip = OutcomeGossip(settings.seed)
-        self._endpoint_numbers_given = 0
+        self._last_endpoint_number = 0
         self._removed_names: deque[str] = deque(maxlen=MAX_REMOVED_NAMES)
-        self.banned: set[str] = set()  # by operators; whatever the list says
+        self.banned: set[str] = set()  # endpoints banned by operators, whether or not they are listed
         self._handles: dict[int, RequestHandle] = {}
-        self._submitted = 0
+        self._last_request_number = 0
         self._node_commands: asyncio.Queue[NodeCommand] = asyncio.Queue()
         self._timers: list[tuple[float, int]] = []
-        self._wake_at = math.inf
+        self._wakeup_at = math.inf
         self.timer_lags: deque[float] = deque(maxlen=MAX_TIMER_LAGS)
         self._settings = settings
-        self._number_request_classes(settings, names)
+        self._assign_class_numbers(settings, names)
         self._balancer: RequestBalancer = Balancer(replace(settings, request_classes=[]), _EngineHost(self))
-        self._balancer.settings_changed(settings, self._numbered_classes())
+        self._balancer.settings_changed(settings, self._classes_by_number())
 
-    # What the node calls.
+    # Methods that the node calls.
 
     def submit(self, spec: RequestSpec) -> RequestHandle:
-        """Hand in a new request; its commands follow at `next_command`."""
-        self._submitted += 1
-        handle = RequestHandle(self._submitted)
+        """Submit a new request; `next_command` returns its commands."""
+        self._last_request_number += 1
+        handle = RequestHandle(self._last_request_number)
         self._handles[handle.number] = handle
         request = NewRequest(
             id=handle.number,
@@ -252,10 +266,10 @@
     def report_attempt(self, handle: RequestHandle, attempt: int, outcome: ExchangeOutcome) -> None:
         """Report how an attempt ended."""
         handle.in_flight.discard(attempt)
-        first = outcome.result is AttemptResult.SUCCEEDED and not handle.answered
-        handle.answered = handle.answered or first
+        is_first_success = outcome.result is AttemptResult.SUCCEEDED and not handle.ended
+        handle.ended = handle.ended or is_first_success
         endpoint = handle.endpoints[attempt]
-        final = handle.answered
+        final = handle.ended
         self._balancer.attempt_ended(
             AttemptOutcome(
                 handle.number,
@@ -268,29 +282,36 @@
                 outcome.unrepeatable,
             )
         )
-        if first:
+        if is_first_success:
             handle.commands.put_nowait(ForwardResponse(attempt))
-        self._release(handle)
+        self._release_if_done(handle)
 
     def report_body_complete(self, handle: RequestHandle, time_left: float = math.inf) -> None:
-        """Report the request's last byte: its time counts from now, and is so many seconds at most."""
-        if not handle.answered:
+        """Report that the request's last byte was received.
+
+        The request's time starts to count now; at most `time_left` seconds remain until its deadline.
+        """
+        if not handle.ended:
             self._balancer.body_completed(handle.number, time_left)
 
     def is_wanted(self, handle: RequestHandle, attempt: int) -> bool:
-        """Return whether an attempt is still wanted; a command to cancel it may not be read yet."""
-        return not handle.answered and attempt not in handle.cancelled
+        """Return whether an attempt is still needed; its cancellation may still be queued as a command."""
+        return not handle.ended and attempt not in handle.cancelled
 
     def repeatable_until(self, handle: RequestHandle, attempt: int) -> float:
-        """Return until when (s) an attempt can't make an effect happen twice; inf: always, -inf: never."""
+        """Return until when (s) sending an attempt cannot duplicate an effect; inf: always, -inf: never."""
         return self._balancer.repeatable_until(handle.number, attempt)
 
     def now(self) -> float:
-        """Return Unix time (s) that never jumps."""
+        """Return Unix time (s) on a clock that is never stepped."""
         return self._clock()
 
     def report_response_started(self, handle: RequestHandle, attempt: int) -> bool:
-        """Report the start of a large response; false where the request has one, or cancelled this one."""
+        """Report the start of a large response.
+
+        Returns:
+            False if another response was chosen before, or this attempt is no longer needed.
+        """
         if handle.response_started or not self.is_wanted(handle, attempt):
             return False
         handle.response_started = True
@@ -299,25 +320,25 @@
         return True
 
     def cancel(self, handle: RequestHandle) -> None:
-        """Drop the request: the client has gone, or the node itself failed it."""
-        if not handle.answered:
-            handle.answered = True
+        """Drop the request because the client disconnected or the node itself failed it."""
+        if not handle.ended:
+            handle.ended = True
             try:
                 self._balancer.request_cancelled(handle.number)
             finally:
                 handle.commands.put_nowait(DropRequest())
-                self._release(handle)
+                self._release_if_done(handle)
 
     def apply_settings(self, settings: BalancerSettings, names: SettingNames) -> None:
-        """Use these settings from now on; pending requests keep the request class they came with."""
+        """Use new settings from now on; pending requests keep the request class they arrived with."""
         self._tenants = {name: index for index, name in enumerate(names.tenants)}
         if settings.zone < len(names.zones):
-            # Guards against a list of zones in another order: endpoints keep the numbers that they have.
+            # Guards against a reload that reorders the zones: endpoints keep the zone numbers that they have.
             name = names.zones[settings.zone]
             settings = replace(settings, zone=self._zones.setdefault(name, len(self._zones)))
         self._settings = replace(settings, process_count=self._settings.process_count)
-        self._number_request_classes(settings, names)
-        self._balancer.settings_changed(self._settings, self._numbered_classes())
+        self._assign_class_numbers(settings, names)
+        self._balancer.settings_changed(self._settings, self._classes_by_number())
 
     async def next_node_command(self) -> NodeCommand:
         """Wait for the next command that belongs to no request."""
@@ -325,38 +346,42 @@
 
     def report_probe(self, endpoint: str, outcome: ExchangeOutcome) -> None:
         """Report how a probe ended."""
-        if endpoint in self._endpoint_numbers:  # it may have left the list meanwhile
+        if endpoint in self._endpoint_numbers:  # it may have been removed from the list during the probe
             self._balancer.probe_ended(self._endpoint_numbers[endpoint], outcome.result, outcome.load)
 
     def apply_list_update(self, update: ListUpdate, listed: Sequence[ListedEndpoint] = ()) -> None:
-        """Take in an update of the endpoint list, or a failed poll."""
-        self._balancer.list_updated(update, [self._entry(endpoint) for endpoint in listed])
+        """Apply an update of the endpoint list, or record a failed poll."""
+        self._balancer.list_updated(update, [self._to_endpoint_entry(endpoint) for endpoint in listed])
         if update is ListUpdate.FAILED:
             return
         if update is not ListUpdate.CACHED:
             self._start_times.list_received(self._clock())
-        # Guards against growing with every endpoint that ever was. Numbers are never given out again.
+        # Guards against memory that grows with every endpoint ever listed. Numbers are never reused.
         removed = {endpoint.name for endpoint in listed if endpoint.state is EndpointState.REMOVED}
         if update is not ListUpdate.CHANGES:
             removed |= self._endpoint_numbers.keys() - {endpoint.name for endpoint in listed}
         for name in removed:
             self._endpoint_names.pop(self._endpoint_numbers.pop(name))
-            self._numbers_by_hash.pop(endpoint_hash(name), None)
+            self._numbers_by_name_hash.pop(endpoint_hash(name), None)
             self._removed_names.append(name)
 
     def receive_gossip(self, peer: int, datagram: bytes) -> None:
-        """Take in a peer's datagram; endpoints that are not listed and what can't be read are ignored."""
-        if outcomes := self._gossip.peer_outcomes(peer, datagram, self._numbers_by_hash):
+        """Process a peer's gossip; malformed datagrams and outcomes of unlisted endpoints are ignored."""
+        if outcomes := self._gossip.peer_outcomes(peer, datagram, self._numbers_by_name_hash):
             self._balancer.gossip_received(outcomes)
 
     @property
-    def ignored_reports(self) -> int:
-        """How many gossip datagrams were ignored."""
+    def ignored_datagrams(self) -> int:
+        """Return how many gossip datagrams were ignored as malformed or of another version."""
         return self._gossip.ignored
 
-    def ban(self, endpoint: str, known: bool = False) -> bool:
-        """Ban an endpoint for an operator; false where it is unknown, unless `known` is set."""
-        if not known and not self._is_known(endpoint):
+    def ban(self, endpoint: str, allow_unknown: bool = False) -> bool:
+        """Ban an endpoint for an operator.
+
+        Returns:
+            False if no endpoint of this name is known and `allow_unknown` is not set.
+        """
+        if not allow_unknown and not self._is_known(endpoint):
             return False
         self.banned.add(endpoint)
         if endpoint in self._endpoint_numbers:
@@ -364,7 +389,7 @@
         return True
 
     def lift_ban(self, endpoint: str) -> bool:
-        """Lift an endpoint's ban, however often it was banned; false where it is unknown."""
+        """Lift an endpoint's ban, even if it was banned several times; return false if it is unknown."""
         if not self._is_known(endpoint):
             return False
         self.banned.discard(endpoint)
@@ -373,44 +398,52 @@
         return True
 
     def export_state(self) -> dict[str, Any]:
-        """Return what was learned so far, by names, for a process that follows this one."""
-        exported = self._balancer.export_state()
+        """Return what the balancer has learned, keyed by names, for the process that succeeds this one."""
+        learned_state = self._balancer.export_state()
         return {
-            "clearing": exported["clearing"],
-            "servers": {self._endpoint_names[index]: known for index, known in exported["servers"].items()},
+            "clearing": learned_state["clearing"],
+            "servers": {
+                self._endpoint_names[number]: endpoint_state
+                for number, endpoint_state in learned_state["servers"].items()
+            },
             "spent": {
-                name: exported["spent"][numbered.number] for name, numbered in self._request_classes.items()
+                name: learned_state["spent"][numbered.number]
+                for name, numbered in self._request_classes.items()
             },
         }
 
     def start_ages(self) -> Mapping[str, Sequence[float]]:
-        """Return what is known of endpoints' start times, for `restore_start_times` of the next process."""
+        """Return the endpoints' start times as ages, for `restore_start_times` of the next process."""
         return self._start_times.ages(self._clock())
 
     def restore_start_times(self, ages: Mapping[str, Sequence[float]]) -> None:
-        """Take those over, before any list; TypeError, ValueError or AttributeError where they are none."""
+        """Restore another process's `start_ages`; has to be called before the first list update.
+
+        Raises:
+            TypeError, ValueError, AttributeError: `ages` is malformed.
+        """
         self._start_times.restore(ages, self._clock())
 
     def restore_state(self, learned_state: Mapping[str, Any]) -> None:
-        """Take over what another process learned of endpoints and request classes known here too."""
-        endpoints, spent = learned_state["servers"], learned_state["spent"]
-        known = {
+        """Restore another process's `export_state`, without endpoints and request classes unknown here."""
+        endpoints, latencies = learned_state["servers"], learned_state["spent"]
+        numbered_state = {
             "clearing": learned_state["clearing"],
             "servers": {
-                index: endpoints[name] for index, name in self._endpoint_names.items() if name in endpoints
+                number: endpoints[name] for number, name in self._endpoint_names.items() if name in endpoints
             },
             "spent": {
-                numbered.number: spent[name]
+                numbered.number: latencies[name]
                 for name, numbered in self._request_classes.items()
-                if name in spent
+                if name in latencies
             },
         }
-        self._balancer.restore_state(known)
+        self._balancer.restore_state(numbered_state)
 
     def set_process_count(self, processes: int) -> None:
-        """Share this node's part among so many processes from now on."""
+        """Set how many processes share this node's traffic from now on, as during an upgrade."""
         self._settings = replace(self._settings, process_count=processes)
-        self._balancer.settings_changed(self._settings, self._numbered_classes())
+        self._balancer.settings_changed(self._settings, self._classes_by_number())
 
     def _is_known(self, endpoint: str) -> bool:
         return (
@@ -418,48 +451,51 @@
         )
 
     def run_due_timers(self) -> None:
-        """Run all timers that are due, and ask to be woken for the next."""
+        """Run all timers that are due, and schedule a wakeup for the next one."""
         now = self._clock()
-        self._wake_at = math.inf
+        self._wakeup_at = math.inf
         try:
             while self._timers and self._timers[0][0] <= now:
                 due, token = heapq.heappop(self._timers)
                 self.timer_lags.append(now - due)
                 self._balancer.timer_fired(token)
         finally:
-            # Guards against a node that never wakes again after one failure.
-            self._request_wake()
+            # Guards against a node whose timers stop for good after one of them raised an error.
+            self._request_wakeup()
 
     @property
     def in_flight(self) -> int:
-        """How many requests have no final response yet."""
-        return sum(1 for handle in self._handles.values() if not handle.answered)
+        """Return how many requests have no final response yet."""
+        return sum(1 for handle in self._handles.values() if not handle.ended)
 
     @property
     def tracked(self) -> int:
-        """How many requests are kept, cancelled attempts in flight included."""
+        """Return how many requests are kept, including ended ones with attempts still in flight."""
         return len(self._handles)
 
-    # What the decisions command.
+    # Commands of the balancer.
 
-    def _command(self, request: int, command: RequestCommand) -> None:
+    def _issue_command(self, request: int, command: RequestCommand) -> None:
         handle = self._handles[request]
         handle.commands.put_nowait(command)
         if isinstance(command, CancelAttempt):
             handle.cancelled.add(command.attempt)
         if isinstance(command, RejectRequest | FailRequest):
-            handle.answered = True
-            self._release(handle)
+            handle.ended = True
+            self._release_if_done(handle)
 
     def _send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
         handle = self._handles[request]
         attempt = len(handle.endpoints)
         handle.endpoints.append(endpoint)
         handle.in_flight.add(attempt)
-        self._command(request, SendAttempt(attempt, self._endpoint_names[endpoint], self._clock() + timeout))
+        self._issue_command(
+            request, SendAttempt(attempt, self._endpoint_names[endpoint], self._clock() + timeout)
+        )
 
     def _send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
-        # Numbers are never given out again: an endpoint that has left the list is reported without a hash.
+        # Numbers are never reused, so one without a name is that of a removed endpoint: its outcome is sent
+        # with the hash of an empty name.
         hashes = [endpoint_hash(self._endpoint_names.get(outcome.endpoint, "")) for outcome in outcomes]
         reports = [
             OutcomeReport(name_hash, outcome.age, outcome.success, outcome.seconds)
@@ -469,36 +505,35 @@
 
     def _set_timer(self, delay: float, token: int) -> None:
         heapq.heappush(self._timers, (self._clock() + delay, token))
-        self._request_wake()
+        self._request_wakeup()
 
-    def _request_wake(self) -> None:
-        if self._timers and self._timers[0][0] < self._wake_at:
-            self._wake_at = self._timers[0][0]
-            self._wake(max(0.0, self._wake_at - self._clock()))
+    def _request_wakeup(self) -> None:
+        if self._timers and self._timers[0][0] < self._wakeup_at:
+            self._wakeup_at = self._timers[0][0]
+            self._schedule_wakeup(max(0.0, self._wakeup_at - self._clock()))
 
-    # Numbers for names.
+    # Numbers, names and the requests kept by number.
 
-    def _release(self, handle: RequestHandle) -> None:
-        if handle.answered and not handle.in_flight:
+    def _release_if_done(self, handle: RequestHandle) -> None:
+        if handle.ended and not handle.in_flight:
             self._handles.pop(handle.number, None)
 
-    def _number_request_classes(self, settings: BalancerSettings, names: SettingNames) -> None:
-        """Number each request class, and its copy for requests whose method and key contradict it.
+    def _assign_class_numbers(self, settings: BalancerSettings, names: SettingNames) -> None:
+        """Assign two numbers to each new request class: its own, and that of its non-idempotent variant.
 
-        A request class that has changed is another one: a number never changes its meaning.
+        Requests whose HTTP method and key contradict the class's idempotency get the variant. A class whose
+        settings changed counts as new, so that a number always means the same settings.
         """
         classes: dict[str, NumberedClass] = {}
         for name, request_class in zip(names.request_classes, settings.request_classes, strict=False):
             numbered = self._request_classes.get(name)
             if numbered is None or numbered.request_class != request_class:
-                numbered = NumberedClass(
-                    request_class, self._class_numbers_given, self._class_numbers_given + 1
-                )
-                self._class_numbers_given += 2
+                numbered = NumberedClass(request_class, self._next_class_number, self._next_class_number + 1)
+                self._next_class_number += 2
             classes[name] = numbered
         self._request_classes = classes
 
-    def _numbered_classes(self) -> dict[int, RequestClass]:
+    def _classes_by_number(self) -> dict[int, RequestClass]:
         classes = self._request_classes
         numbered = {numbered.number: numbered.request_class for numbered in classes.values()}
         non_idempotent = {
@@ -519,25 +554,28 @@
             else numbered.non_idempotent_number
         )
 
-    def _entry(self, listed: ListedEndpoint) -> EndpointEntry:
+    def _to_endpoint_entry(self, listed: ListedEndpoint) -> EndpointEntry:
         if listed.name not in self._endpoint_numbers:
-            self._endpoint_numbers_given += 1
-            self._endpoint_numbers[listed.name] = self._endpoint_numbers_given
-            self._endpoint_names[self._endpoint_numbers_given] = listed.name
-            self._numbers_by_hash[endpoint_hash(listed.name)] = self._endpoint_numbers_given
+            self._last_endpoint_number += 1
+            self._endpoint_numbers[listed.name] = self._last_endpoint_number
+            self._endpoint_names[self._last_endpoint_number] = listed.name
+            self._numbers_by_name_hash[endpoint_hash(listed.name)] = self._last_endpoint_number
             if listed.name in self.banned:
-                self._balancer.ban_changed(self._endpoint_numbers_given, True)
+                self._balancer.ban_changed(self._last_endpoint_number, True)
         number = self._endpoint_numbers[listed.name]
-        # Guards against repeats outside the group: an unknown group or zone is shared with no other endpoint.
+        # Guards against retries outside the deduplication group: an endpoint without a group or zone gets a
+        # negative number of its own, which it shares with no other endpoint.
         zone = self._zones.setdefault(listed.zone, len(self._zones)) if listed.zone else -1 - number
         group = -1 - number if listed.deduplication_group is None else listed.deduplication_group
         name_hash = endpoint_hash(listed.name)
-        started_at = self._start_times.started_at(listed.name, listed.started_at, self._clock(), self._wall())
+        started_at = self._start_times.started_at(
+            listed.name, listed.started_at, self._clock(), self._wall_clock()
+        )
         return EndpointEntry(number, listed.state, started_at, zone, group, name_hash=name_hash)
 
 
 class _EngineHost:
-    """The host of the decisions: their calls become commands."""
+    """The balancer's host: turns its calls into queued commands and timers."""
 
     def __init__(self, engine: BalancerEngine) -> None:
         self._engine = engine
@@ -549,16 +587,16 @@
         self._engine._send_attempt(request, endpoint, timeout)
 
     def cancel_attempt(self, request: int, attempt: int) -> None:
-        self._engine._command(request, CancelAttempt(attempt))
+        self._engine._issue_command(request, CancelAttempt(attempt))
 
     def send_probe(self, endpoint: int) -> None:
         self._engine._node_commands.put_nowait(SendProbe(self._engine._endpoint_names[endpoint]))
 
     def reject(self, request: int, retry_after: float) -> None:
-        self._engine._command(request, RejectRequest(retry_after))
+        self._engine._issue_command(request, RejectRequest(retry_after))
 
     def fail(self, request: int) -> None:
-        self._engine._command(request, FailRequest())
+        self._engine._issue_command(request, FailRequest())
 
     def set_timer(self, delay: float, token: int) -> None:
         self._engine._set_timer(delay, token)
--- a/notchjunction/node/gauges.py
+++ b/notchjunction/node/gauges.py
@@ -28,4 +28,4 @@
 
 def register_gossip_gauges(counters: Counters, engine: BalancerEngine) -> None:
     """Has the counters read what gossip was ignored, on a node that has peers."""
-    counters.gauge("gossip_ignored", lambda: engine.ignored_reports)
+    counters.gauge("gossip_ignored", lambda: engine.ignored_datagrams)
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -231,7 +231,7 @@
         """Goes on where the serving process stands: its list, operators' word, and then its callers."""
         state = inherited.state
         for server in state.banned:
-            self._decider.ban(server, known=True)
+            self._decider.ban(server, allow_unknown=True)
         try:
             self._decider.restore_start_times(state.start_times)
         except (TypeError, ValueError, AttributeError) as error:
@@ -296,7 +296,7 @@
         """An operator's word to the other process, which is word to the node."""
         match word:
             case OperatorCommand.BAN:
-                self._decider.ban(str(value), known=True)
+                self._decider.ban(str(value), allow_unknown=True)
             case OperatorCommand.LIFT_BAN:
                 self._decider.lift_ban(str(value))
             case OperatorCommand.OUT_OF_SERVICE:
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -163,7 +163,7 @@
         async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
             await warm(address, 10)  # for the budget of retries
             client = await Client().open(address)
-            at_the_writing(monkeypatch, 1, lambda: node._decider._command(11, order))
+            at_the_writing(monkeypatch, 1, lambda: node._decider._issue_command(11, order))
             client.ask()
             status = (await client.answer()).status
             assert status == (502 if isinstance(order, FailRequest) else 503)
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -93,7 +93,7 @@
                 ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, [] if snapshot else removed
             )
             harness.engine.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
-            assert handle.answered
+            assert handle.ended
             harness.clock += 0.5
             harness.engine.run_due_timers()
 
@@ -181,7 +181,7 @@
     harness.clock += 1.0
     wakes_before = len(harness.wake_times)
     harness.engine.run_due_timers()
-    assert handle.answered is False and len(harness.wake_times) > wakes_before
+    assert handle.ended is False and len(harness.wake_times) > wakes_before
     harness.clock += 0.995
     harness.engine.run_due_timers()
     assert isinstance(harness.commands(handle)[-1], RejectRequest)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -1077,7 +1077,7 @@
     begun = BalancerEngine.report_response_started
 
     def recalled(self: BalancerEngine, ticket: RequestHandle, dispatch: int) -> bool:
-        self._command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
+        self._issue_command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
         return begun(self, ticket, dispatch)
 
     async def story() -> None:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -295,7 +295,7 @@
         )
         other.receive_gossip(1, notes[0])
         other.receive_gossip(1, b"garbage")
-        assert other.ignored_reports == 1
+        assert other.ignored_datagrams == 1
         ticket = other.submit(RequestSpec("plain", 2.0, Idempotency.IDEMPOTENT, affinity_key="7"))
         other.report_attempt(ticket, 0, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
         errands = [other._node_commands.get_nowait() for _ in range(other._node_commands.qsize())]
