--- a/notchjunction/balancing/retry_policy.py
+++ b/notchjunction/balancing/retry_policy.py
@@ -1,4 +1,4 @@
-"""Which failures may be retried: fault ownership, the retry budget, and what a second run would do."""
+"""Rules for retries: which failures an endpoint caused, the retry budget, and whether a retry is safe."""
 
 from __future__ import annotations
 
@@ -9,74 +9,81 @@
 from notchjunction.balancing.recent_events import RecentEvents
 from notchjunction.balancing.records import Attempt, Endpoint
 
-RETRY_RATIO = 0.2  # retries per first attempt; the design's upper bound, rounded down, no floor
+# Retries per first attempt: the upper bound of the design. The count is rounded down, without a minimum.
+RETRY_RATIO = 0.2
 
-# Results of attempts that the endpoint surely did not run.
+# Results of attempts that the endpoint certainly did not run.
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
-# Results that are the endpoint's own fault, whatever stands behind it.
+# Results that the endpoint itself caused, whatever services it depends on.
 ENDPOINT_FAULTS = (
     AttemptResult.REJECTED,
     AttemptResult.NO_CONNECTION,
     AttemptResult.RESET,
     AttemptResult.MALFORMED,
 )
-# The same at the deepest tier, where no other service can have caused an error or a delay.
+# The same for endpoints of the deepest tier: they call no other service that could cause errors or delays.
 DEEPEST_TIER_FAULTS = (*ENDPOINT_FAULTS, AttemptResult.ERROR, AttemptResult.TIMED_OUT)
 
 
 class RetryBudget:
-    """Retries as a share of the first attempts, both over the last seconds."""
+    """Limits retries to a share of the first attempts, both counted over the last `EVENT_SPAN_S`."""
 
     def __init__(self) -> None:
         self.first_attempts = RecentEvents()
         self._retries = RecentEvents()
 
     def record_retry(self, now: float) -> None:
-        """Count a retry against the budget."""
+        """Count a retry that is sent now."""
         self._retries.record(now)
 
     def allows_retry(self, now: float) -> bool:
-        """Return whether one more retry stays within the budget."""
+        """Return whether one more retry is within the budget."""
         return self._retries.count(now) + 1 <= RETRY_RATIO * self.first_attempts.count(now)
 
 
 def is_endpoint_fault(result: AttemptResult, deepest_tier: bool) -> bool:
-    """Return whether the called endpoint itself caused this result."""
+    """Return whether the endpoint itself, and no service behind it, caused this result."""
     return result in (DEEPEST_TIER_FAULTS if deepest_tier else ENDPOINT_FAULTS)
 
 
 def repeatable_until(
-    request_class: RequestClass, earlier: Iterable[Attempt], endpoint: Endpoint, guard: float
+    request_class: RequestClass, earlier_attempts: Iterable[Attempt], endpoint: Endpoint, safety_margin: float
 ) -> float:
-    """Return until when (s) an attempt at the endpoint cannot make an effect happen twice.
+    """Return until when (s) a further attempt at the endpoint cannot duplicate the request's effect.
 
-    It is inf where it never can, and -inf where it may at once. `guard` (s) is kept clear of the end of the
-    deduplication window.
+    Args:
+        request_class: the request's class.
+        earlier_attempts: the request's attempts so far, oldest first.
+        endpoint: where the further attempt would be sent.
+        safety_margin: time (s) by which the result precedes the end of the deduplication window.
+
+    Returns:
+        inf if the effect can never be duplicated, -inf if no further attempt is safe.
     """
-    ran = [attempt for attempt in earlier if attempt.may_have_run]
-    if not ran or request_class.idempotency is Idempotency.IDEMPOTENT:
+    possibly_run = [attempt for attempt in earlier_attempts if attempt.may_have_run]
+    if not possibly_run or request_class.idempotency is Idempotency.IDEMPOTENT:
         return math.inf
     if request_class.idempotency is Idempotency.NON_IDEMPOTENT:
         return -math.inf
-    if not all(_are_deduplicated(request_class, attempt.endpoint, endpoint) for attempt in ran):
+    if not all(_are_deduplicated(request_class, attempt.endpoint, endpoint) for attempt in possibly_run):
         return -math.inf
-    return ran[0].sent_at + request_class.deduplication_window - guard
+    return possibly_run[0].sent_at + request_class.deduplication_window - safety_margin
 
 
 def is_rejection_safe(request_class: RequestClass, attempts: Sequence[Attempt]) -> bool:
-    """Return whether the client may surely send the request again without a second effect."""
+    """Return whether the client can retry a rejected request without duplicating its effect."""
     idempotency = request_class.idempotency
-    may_repeat = idempotency is Idempotency.IDEMPOTENT or (
+    is_repeatable = idempotency is Idempotency.IDEMPOTENT or (
         idempotency is Idempotency.KEYED and request_class.deduplication_scope is DeduplicationScope.ALL
     )
-    return may_repeat or not any(attempt.may_have_run for attempt in attempts)
+    return is_repeatable or not any(attempt.may_have_run for attempt in attempts)
 
 
 def _are_deduplicated(request_class: RequestClass, first: Endpoint, second: Endpoint) -> bool:
-    """Return whether the second endpoint drops what the first has run."""
+    """Return whether the second endpoint drops a repeat of a request that the first has run."""
     same_zone = first.entry.zone == second.entry.zone
-    shared = same_zone and (
+    shares_deduplication = same_zone and (
         request_class.deduplication_scope is DeduplicationScope.ZONE
         or first.entry.deduplication_group == second.entry.deduplication_group
     )
-    return shared or request_class.deduplication_scope is DeduplicationScope.ALL
+    return shares_deduplication or request_class.deduplication_scope is DeduplicationScope.ALL
--- a/tests/test_slow_start_credit.py
+++ b/tests/test_slow_start_credit.py
@@ -12,8 +12,8 @@
 from notchjunction.balancing.slow_start import (
     BUDGET_USED,
     CREDIT_SPREAD,
+    MAX_ATTEMPT_PERIOD_S,
     MAX_EVEN_SHARES,
-    MIN_ATTEMPT_PERIOD_S,
     SlowStart,
     begin_credit,
     spend_credit,
@@ -101,7 +101,7 @@
     )
     endpoint = endpoint_record(started_at=STARTED_AT)
     endpoint.slow_start_credit_from = STARTED_AT
-    credit = SlowStart(settings).credit(endpoint, STARTED_AT + MIN_ATTEMPT_PERIOD_S, 0.0, 10, 0)
+    credit = SlowStart(settings).credit(endpoint, STARTED_AT + MAX_ATTEMPT_PERIOD_S, 0.0, 10, 0)
     assert credit == pytest.approx(settings.overload_multiple * BUDGET_USED / (nodes * processes))
 
 
