--- a/notchjunction/balancing/connection_reuse.py
+++ b/notchjunction/balancing/connection_reuse.py
@@ -1,4 +1,4 @@
-"""Which endpoints this node has open connections to, and whether new connections fail."""
+"""Connection reuse: which endpoints the node has open connections to, and whether new ones fail."""
 
 from __future__ import annotations
 
@@ -9,46 +9,47 @@
 from notchjunction.balancing.recent_events import EVENT_SPAN_S
 from notchjunction.balancing.records import MAX_RECENT_OUTCOMES, Attempt, Endpoint
 
-MIN_CONNECTED = 12  # endpoints a node keeps to where connections are priced; enough to find two that are free
+# Where connections have a cost, connected endpoints are preferred once there are so many of them: enough to
+# find two with capacity.
+MIN_CONNECTED = 12
 
 
 class ConnectionReuse:
-    """The connections that attempts left open, and how new connections went lately."""
+    """Tracks the connections that attempts left open, and how recent attempts to open new ones ended."""
 
     def __init__(self, settings: BalancerSettings) -> None:
-        # Of all endpoints, those that a look at all of them would find: a large fleet has few such.
+        # Kept so that not all endpoints have to be searched: few of a large fleet are connected.
         self._connected: dict[Endpoint, None] = {}
-        self._new_connections: deque[tuple[float, bool]] = deque(
-            maxlen=MAX_RECENT_OUTCOMES
-        )  # when, and whether it came up
+        # Time (s) of each, and whether the connection was established.
+        self._new_connections: deque[tuple[float, bool]] = deque(maxlen=MAX_RECENT_OUTCOMES)
         self.apply_settings(settings)
 
     def apply_settings(self, settings: BalancerSettings) -> None:
-        """Take over what the host's connections can do and cost."""
+        """Apply the settings for connections: streams on each, idle timeout and cost."""
         self._shares_connections = settings.streams_per_connection > 1
         self._idle_timeout = settings.connection_idle_timeout
-        self._is_priced = settings.connection_cost > 0
+        self._has_connection_cost = settings.connection_cost > 0
 
     def is_connected(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an attempt there would find an open connection."""
+        """Return whether an attempt at the endpoint could use an open connection."""
         shared = self._shares_connections and len(endpoint.in_flight) > 0
         return shared or (
             len(endpoint.idle_connections) > 0 and endpoint.idle_connections[-1] > now - self._idle_timeout
         )
 
     def use_connection(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether an attempt that is sent now reuses a connection, which is then no longer idle."""
+        """Return whether an attempt that is sent now reuses a connection; if so, it is no longer idle."""
         connected = self.is_connected(endpoint, now)
         if connected and not self._shares_connections:
             endpoint.idle_connections.pop()
         return connected
 
     def record_attempt(self, endpoint: Endpoint) -> None:
-        """Note that an attempt is in flight there."""
+        """Record that an attempt at the endpoint is in flight."""
         self._connected[endpoint] = None
 
     def record_result(self, attempt: Attempt, result: AttemptResult, now: float) -> None:
-        """Note what an attempt's end says of its connection."""
+        """Record what an attempt's result shows about its connection."""
         if not attempt.reused_connection and result is not AttemptResult.NOT_SENT:
             self._new_connections.append((now, result is not AttemptResult.NO_CONNECTION))
         if result in (AttemptResult.NO_CONNECTION, AttemptResult.RESET):
@@ -58,28 +59,33 @@
             self._connected[attempt.endpoint] = None
 
     def preferred(self, now: float, is_in_use: Callable[[Endpoint], bool]) -> list[Endpoint]:
-        """Return the connected endpoints where connections are priced or new ones fail; none elsewhere."""
-        # Guards against more connections than endpoints accept, and new ones failing while open ones serve.
+        """Return the endpoints to prefer because they are connected.
+
+        These are all connected endpoints that are in use if most new connections fail, or if connections have
+        a cost and at least `MIN_CONNECTED` endpoints are connected. Otherwise the list is empty.
+        """
+        # Guards against opening more connections than endpoints accept, and against attempts that fail on new
+        # connections while open ones still work.
         recent = self._new_connections
         while recent and recent[0][0] < now - EVENT_SPAN_S:
             recent.popleft()
-        failing = sum(1 for _, came_up in recent if not came_up) > MAX_RECENT_OUTCOMES / 2
-        if not failing and not self._is_priced:
+        failing = sum(1 for _, established in recent if not established) > MAX_RECENT_OUTCOMES / 2
+        if not failing and not self._has_connection_cost:
             return []
         connected = [
             endpoint
             for endpoint in list(self._connected)
-            if self._find(endpoint, now) and is_in_use(endpoint)
+            if self._check_connected(endpoint, now) and is_in_use(endpoint)
         ]
         return connected if failing or len(connected) >= MIN_CONNECTED else []
 
     def keep_known(self, is_known: Callable[[Endpoint], bool]) -> None:
-        """Forget the endpoints that have left the list or restarted."""
-        # Guards against growing with every endpoint that ever was.
+        """Drop the endpoints that were removed from the list or restarted: those that are not `is_known`."""
+        # Guards against memory that grows with every endpoint ever listed.
         self._connected = {endpoint: None for endpoint in self._connected if is_known(endpoint)}
 
-    def _find(self, endpoint: Endpoint, now: float) -> bool:
-        """Return whether it is connected; without any connection it is not looked at again."""
+    def _check_connected(self, endpoint: Endpoint, now: float) -> bool:
+        """Return whether an endpoint is connected; drop it if not, unless it has attempts in flight."""
         connected = self.is_connected(endpoint, now)
         if not (connected or endpoint.in_flight):
             del self._connected[endpoint]
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -34,7 +34,7 @@
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     record(ejection, endpoint_record(2), 20, 0)
     record(ejection, endpoint, successes, failures)
-    assert ejection.is_outlier(endpoint, ejected=0, active=10) is outlier
+    assert ejection.is_outlier(endpoint, ejected_count=0, active_count=10) is outlier
 
 
 @pytest.mark.parametrize(("others_succeeded", "outlier"), [(20, True), (8, True), (7, False), (0, False)])
@@ -44,13 +44,13 @@
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     record(ejection, endpoint_record(2), others_succeeded, 20 - others_succeeded)
     record(ejection, endpoint, 0, 8)
-    assert ejection.is_outlier(endpoint, ejected=0, active=10) is outlier
+    assert ejection.is_outlier(endpoint, ejected_count=0, active_count=10) is outlier
 
 
 def test_without_outcomes_of_others_all_successes_are_typical() -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     record(ejection, endpoint, 1, 1)
-    assert ejection.is_outlier(endpoint, ejected=0, active=10)
+    assert ejection.is_outlier(endpoint, ejected_count=0, active_count=10)
 
 
 @pytest.mark.parametrize(
