--- a/notchjunction/balancing/recent_events.py
+++ b/notchjunction/balancing/recent_events.py
@@ -1,25 +1,26 @@
-"""How many events of one kind happened lately: a count over a sliding span."""
+"""Counts recent events over a sliding window."""
 
 from __future__ import annotations
 
 from collections import deque
 
-EVENT_SPAN_S = 10.0  # the design's bound for the retry budget, long enough for nodes with few requests
+# The window in which the design bounds the retry budget; long enough for nodes with few requests.
+EVENT_SPAN_S = 10.0
 
 
 class RecentEvents:
-    """The moments (s) of events within the last `EVENT_SPAN_S`."""
+    """Counts the events of the last `EVENT_SPAN_S`."""
 
     def __init__(self) -> None:
-        self._moments: deque[float] = deque()
+        self._times: deque[float] = deque()
 
     def record(self, now: float) -> None:
-        """Count one event at this moment."""
-        self._moments.append(now)
+        """Count an event that happens now (s)."""
+        self._times.append(now)
 
     def count(self, now: float) -> int:
-        """Return how many events the span up to now holds, and forget older ones."""
-        moments, since = self._moments, now - EVENT_SPAN_S
-        while moments and moments[0] < since:
-            moments.popleft()
-        return len(moments)
+        """Return how many events happened in the window that ends now, and drop older ones."""
+        times, since = self._times, now - EVENT_SPAN_S
+        while times and times[0] < since:
+            times.popleft()
+        return len(times)
--- a/notchjunction/balancing/tenant_quota.py
+++ b/notchjunction/balancing/tenant_quota.py
@@ -1,4 +1,4 @@
-"""Which requests are over their tenant's quota."""
+"""Tenant quotas: which requests are over their tenant's quota."""
 
 from __future__ import annotations
 
@@ -8,9 +8,10 @@
 
 
 class TenantQuotas:
-    """What tenants used of their quotas lately; requests over quota use none.
+    """Counts the requests of each tenant that has a quota; requests over quota are not counted.
 
-    `quotas` are requests a second for all nodes together, by the tenant's number; 0 means no quota.
+    `quotas` are in requests per second for all nodes together, in the order of the tenants' numbers. 0 means
+    that the tenant is not limited.
     """
 
     def __init__(self, quotas: Sequence[float] = ()) -> None:
@@ -21,12 +22,19 @@
         """Return whether the tenant's requests are limited."""
         return tenant < len(self._quotas) and self._quotas[tenant] > 0
 
-    def take(self, tenant: int, divisor: float, process_count: int, now: float) -> bool:
-        """Count a request of a limited tenant; false where it is over quota, and not counted.
+    def take(self, tenant: int, traffic_divisor: float, process_count: int, now: float) -> bool:
+        """Count a request of a tenant that has a quota.
 
-        This process keeps to its part: one by `divisor`, of one by `process_count`.
+        Args:
+            tenant: the tenant's number.
+            traffic_divisor: how many times this node's traffic all nodes have together.
+            process_count: how many processes share this node's part of the quota.
+            now: the current time (s).
+
+        Returns:
+            False if the request is over quota; it is not counted then.
         """
-        used, limit = self._used[tenant], self._quotas[tenant] * EVENT_SPAN_S / divisor
+        used, limit = self._used[tenant], self._quotas[tenant] * EVENT_SPAN_S / traffic_divisor
         if used.count(now) >= limit / process_count:
             return False
         used.record(now)
