--- a/notchjunction/balancing/engine.py
+++ b/notchjunction/balancing/engine.py
@@ -373,7 +373,7 @@
     @property
     def ignored_datagrams(self) -> int:
         """Return how many gossip datagrams were ignored as malformed or of another version."""
-        return self._gossip.ignored
+        return self._gossip.ignored_datagrams
 
     def ban(self, endpoint: str, allow_unknown: bool = False) -> bool:
         """Ban an endpoint for an operator.
--- a/notchjunction/balancing/outcome_gossip.py
+++ b/notchjunction/balancing/outcome_gossip.py
@@ -1,8 +1,8 @@
-"""The datagrams of gossip: a few of a node's last outcomes, for one of its peers. Pure; decides nothing.
+"""Encodes and decodes gossip datagrams: a node's most recent outcomes, sent to one of its peers. No I/O.
 
-A datagram may be lost, late, cut, doubled, out of order, or from an earlier start of its peer:
-`OutcomeGossip.decode` returns only what it has not had before and counts what it ignores. Ages are relative,
-as the clocks of nodes differ.
+Datagrams may be lost, delayed, truncated, duplicated or reordered, or come from an earlier process of the
+peer. `OutcomeGossip.decode` returns only outcomes that it has not returned before, and counts the datagrams
+that it ignores. Outcomes carry ages instead of times because the clocks of nodes differ.
 """
 
 from __future__ import annotations
@@ -17,9 +17,9 @@
 
 VERSION = 1
 MAX_DATAGRAM_BYTES = 256
-MAX_PEERS = 1024  # of which the newest outcome is remembered; more than there are nodes
-HEADER = struct.Struct(">BIIB")  # version, start of the sender, number of its newest outcome, count
-REPORT = struct.Struct(">IHHB")  # endpoint hash, age in 0.01 s, latency in ms, whether it succeeded
+MAX_PEERS = 1024  # peers whose newest outcome number is kept; more than there are nodes
+HEADER = struct.Struct(">BIIB")  # version, start ID of the sender, number of its newest outcome, report count
+REPORT = struct.Struct(">IHHB")  # endpoint hash, age in 0.01 s, latency in ms, 1 if it succeeded
 MAX_REPORTS = (MAX_DATAGRAM_BYTES - HEADER.size) // REPORT.size
 
 
@@ -33,31 +33,32 @@
 
 
 def endpoint_hash(name: str) -> int:
-    """Return a hash of an endpoint's name that is the same at all nodes.
-
-    Python's own hash differs from process to process.
-    """
+    """Return a hash of an endpoint's name that is the same on all nodes, unlike Python's `hash`."""
     return zlib.crc32(name.encode())
 
 
 class OutcomeGossip:
-    """Encoder and decoder of one node.
+    """Encodes the outcomes of one node and decodes those of its peers.
 
-    `start` tells this start of the node from its earlier ones; `ignored` counts datagrams that can't be read.
+    `start_id` distinguishes this process of the node from earlier ones. `ignored_datagrams` counts datagrams
+    that are malformed or of another version.
     """
 
-    def __init__(self, start: int) -> None:
-        self._start = start & 0xFFFFFFFF
+    def __init__(self, start_id: int) -> None:
+        self._start_id = start_id & 0xFFFFFFFF
+        # Start ID and number of the newest outcome, by peer; the peer of the last datagram is at the end.
         self._newest_by_peer: OrderedDict[int, tuple[int, int]] = OrderedDict()
-        self.ignored = 0
+        self.ignored_datagrams = 0
 
     def encode(self, newest: int, reports: Sequence[OutcomeReport]) -> bytes:
-        """Return a datagram of the first reports, newest first, as many as fit.
+        """Return a datagram with as many reports as fit, beginning with the first.
 
-        `newest` is the number of the newest one, counted since this start.
+        Args:
+            newest: the number of the first report; outcomes are numbered from the start of the process.
+            reports: the outcomes, newest first.
         """
         reports = reports[:MAX_REPORTS]
-        header = HEADER.pack(VERSION, self._start, newest & 0xFFFFFFFF, len(reports))
+        header = HEADER.pack(VERSION, self._start_id, newest & 0xFFFFFFFF, len(reports))
         return header + b"".join(
             REPORT.pack(
                 report.endpoint_hash,
@@ -69,32 +70,33 @@
         )
 
     def decode(self, peer: int, datagram: bytes) -> list[OutcomeReport]:
-        """Return what is new in a datagram, oldest first; nothing where it can't be read."""
+        """Return the outcomes of a datagram that are new, oldest first; none if it is malformed."""
         if len(datagram) < HEADER.size or len(datagram) > MAX_DATAGRAM_BYTES or datagram[0] != VERSION:
-            self.ignored += 1
+            self.ignored_datagrams += 1
             return []
-        _, start, newest, count = HEADER.unpack_from(datagram)
+        _, start_id, newest, count = HEADER.unpack_from(datagram)
         if len(datagram) != HEADER.size + count * REPORT.size:
-            self.ignored += 1
+            self.ignored_datagrams += 1
             return []
-        known, last_known = self._newest_by_peer.pop(peer, (start, 0))
-        # Guards against an earlier start's numbers hiding what a peer sends after its restart.
-        last_known = last_known if known == start else 0
-        self._newest_by_peer[peer] = (start, max(last_known, newest))
+        known_start_id, newest_known = self._newest_by_peer.pop(peer, (start_id, 0))
+        # Guards against ignoring a restarted peer's outcomes: it numbers them from the start again.
+        newest_known = newest_known if known_start_id == start_id else 0
+        self._newest_by_peer[peer] = (start_id, max(newest_known, newest))
         if len(self._newest_by_peer) > MAX_PEERS:
             self._newest_by_peer.popitem(last=False)
-        # Guards against counting an outcome twice: datagrams overlap, and may come doubled or out of order.
-        new = min(count, max(0, newest - last_known))
-        items = list(REPORT.iter_unpack(datagram[HEADER.size :]))[:new]
+        # Guards against counting an outcome twice: datagrams overlap, and may be duplicated or reordered.
+        new_count = min(count, max(0, newest - newest_known))
+        new_reports = list(REPORT.iter_unpack(datagram[HEADER.size :]))[:new_count]
         return [
             OutcomeReport(name_hash, age / 100, success == 1, latency_ms / 1000)
-            for name_hash, age, latency_ms, success in reversed(items)
+            for name_hash, age, latency_ms, success in reversed(new_reports)
         ]
 
     def peer_outcomes(self, peer: int, datagram: bytes, numbers: Mapping[int, int]) -> list[PeerOutcome]:
-        """Return what is new in a datagram of the node's own endpoints, oldest first.
+        """Return the new outcomes of a datagram as `PeerOutcome`, oldest first.
 
-        `numbers` gives their numbers by endpoint hash; other endpoints are left out.
+        `numbers` has the receiving node's endpoint numbers by endpoint hash; outcomes of other endpoints are
+        skipped.
         """
         reports = self.decode(peer, datagram)
         return [
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("note", [b"", b"garbage", SOUND[:-1], SOUND + b"x", b"\x09" + SOUND[1:], SOUND * 9])
 def test_a_note_that_cannot_be_read_is_passed_over_and_counted(note: bytes) -> None:
     reader = OutcomeGossip(2)
-    assert reader.decode(1, note) == [] and reader.ignored == 1
+    assert reader.decode(1, note) == [] and reader.ignored_datagrams == 1
 
 
 @pytest.mark.parametrize(("key", "warm"), [("k7", True), ("k7", False), ("", True), ("x" * 5000, True)])
