--- a/notchjunction/simulator/__init__.py
+++ b/notchjunction/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The bench's wire: framing, words and units. No decision is taken here."""
+"""The host side of the simulator's line protocol. The balancer makes all decisions."""
--- a/notchjunction/simulator/vocabulary.py
+++ b/notchjunction/simulator/vocabulary.py
@@ -1,4 +1,4 @@
-"""The wire's words as the interface's types; the settings are read in terms.py."""
+"""Maps words of the simulator's protocol to the balancer's types; config/settings.py reads the settings."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     "ecanceled": AttemptResult.CANCELLED,
     "skipped": AttemptResult.NOT_SENT,
 }
-PRESENCES = {"on": EndpointState.ACTIVE, "fading": EndpointState.DRAINING, "off": EndpointState.REMOVED}
-NEWS = {
+ENDPOINT_STATES = {"on": EndpointState.ACTIVE, "fading": EndpointState.DRAINING, "off": EndpointState.REMOVED}
+LIST_UPDATES = {
     "patch": ListUpdate.CHANGES,
     "whole": ListUpdate.SNAPSHOT,
     "stale_copy": ListUpdate.CACHED,
@@ -27,6 +27,9 @@
 }
 
 
-def load(fields: Sequence[str], row: str | None) -> LoadReport | None:
-    """A report row; a value that is missing or unreadable stays unknown."""
-    return settings.read_load_report(dict(zip(fields, row.split(","), strict=False))) if row else None
+def read_load_report(fields: Sequence[str], text: str | None) -> LoadReport | None:
+    """Return the load report in a text, whose values are separated by commas in the order of `fields`.
+
+    A value that is missing or malformed stays unknown. The result is None without a report.
+    """
+    return settings.read_load_report(dict(zip(fields, text.split(","), strict=False))) if text else None
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -347,8 +347,8 @@
 
 def test_words_of_lists_and_results_on_sockets_and_at_the_simulator() -> None:
     assert set(endpoint_list.STATE_BY_STATUS) == {"active", "leaving", "left"}
-    assert set(vocabulary.PRESENCES) == {"on", "fading", "off"}
-    assert set(vocabulary.NEWS) == {"patch", "whole", "stale_copy", "broken"}
+    assert set(vocabulary.ENDPOINT_STATES) == {"on", "fading", "off"}
+    assert set(vocabulary.LIST_UPDATES) == {"patch", "whole", "stale_copy", "broken"}
     assert set(vocabulary.RESULTS) == {
         "done",
         "err",
