--- a/notchjunction/simulator/codec.py
+++ b/notchjunction/simulator/codec.py
@@ -31,7 +31,7 @@
         """Return a field's text; raise `WireError` if it is missing or empty."""
         value = self.fields.get(key)
         if not value:
-            raise WireError(f"line {self.line}: {self.name}: {key} is missing")
+            raise WireError(f"line {self.line}: {self.name}: missing {key}")
         return value
 
     def number(self, key: str, default: float | None = None) -> float:
