--- a/notchjunction/balancing/slow_start.py
+++ b/notchjunction/balancing/slow_start.py
@@ -10,7 +10,7 @@
 # Share of the slow start budget that is used. The rest is headroom: requests differ in size, endpoints differ
 # in speed, and nodes may send at the same moment.
 BUDGET_USED = 0.6
-# Time (s) in which all nodes together may send at least one request to a warm endpoint.
+# The least traffic assumed for a warm endpoint: one request in this time (s), from all nodes together.
 MAX_ATTEMPT_PERIOD_S = 3.0
 # Random spread of the credit needed, in attempts, so that nodes do not send at the same moments.
 CREDIT_SPREAD = 0.25
@@ -26,7 +26,7 @@
         self._duration = settings.slow_start_time
         self._initial_share = settings.slow_start_share
         self._overload_multiple = settings.overload_multiple
-        # Attempts per second that a warm endpoint is assumed to get at least, even if the node sees fewer.
+        # Least rate assumed for a warm endpoint, in attempts per second of this process.
         self._min_rate = 1.0 / (MAX_ATTEMPT_PERIOD_S * settings.node_count * settings.process_count)
 
     def is_warming_up(self, endpoint: Endpoint, now: float) -> bool:
