--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -167,11 +167,16 @@
     retune(story, new=make_request_class(NON_IDEMPOTENT), plain=PLAIN)
     kinds = story.engine._request_classes
     core: Any = story.engine._balancer
-    assert len(core._latencies[kinds["plain"].number]) == 8 and not core._latencies[kinds["new"].number]
+    assert (
+        len(core._recent_latencies[kinds["plain"].number]) == 8
+        and not core._recent_latencies[kinds["new"].number]
+    )
     for _ in range(50):
         retune(story, plain=make_request_class(NON_IDEMPOTENT))
         retune(story, plain=PLAIN)
-    assert len(core._latencies) == len(core._times_left) == len(core._request_classes) == 2  # nothing grows
+    assert (
+        len(core._recent_latencies) == len(core._recent_times_left) == len(core._request_classes) == 2
+    )  # nothing grows
 
 
 @pytest.mark.parametrize(("before", "after", "most"), [(5, 2, 2), (2, 5, 2)])
