--- a/notchjunction/node/gauges.py
+++ b/notchjunction/node/gauges.py
@@ -27,5 +27,5 @@
 
 
 def register_gossip_gauges(counters: Counters, engine: BalancerEngine) -> None:
-    """Registers the gauge of ignored gossip reports, for a node that has peers."""
-    counters.gauge("gossip_ignored", lambda: engine.ignored_reports)
+    """Registers the gauge of ignored gossip datagrams, for a node that has peers."""
+    counters.gauge("gossip_ignored", lambda: engine.ignored_datagrams)
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -256,7 +256,7 @@
         """Applies the serving process's bans, list, learned state and service state; takes its listeners."""
         state = inherited.state
         for endpoint in state.banned:
-            self._engine.ban(endpoint, known=True)
+            self._engine.ban(endpoint, allow_unknown=True)
         try:
             self._engine.restore_start_times(state.start_times)
         except (TypeError, ValueError, AttributeError) as error:
@@ -327,7 +327,7 @@
         """Applies a command that an operator sent to another process of the node."""
         match command:
             case OperatorCommand.BAN:
-                self._engine.ban(str(value), known=True)
+                self._engine.ban(str(value), allow_unknown=True)
             case OperatorCommand.LIFT_BAN:
                 self._engine.lift_ban(str(value))
             case OperatorCommand.OUT_OF_SERVICE:
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -635,7 +635,7 @@
 
 def large(host: FakeHost) -> int:
     host.request_count += 1
-    host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, complete=False))
+    host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, body_complete=False))
     return host.request_count
 
 
@@ -1079,7 +1079,7 @@
     begun = BalancerEngine.report_response_started
 
     def recalled(self: BalancerEngine, ticket: RequestHandle, dispatch: int) -> bool:
-        self._command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
+        self._issue_command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
         return begun(self, ticket, dispatch)
 
     async def story() -> None:
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -104,7 +104,7 @@
 @pytest.mark.parametrize("note", [b"", b"garbage", SOUND[:-1], SOUND + b"x", b"\x09" + SOUND[1:], SOUND * 9])
 def test_a_note_that_cannot_be_read_is_passed_over_and_counted(note: bytes) -> None:
     reader = OutcomeGossip(2)
-    assert reader.decode(1, note) == [] and reader.ignored == 1
+    assert reader.decode(1, note) == [] and reader.ignored_datagrams == 1
 
 
 @pytest.mark.parametrize(("key", "warm"), [("k7", True), ("k7", False), ("", True), ("x" * 5000, True)])
@@ -295,7 +295,7 @@
         )
         other.receive_gossip(1, notes[0])
         other.receive_gossip(1, b"garbage")
-        assert other.ignored_reports == 1
+        assert other.ignored_datagrams == 1
         ticket = other.submit(RequestSpec("plain", 2.0, Idempotency.IDEMPOTENT, affinity_key="7"))
         other.report_attempt(ticket, 0, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
         errands = [other._node_commands.get_nowait() for _ in range(other._node_commands.qsize())]
