--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -535,7 +535,9 @@
             dead.address = address_of_gone
             list_ = rows(dead)
             list_[0]["name"] = "dead"
-            node._hear(read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES)
+            node._apply_list(
+                read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES
+            )
             for _ in range(8):
                 caller = await Caller().open(address)
                 caller.begin(BODY)
@@ -952,7 +954,7 @@
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.002)
-            assert node._handover.open_stream_sender() is None and len(node._handover._taking) == 1
+            assert node._handover.open_stream_sender() is None and len(node._handover._stream_sockets) == 1
 
     run(story())
 
