--- a/benchmarks/fleet_talk.py
+++ b/benchmarks/fleet_talk.py
@@ -56,7 +56,7 @@
     def deliver(self, until: float) -> None:
         while self.due and self.due[0][0] <= until:
             self.now, _, to, source, data = heapq.heappop(self.due)
-            self.send(to, self.members[to].hear(self.now, data, source))
+            self.send(to, self.members[to].receive(self.now, data, source))
         self.now = until
 
     def play(self, seconds: float, jobs: bool) -> None:
@@ -68,24 +68,24 @@
                 self.send(name, member.tick(self.now))
                 if jobs and self.random.random() < TICK / ASK_EVERY:
                     asking.setdefault(name, self.now)
-                    self.send(name, member.packed(member.limits.set_waiting(self.now, "l", 1)))
+                    self.send(name, member.pack(member.quotas.set_waiting(self.now, "l", 1)))
             step = self.now + TICK
             while self.now < step:
                 self.deliver(min(step, self.now + 0.005))
                 for name in list(asking):
-                    limits = self.members[name].limits
+                    limits = self.members[name].quotas
                     permit = limits.acquire(self.now, "l", self.now + 1.0)
                     if permit is not None:
                         self.waits.append(self.now - asking.pop(name))
                         heapq.heappush(held, (self.now + HOLD, next(self.order), name, permit))
-                        self.send(name, self.members[name].packed(limits.set_waiting(self.now, "l", 0)))
+                        self.send(name, self.members[name].pack(limits.set_waiting(self.now, "l", 0)))
                 while held and held[0][0] <= self.now:
                     _, _, name, permit = heapq.heappop(held)
                     member = self.members[name]
-                    self.send(name, member.packed(member.limits.release(self.now, permit)))
+                    self.send(name, member.pack(member.quotas.release(self.now, permit)))
             if jobs:
                 name = self.random.choice(list(self.members))
-                age = self.members[name].limits.stats(self.now, "l").age
+                age = self.members[name].quotas.stats(self.now, "l").age
                 self.ages.append(float("inf") if age is None else age)
 
 
@@ -99,7 +99,7 @@
     for count in (5, 50, 200, *((1000,) if asked.parse_args().large else ())):
         fleet = Fleet(count)
         fleet.play(BEGIN, jobs=False)
-        known = min(len(member.roster.live()) for member in fleet.members.values())
+        known = min(len(member.membership.live()) for member in fleet.members.values())
         fleet.bytes = fleet.datagrams = 0
         began = time.process_time()
         fleet.play(SPAN, jobs=True)
--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -448,15 +448,15 @@
 
     def extend(self, now: float, until: float) -> bool:
         """As in `fleet.Permit`."""
-        return self._member.limits.extend(now, self._permit, until)
+        return self._member.quotas.extend(now, self._permit, until)
 
     def hold(self, until: float) -> None:
         """As in `fleet.Permit`."""
-        self._member.limits.expire_at(self._permit, until)
+        self._member.quotas.expire_at(self._permit, until)
 
     def release(self, now: float) -> list[fleet.Sent]:
         """As in `fleet.Permit`."""
-        return sent(self._member.packed(self._member.limits.release(now, self._permit)))
+        return sent(self._member.pack(self._member.quotas.release(now, self._permit)))
 
 
 def sent(datagrams: Sequence[Datagram]) -> list[fleet.Sent]:
@@ -474,8 +474,8 @@
         advertise=fleet.address_of(number),
         seeds=(fleet.address_of(0), fleet.address_of(1)),
         keys=(Key(1, b"k" * 16),),
-        drift=0.01,
-        rate=1.0,
+        clock_drift=0.01,
+        clock_rate=1.0,
         plans=(Plan(LIMIT, split, before),),
         scopes={},
     )
@@ -496,7 +496,7 @@
     def receive(self, now: float, data: bytes, source: str) -> list[fleet.Sent] | None:
         """As in `fleet.Member`."""
         try:
-            return sent(self._member.hear(now, data, source))
+            return sent(self._member.receive(now, data, source))
         except FleetError:
             return None
 
@@ -506,17 +506,17 @@
 
     def spend(self, now: float, until: float) -> fleet.Permit | None:
         """As in `fleet.Member`."""
-        permit = self._member.limits.acquire(now, LIMIT, until)
+        permit = self._member.quotas.acquire(now, LIMIT, until)
         return None if permit is None else SpentPermit(self._member, permit)
 
     def seek(self, now: float) -> list[fleet.Sent]:
         """As in `fleet.Member`."""
-        return sent(self._member.packed(self._member.limits.set_waiting(now, LIMIT, 1)))
+        return sent(self._member.pack(self._member.quotas.set_waiting(now, LIMIT, 1)))
 
     def renew(self, now: float, revision: int, follows: bool) -> bool:
         """As in `fleet.Member`."""
         try:
-            self._member.renew(now, fleet_input(self._number, revision, follows))
+            self._member.apply_config(now, fleet_input(self._number, revision, follows))
         except FleetError:
             return False
         return True
@@ -524,14 +524,14 @@
     def state(self, now: float) -> Iterator[float]:
         """As in `fleet.Member`."""
         member = self._member
-        yield from (member.roster.is_away(now), member.unknown_peers, len(member.faults(now)))
-        yield from flattened(member.roster.digest())
-        for name, held in member.roster.members().items():
+        yield from (member.membership.is_away(now), member.unknown_peers, len(member.faults(now)))
+        yield from flattened(member.membership.digest())
+        for name, held in member.membership.members().items():
             yield from flattened((name, held.start, held.incarnation, held.state, held.since))
-        for name, before, after in member.roster.take_changes():
+        for name, before, after in member.membership.take_changes():
             yield from flattened((name, before and before.state, after and after.state))
-        yield from (member.limits.may_be_granted(LIMIT), member.limits.retry_after(now, LIMIT))
-        yield from flattened(member.limits.stats(now, LIMIT))
+        yield from (member.quotas.may_be_granted(LIMIT), member.quotas.retry_after(now, LIMIT))
+        yield from flattened(member.quotas.stats(now, LIMIT))
 
 
 def play_fleet(seed: int, recording: Recording) -> None:
--- a/notchjunction/fleet/envelope.py
+++ b/notchjunction/fleet/envelope.py
@@ -40,7 +40,7 @@
     start: int
 
 
-class Out(NamedTuple):
+class OutgoingMessage(NamedTuple):
     """A message to send; `to` is a node's name."""
 
     to: str
--- a/notchjunction/fleet/exploration.py
+++ b/notchjunction/fleet/exploration.py
@@ -16,7 +16,7 @@
 from random import Random
 from typing import NamedTuple
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.messages import Message
 from notchjunction.fleet.quotas.phase import Phase
 from notchjunction.fleet.quotas.plan import Plan
@@ -219,13 +219,13 @@
         self._carry(number, self.of(number).release(self.clock(number), ended.permit))
 
     def _deliver(self, flight: Flight) -> None:
-        outs = self.of(flight.to).receive(self.clock(flight.to), flight.sender, flight.message)
-        self._carry(flight.to, outs)
+        outgoing = self.of(flight.to).receive(self.clock(flight.to), flight.sender, flight.message)
+        self._carry(flight.to, outgoing)
 
-    def _carry(self, number: int, outs: Sequence[Out]) -> None:
+    def _carry(self, number: int, outgoing: Sequence[OutgoingMessage]) -> None:
         place = self.places[number]
         names = [each.name for each in self.places]
-        for out in outs:
+        for out in outgoing:
             if len(self.flights) < IN_FLIGHT_MOST and out.to in names:
                 sender = Sender(place.name, place.start)
                 self.flights.append(Flight(sender, names.index(out.to), out.message))
--- a/notchjunction/fleet/membership/anti_entropy.py
+++ b/notchjunction/fleet/membership/anti_entropy.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from notchjunction.fleet.envelope import Out
+from notchjunction.fleet.envelope import OutgoingMessage
 from notchjunction.fleet.membership.dissemination import Dissemination
 from notchjunction.fleet.membership.failure_detector import FailureDetector
 from notchjunction.fleet.membership.local_node import LocalNode
@@ -29,31 +29,33 @@
         self._dissemination = dissemination
         self._detector = detector
 
-    def send_updates(self, now: float) -> list[Out]:
+    def send_updates(self, now: float) -> list[OutgoingMessage]:
         """Send changed records alone to one node, while there are any."""
         names = self._local.sample(self._table.live(), 1) if self._table.pending else []
-        return [Out(name, UpdateBatch(self._dissemination.updates_for(now, name))) for name in names]
+        return [
+            OutgoingMessage(name, UpdateBatch(self._dissemination.updates_for(now, name))) for name in names
+        ]
 
-    def send_digest(self, now: float) -> list[Out]:
+    def send_digest(self, now: float) -> list[OutgoingMessage]:
         """Send a digest to one node."""
         names = self._local.sample(self._table.live(), 1)
         updates_for = self._dissemination.updates_for
-        return [Out(name, Digest(self._table.digest(), updates_for(now, name))) for name in names]
+        return [OutgoingMessage(name, Digest(self._table.digest(), updates_for(now, name))) for name in names]
 
-    def on_digest(self, now: float, to: str, message: Digest) -> list[Out]:
+    def on_digest(self, now: float, to: str, message: Digest) -> list[OutgoingMessage]:
         """Answer a digest with the records where it differs."""
         if not (parts := self._table.differing_parts(message.sums)):
             return []
         updates = self._dissemination.updates_in(now, parts, ())
-        return [Out(to, Differences(self._table.digest(), updates))]
+        return [OutgoingMessage(to, Differences(self._table.digest(), updates))]
 
-    def on_differences(self, now: float, to: str, message: Differences) -> list[Out]:
+    def on_differences(self, now: float, to: str, message: Differences) -> list[OutgoingMessage]:
         """Answer differences with the own records there."""
         if not (parts := self._table.differing_parts(message.sums)):
             return []
-        return [Out(to, UpdateBatch(self._dissemination.updates_in(now, parts, message.updates)))]
+        return [OutgoingMessage(to, UpdateBatch(self._dissemination.updates_in(now, parts, message.updates)))]
 
-    def contact_dead(self, now: float) -> list[Out]:
+    def contact_dead(self, now: float) -> list[OutgoingMessage]:
         """Forget those dead for long, and probe another, so that sides of a partition meet again."""
         gone = [record for record in self._table.ordered().values() if not record.live]
         gone.sort(key=lambda record: record.since, reverse=True)
--- a/notchjunction/fleet/membership/failure_detector.py
+++ b/notchjunction/fleet/membership/failure_detector.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-from notchjunction.fleet.envelope import Out
+from notchjunction.fleet.envelope import OutgoingMessage
 from notchjunction.fleet.membership.dissemination import Dissemination
 from notchjunction.fleet.membership.local_node import RECOVERY_PEERS, LocalNode
 from notchjunction.fleet.membership.member_table import MemberTable
@@ -60,10 +60,10 @@
         self._probes: dict[int, Probe] = {}
         self._relays: dict[int, Relay] = {}
 
-    def ping(self, now: float, to: str) -> Out:
+    def ping(self, now: float, to: str) -> OutgoingMessage:
         """A Ping under a new number."""
         seq = self._local.next_seq()
-        return Out(to, Ping(seq, self._dissemination.updates_for(now, to, own=True)))
+        return OutgoingMessage(to, Ping(seq, self._dissemination.updates_for(now, to, own=True)))
 
     def delay_probes(self, gap: float) -> None:
         """Give all probes so many seconds more."""
@@ -75,7 +75,7 @@
         self._probes.clear()
         self._relays.clear()
 
-    def probe_next(self, now: float) -> list[Out]:
+    def probe_next(self, now: float) -> list[OutgoingMessage]:
         """Probe the next node of the shuffled round."""
         table = self._table
         while not table.probe_order or not table.records[table.probe_order[-1]].live:
@@ -87,14 +87,14 @@
             if not table.probe_order:
                 return []
         name = table.probe_order.pop()
-        outs = [self.ping(now, name)]
+        outgoing = [self.ping(now, name)]
         timeout = PROBE_TIMEOUT_S * (1 + self._local.health)
         self._probes[self._local.seq] = Probe(table.records[name], now + timeout)
         if self._local.recovery is not None:
-            outs += [self.ping(now, other) for other in self._local.sample(table.live(), RECOVERY_PEERS)]
-        return outs
+            outgoing += [self.ping(now, other) for other in self._local.sample(table.live(), RECOVERY_PEERS)]
+        return outgoing
 
-    def reprobe_suspect(self, now: float) -> list[Out]:
+    def reprobe_suspect(self, now: float) -> list[OutgoingMessage]:
         """Probe a suspected node once more."""
         # Guards against a refutation that was lost: whom it accuses, or would soon declare dead, it probes
         # again; but not all nodes probe one.
@@ -114,19 +114,19 @@
             if now - record.since >= self._timeout(record):
                 self._table.apply(now, RecordEvent.SUSPICION_TIMED_OUT, record)
 
-    def check_probes(self, now: float) -> list[Out]:
+    def check_probes(self, now: float) -> list[OutgoingMessage]:
         """Take the next step of all probes that were not answered in time."""
-        outs: list[Out] = []
+        outgoing: list[OutgoingMessage] = []
         for seq, probe in list(self._probes.items()):
             if now >= probe.step_at:
-                outs += self._step(now, seq, probe)
+                outgoing += self._step(now, seq, probe)
         for seq, relay in list(self._relays.items()):
             if now >= relay.until:
                 del self._relays[seq]
-                outs += self._relay(now, relay, Nack)
-        return outs
+                outgoing += self._relay(now, relay, Nack)
+        return outgoing
 
-    def _step(self, now: float, seq: int, probe: Probe) -> list[Out]:
+    def _step(self, now: float, seq: int, probe: Probe) -> list[OutgoingMessage]:
         name = probe.member.name
         record = self._table.records.get(name)
         if record is None or not record.live or record.version != probe.member.version:
@@ -140,18 +140,20 @@
         self._table.apply(now, RecordEvent.PROBE_FAILED, record)
         return []
 
-    def _probe_indirectly(self, now: float, seq: int, probe: Probe) -> list[Out]:
+    def _probe_indirectly(self, now: float, seq: int, probe: Probe) -> list[OutgoingMessage]:
         name, updates_for = probe.member.name, self._dissemination.updates_for
         others = [other for other in self._table.live() if other != name]
         alive = [other for other in others if self._table.records[other].state is MemberState.ALIVE]
         helpers = self._local.sample(alive, HELPERS)
         probe.helpers = len(helpers)
         probe.step_at = now + INDIRECT_TIMEOUT_S * (1 + self._local.health)
-        outs = [Out(name, Ping(seq, updates_for(now, name, own=True)))]
-        outs += [Out(helper, IndirectPing(seq, name, updates_for(now, helper))) for helper in helpers]
-        return outs
+        outgoing = [OutgoingMessage(name, Ping(seq, updates_for(now, name, own=True)))]
+        outgoing += [
+            OutgoingMessage(helper, IndirectPing(seq, name, updates_for(now, helper))) for helper in helpers
+        ]
+        return outgoing
 
-    def on_indirect_ping(self, now: float, to: str, message: IndirectPing) -> list[Out]:
+    def on_indirect_ping(self, now: float, to: str, message: IndirectPing) -> list[OutgoingMessage]:
         """Probe a node for another one."""
         if message.name not in self._table.records:
             return []
@@ -159,24 +161,24 @@
         self._relays[self._local.seq] = Relay(to, message.seq, now + PROBE_TIMEOUT_S)
         return [ping]
 
-    def on_ack(self, now: float, message: Ack) -> list[Out]:
+    def on_ack(self, now: float, message: Ack) -> list[OutgoingMessage]:
         """End the probe that is answered; pass the answer on if it was for another node."""
         if self._probes.pop(message.seq, None):
             self._local.adjust_health(-1)
         relay = self._relays.pop(message.seq, None)
         return self._relay(now, relay, Ack) if relay else []
 
-    def on_nack(self, message: Nack) -> list[Out]:
+    def on_nack(self, message: Nack) -> list[OutgoingMessage]:
         """Count a helper whose probe was not answered."""
         if message.seq in self._probes:
             self._probes[message.seq].nacks += 1
         return []
 
-    def _relay(self, now: float, relay: Relay, answer: type[Ack] | type[Nack]) -> list[Out]:
+    def _relay(self, now: float, relay: Relay, answer: type[Ack] | type[Nack]) -> list[OutgoingMessage]:
         if relay.to not in self._table.records:
             return []
         updates = self._dissemination.updates_for(now, relay.to, own=True)
-        return [Out(relay.to, answer(relay.seq, updates))]
+        return [OutgoingMessage(relay.to, answer(relay.seq, updates))]
 
     def _timeout(self, record: Member) -> float:
         return suspicion_timeout(self._table.live_count, len(record.accusers) - 1)
--- a/notchjunction/fleet/membership/membership.py
+++ b/notchjunction/fleet/membership/membership.py
@@ -29,7 +29,7 @@
 from typing import NamedTuple
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.membership.anti_entropy import DEAD_KEPT_S, AntiEntropy
 from notchjunction.fleet.membership.dissemination import Dissemination
 from notchjunction.fleet.membership.failure_detector import (
@@ -79,7 +79,7 @@
     """What a node does at intervals."""
 
     interval: float  # s
-    run: Callable[[float], list[Out]]
+    run: Callable[[float], list[OutgoingMessage]]
 
 
 class Membership:
@@ -146,14 +146,14 @@
     def _has_left(self) -> bool:
         return self._table.own.state is MemberState.LEFT
 
-    def tick(self, now: float) -> list[Out]:
+    def tick(self, now: float) -> list[OutgoingMessage]:
         """Do what is due."""
         self._check_gap(now, LATE_TICK_S)
         self.local.last_tick_at = now
         if self._has_left:
             return []
         self._check_recovery(now)
-        outs = self._detector.check_probes(now)
+        outgoing = self._detector.check_probes(now)
         self._detector.expire_suspicions(now)
         random = self.local.random
         for name, duty in self._duties.items():
@@ -161,25 +161,25 @@
             if now >= self._due.setdefault(name, now + duty.interval * random.random()):
                 factor = 1 + self.local.health if name == "probe" else 1
                 self._due[name] = now + duty.interval * factor * random.uniform(0.9, 1.1)
-                outs += duty.run(now)
-        return outs
+                outgoing += duty.run(now)
+        return outgoing
 
     def due_joins(self, now: float) -> list[tuple[str, Message]]:
         """Joins to send, with the addresses of nodes that are not known."""
         return [] if self._has_left else self._joining.due_joins(now)
 
-    def leave(self, now: float) -> list[Out]:
+    def leave(self, now: float) -> list[OutgoingMessage]:
         """Announce that this node leaves; it sends nothing afterwards."""
         if self.local.is_replaced:
             return []
         own = self._table.own
         self._table.put(own.name, replace(own, state=MemberState.LEFT, since=now))
         return [
-            Out(name, UpdateBatch(self._dissemination.updates_for(now, name, own=True)))
+            OutgoingMessage(name, UpdateBatch(self._dissemination.updates_for(now, name, own=True)))
             for name in self.local.sample(self.live(), LEAVE_RECEIVERS)
         ]
 
-    def receive(self, now: float, sender: Sender, message: Message) -> list[Out]:
+    def receive(self, now: float, sender: Sender, message: Message) -> list[OutgoingMessage]:
         """Apply a message for this start of this node; a Join is not answered, see `reply_to_join`."""
         self._check_gap(now, PAUSE_S)
         if isinstance(message, Join) or self._has_left:
@@ -208,12 +208,12 @@
         """Answers to a join, for the address that it came from, to be sealed for `sender`."""
         return self._joining.reply(now, sender, message)
 
-    def _answer(self, now: float, to: str, message: PeerMessage) -> list[Out]:
+    def _answer(self, now: float, to: str, message: PeerMessage) -> list[OutgoingMessage]:
         match message:
             case JoinReply():
-                return [self._detector.ping(now, to), Out(to, Digest(self.digest(), ()))]
+                return [self._detector.ping(now, to), OutgoingMessage(to, Digest(self.digest(), ()))]
             case Ping(seq):
-                return [Out(to, Ack(seq, self._dissemination.updates_for(now, to, own=True)))]
+                return [OutgoingMessage(to, Ack(seq, self._dissemination.updates_for(now, to, own=True)))]
             case IndirectPing():
                 return self._detector.on_indirect_ping(now, to, message)
             case Ack():
@@ -227,7 +227,9 @@
             case UpdateBatch():
                 return []
 
-    def _receive_from_namesake(self, now: float, sender: Sender, message: PeerMessage) -> list[Out]:
+    def _receive_from_namesake(
+        self, now: float, sender: Sender, message: PeerMessage
+    ) -> list[OutgoingMessage]:
         me, own = self.local.me, self._table.own
         if sender.start <= me.start:
             self.local.report_duplicate(now, sender, own.start, own.address)
--- a/notchjunction/fleet/quotas/borrower.py
+++ b/notchjunction/fleet/quotas/borrower.py
@@ -5,7 +5,7 @@
 from collections.abc import Callable, Sequence
 from typing import Protocol
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.messages import (
     LeaseDenial,
     LeaseGrant,
@@ -47,7 +47,7 @@
         self.chooser = chooser
         self._serial = 0
 
-    def request_lease(self, state: QuotaState, now: float) -> list[Out]:
+    def request_lease(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
         """Ask one more owner where those asked have not answered yet."""
         if not state.waiting:
             return []
@@ -67,14 +67,16 @@
         state.leases[self._serial] = Lease(
             owner, self._serial, count, now, {0: now}, sent_at=now, reviewed_at=now
         )
-        return [Out(owner, LeaseRequest(state.plan.name, self._serial, 0, count))]
+        return [OutgoingMessage(owner, LeaseRequest(state.plan.name, self._serial, 0, count))]
 
-    def on_grant(self, state: QuotaState, now: float, sender: Sender, grant: LeaseGrant) -> list[Out]:
+    def on_grant(
+        self, state: QuotaState, now: float, sender: Sender, grant: LeaseGrant
+    ) -> list[OutgoingMessage]:
         """Use a lease or its renewal from now on; return one that is no longer wanted."""
         lease = state.leases.get(grant.serial)
         if lease is None or lease.owner != sender.name:
             # Guards against units that wait a whole term at their owner for a borrower who has given up.
-            return [Out(sender.name, LeaseReturn(grant.quota, grant.serial, 0))]
+            return [OutgoingMessage(sender.name, LeaseReturn(grant.quota, grant.serial, 0))]
         if grant.round not in lease.rounds:
             return []
         # Guards against a grant that was delayed on its way: its term counts from the request.
@@ -83,7 +85,9 @@
             lease.granted, lease.count, lease.reviewed_at = True, grant.count, now
         return []
 
-    def on_denial(self, state: QuotaState, now: float, sender: Sender, denial: LeaseDenial) -> list[Out]:
+    def on_denial(
+        self, state: QuotaState, now: float, sender: Sender, denial: LeaseDenial
+    ) -> list[OutgoingMessage]:
         """Drop the denied request, and ask another owner."""
         state.denials[sender.name] = OwnerDenial(now, now + denial.retry_after)
         lease = state.leases.get(denial.serial)
@@ -91,71 +95,75 @@
             del state.leases[denial.serial]
         return self.request_lease(state, now)
 
-    def on_recall(self, state: QuotaState, now: float, sender: Sender, recall: LeaseRecall) -> list[Out]:
+    def on_recall(
+        self, state: QuotaState, now: float, sender: Sender, recall: LeaseRecall
+    ) -> list[OutgoingMessage]:
         """Return what is not needed of a recalled lease."""
         lease = state.leases.get(recall.serial)
         if lease is None or lease.owner != sender.name:
             # Guards against units that nobody has: the message that returned them was lost.
-            return [Out(sender.name, LeaseReturn(recall.quota, recall.serial, 0))]
+            return [OutgoingMessage(sender.name, LeaseReturn(recall.quota, recall.serial, 0))]
         if not lease.granted:
             return []
         lease.recall_keep, lease.recalled_until = recall.keep, now + RECALL_VALID_S
-        outs = self.heed_recall(state, lease)
-        if lease.count < recall.count and not outs:
-            return [Out(sender.name, LeaseReturn(recall.quota, recall.serial, lease.count))]
-        return outs
+        outgoing = self.heed_recall(state, lease)
+        if lease.count < recall.count and not outgoing:
+            return [OutgoingMessage(sender.name, LeaseReturn(recall.quota, recall.serial, lease.count))]
+        return outgoing
 
-    def heed_recall(self, state: QuotaState, lease: Lease) -> list[Out]:
+    def heed_recall(self, state: QuotaState, lease: Lease) -> list[OutgoingMessage]:
         """Return what no own request needs, and what exceeds the recall as it comes free."""
         needed = min(lease.count, lease.in_use + state.waiting)
         return _reduce(state, lease, max(lease.in_use, min(needed, lease.recall_keep)))
 
-    def withdraw_requests(self, state: QuotaState) -> list[Out]:
+    def withdraw_requests(self, state: QuotaState) -> list[OutgoingMessage]:
         """Give up all requests that are not answered yet."""
         return _withdraw(state, lambda lease: True)
 
-    def review_leases(self, state: QuotaState, now: float) -> list[Out]:
+    def review_leases(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
         """Resend, renew and return what is due."""
-        outs = _withdraw(state, lambda lease: now - lease.requested_at > REQUEST_TIMEOUT_S)
+        outgoing = _withdraw(state, lambda lease: now - lease.requested_at > REQUEST_TIMEOUT_S)
         for lease in list(state.leases.values()):
             if lease.granted:
-                outs += self._review_granted(state, lease, now)
+                outgoing += self._review_granted(state, lease, now)
             elif now - lease.sent_at > RESEND_DELAY_S:
                 lease.sent_at = now
                 request = LeaseRequest(state.plan.name, lease.serial, 0, lease.requested)
-                outs.append(Out(lease.owner, request))
-        return outs
+                outgoing.append(OutgoingMessage(lease.owner, request))
+        return outgoing
 
-    def _review_granted(self, state: QuotaState, lease: Lease, now: float) -> list[Out]:
-        outs: list[Out] = []
+    def _review_granted(self, state: QuotaState, lease: Lease, now: float) -> list[OutgoingMessage]:
+        outgoing: list[OutgoingMessage] = []
         if now - lease.reviewed_at >= IDLE_KEPT_S:
-            outs = _reduce(state, lease, max(lease.peak, lease.in_use))
+            outgoing = _reduce(state, lease, max(lease.peak, lease.in_use))
             lease.reviewed_at, lease.peak = now, lease.in_use
         if lease.count == 0 or now >= lease.end:
             if lease.in_use == 0:
                 del state.leases[lease.serial]
-            return outs
+            return outgoing
         renew_at = lease.end - self.lease_term + RENEW_SHARE * self.lease_term
         if now >= renew_at and now - lease.sent_at >= RENEW_INTERVAL_S:
             lease.round += 1
             lease.rounds[lease.round] = lease.sent_at = now
             lease.rounds.pop(lease.round - ROUNDS_KEPT, None)
             request = LeaseRequest(state.plan.name, lease.serial, lease.round, lease.count)
-            outs.append(Out(lease.owner, request))
-        return outs
+            outgoing.append(OutgoingMessage(lease.owner, request))
+        return outgoing
 
 
-def _withdraw(state: QuotaState, is_withdrawn: Callable[[Lease], bool]) -> list[Out]:
+def _withdraw(state: QuotaState, is_withdrawn: Callable[[Lease], bool]) -> list[OutgoingMessage]:
     """Give up unanswered requests; the message frees at once what may have been granted meanwhile."""
     withdrawn = [lease for lease in state.leases.values() if not lease.granted and is_withdrawn(lease)]
     for lease in withdrawn:
         del state.leases[lease.serial]
-    return [Out(lease.owner, LeaseReturn(state.plan.name, lease.serial, 0)) for lease in withdrawn]
+    return [
+        OutgoingMessage(lease.owner, LeaseReturn(state.plan.name, lease.serial, 0)) for lease in withdrawn
+    ]
 
 
-def _reduce(state: QuotaState, lease: Lease, kept: int) -> list[Out]:
+def _reduce(state: QuotaState, lease: Lease, kept: int) -> list[OutgoingMessage]:
     """Return units: fewer here first, then the message."""
     if kept >= lease.count:
         return []
     lease.count = kept
-    return [Out(lease.owner, LeaseReturn(state.plan.name, lease.serial, kept))]
+    return [OutgoingMessage(lease.owner, LeaseReturn(state.plan.name, lease.serial, kept))]
--- a/notchjunction/fleet/quotas/lender.py
+++ b/notchjunction/fleet/quotas/lender.py
@@ -6,7 +6,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.loan import (
     Loan,
     LoanAction,
@@ -47,7 +47,9 @@
         """When units that are lent now are surely free again, whatever the borrower's clock shows."""
         return now + self.lease_term * self._clock_stretch
 
-    def on_request(self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest) -> list[Out]:
+    def on_request(
+        self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest
+    ) -> list[OutgoingMessage]:
         """Grant, renew, queue or deny a borrower's request."""
         loan = state.loans.get(LoanKey(sender.name, sender.start, request.serial))
         is_repeat = request.round == 0 if loan is None else request.round <= loan.round
@@ -57,13 +59,15 @@
             return self._grant_or_queue(state, now, sender, request)
         if loan is None or action is LoanAction.DENY:
             denial = LeaseDenial(state.plan.name, request.serial, state.own_retry_after())
-            return [Out(sender.name, denial)]
+            return [OutgoingMessage(sender.name, denial)]
         if action is LoanAction.RENEW:
             # The end moves before the borrower can know of it.
             loan.round, loan.ends = request.round, self.loan_end(now)
         return [self._grant(state, loan)]
 
-    def on_return(self, state: QuotaState, now: float, sender: Sender, returned: LeaseReturn) -> list[Out]:
+    def on_return(
+        self, state: QuotaState, now: float, sender: Sender, returned: LeaseReturn
+    ) -> list[OutgoingMessage]:
         """Free what a borrower returns, and lend it to those who wait."""
         key = LoanKey(sender.name, sender.start, returned.serial)
         loan = state.loans.get(key)
@@ -88,21 +92,23 @@
 
     def _grant_or_queue(
         self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest
-    ) -> list[Out]:
+    ) -> list[OutgoingMessage]:
         # Guards against memory without bound, whoever sends requests how often.
         if len(state.queue) >= QUEUE_MAX or len(state.loans) >= LOANS_MAX:
-            return [Out(sender.name, LeaseDenial(state.plan.name, request.serial, RETRY_AFTER_MAX_S))]
+            return [
+                OutgoingMessage(sender.name, LeaseDenial(state.plan.name, request.serial, RETRY_AFTER_MAX_S))
+            ]
         if not any((queued.borrower, queued.serial) == (sender, request.serial) for queued in state.queue):
             state.queue.append(QueuedLeaseRequest(sender, request.serial, max(1, request.count), now))
         return self.serve_queue(state, now)
 
-    def _grant(self, state: QuotaState, loan: Loan) -> Out:
+    def _grant(self, state: QuotaState, loan: Loan) -> OutgoingMessage:
         grant = LeaseGrant(state.plan.name, loan.serial, loan.round, loan.count, self.lease_term)
-        return Out(loan.borrower.name, grant)
+        return OutgoingMessage(loan.borrower.name, grant)
 
-    def serve_queue(self, state: QuotaState, now: float) -> list[Out]:
+    def serve_queue(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
         """Give what is free to those who wait; recall lent units where it is not enough."""
-        outs: list[Out] = []
+        outgoing: list[OutgoingMessage] = []
         while (free := state.free()) > 0:
             queued = _next_in_queue(state)
             if queued is None and state.waiting <= len(state.reserved):
@@ -115,23 +121,23 @@
             state.use_own(count, lend=True)
             loan = Loan(queued.borrower, queued.serial, count, 0, self.loan_end(now))
             state.add_loan(loan)
-            outs.append(self._grant(state, loan))
+            outgoing.append(self._grant(state, loan))
         if state.usable() <= 0:
-            outs += _deny_queued(state, lambda queued: True)
+            outgoing += _deny_queued(state, lambda queued: True)
         is_short = bool(state.queue) or state.waiting > len(state.reserved)
-        return outs + (_recall(state, now) if is_short else [])
+        return outgoing + (_recall(state, now) if is_short else [])
 
-    def deny_overdue(self, state: QuotaState, now: float, queued_max: float) -> list[Out]:
+    def deny_overdue(self, state: QuotaState, now: float, queued_max: float) -> list[OutgoingMessage]:
         """Deny the requests that have been queued for more than `queued_max` seconds."""
         return _deny_queued(state, lambda queued: now - queued.queued_at > queued_max)
 
 
-def _deny_queued(state: QuotaState, is_denied: Callable[[QueuedLeaseRequest], bool]) -> list[Out]:
+def _deny_queued(state: QuotaState, is_denied: Callable[[QueuedLeaseRequest], bool]) -> list[OutgoingMessage]:
     denied = [queued for queued in state.queue if is_denied(queued)]
     state.queue = deque(queued for queued in state.queue if not is_denied(queued))
     retry_after = state.own_retry_after()
     return [
-        Out(queued.borrower.name, LeaseDenial(state.plan.name, queued.serial, retry_after))
+        OutgoingMessage(queued.borrower.name, LeaseDenial(state.plan.name, queued.serial, retry_after))
         for queued in denied
     ]
 
@@ -159,7 +165,7 @@
     return {name for name in names if _owns_nothing(state, name)}
 
 
-def _recall(state: QuotaState, now: float) -> list[Out]:
+def _recall(state: QuotaState, now: float) -> list[OutgoingMessage]:
     """Recall from all borrowers what is idle, and what comes free where it exceeds their share."""
     lent = [loan for loan in state.loans.values() if loan.count > 0]
     borrowed = Counter(loan.borrower.name for loan in lent for _ in range(loan.count))
@@ -167,12 +173,14 @@
     ownerless = _ownerless_borrowers(state)
     share = max(1, state.usable() // max(1, len(ownerless) + is_short))
     others_need = is_short or any(_owns_nothing(state, queued.borrower.name) for queued in state.queue)
-    outs: list[Out] = []
+    outgoing: list[OutgoingMessage] = []
     for loan in lent:
         if now - loan.recalled_at >= RECALL_INTERVAL_S:
             loan.recalled_at = now
             name = loan.borrower.name
             may_keep = borrowed[name] <= share if name in ownerless else not others_need
             keep = loan.count if may_keep else 0
-            outs.append(Out(name, LeaseRecall(state.plan.name, loan.serial, loan.count, keep)))
-    return outs
+            outgoing.append(
+                OutgoingMessage(name, LeaseRecall(state.plan.name, loan.serial, loan.count, keep))
+            )
+    return outgoing
--- a/notchjunction/fleet/quotas/quotas.py
+++ b/notchjunction/fleet/quotas/quotas.py
@@ -22,7 +22,7 @@
 from typing import NamedTuple
 
 from notchjunction.errors import FleetError
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.borrower import Borrower
 from notchjunction.fleet.quotas.lender import Lender
 from notchjunction.fleet.quotas.messages import (
@@ -139,7 +139,7 @@
         permit.expires_at = max(permit.expires_at, until)
         return True
 
-    def release(self, now: float, permit: Permit) -> list[Out]:
+    def release(self, now: float, permit: Permit) -> list[OutgoingMessage]:
         """End a permit whose attempt is no longer in flight; a second call changes nothing."""
         if not permit.live:
             return []
@@ -155,7 +155,7 @@
             permit.expires_at = until
             permit.state.track_permit(permit)
 
-    def set_waiting(self, now: float, quota: str, waiting: int) -> list[Out]:
+    def set_waiting(self, now: float, quota: str, waiting: int) -> list[OutgoingMessage]:
         """Note how many own requests wait for a unit, 0 where none does any more; borrow for them."""
         state = self.states[quota]
         state.waiting = waiting
@@ -178,7 +178,7 @@
         """What an operator has to mend before this node may use what it owns."""
         return [state.fault for state in self.states.values() if state.fault is not None]
 
-    def receive(self, now: float, sender: Sender, message: Message) -> list[Out]:
+    def receive(self, now: float, sender: Sender, message: Message) -> list[OutgoingMessage]:
         """Apply another node's message, and return what is to be sent."""
         state = self.states.get(message.quota)
         if state is None:
@@ -200,17 +200,17 @@
             case PhaseAnnouncement():
                 return on_announcement(state, sender, message)
 
-    def tick(self, now: float, nodes: int = 1) -> list[Out]:
+    def tick(self, now: float, nodes: int = 1) -> list[OutgoingMessage]:
         """Do what is due, in a fleet of so many nodes; to be called every 20 to 100 ms."""
-        outs: list[Out] = []
+        outgoing: list[OutgoingMessage] = []
         for state in self.states.values():
             state.expire(now)
-            outs += advance_phase(state, now) + poll_owner(state, now, nodes)
-            outs += self.lender.deny_overdue(state, now, REQUEST_QUEUED_S)
-            outs += self.lender.serve_queue(state, now)
-            outs += self.borrower.review_leases(state, now)
-            outs += self.borrower.request_lease(state, now)
-        return outs
+            outgoing += advance_phase(state, now) + poll_owner(state, now, nodes)
+            outgoing += self.lender.deny_overdue(state, now, REQUEST_QUEUED_S)
+            outgoing += self.lender.serve_queue(state, now)
+            outgoing += self.borrower.review_leases(state, now)
+            outgoing += self.borrower.request_lease(state, now)
+        return outgoing
 
     def stats(self, now: float, quota: str) -> QuotaStats:
         """The figures of one quota, for an operator."""
--- a/notchjunction/fleet/quotas/split_change.py
+++ b/notchjunction/fleet/quotas/split_change.py
@@ -4,7 +4,7 @@
 
 from collections.abc import Callable
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.messages import PhaseAnnouncement
 from notchjunction.fleet.quotas.phase import PHASE_TABLE, Phase, PhaseEvent
 from notchjunction.fleet.quotas.plan import StaleSplitError
@@ -15,7 +15,7 @@
 OWNER_POLL_PER_NODE_S = 0.1  # of that more for each node: an owner answers ten a second in any fleet
 
 
-def on_announcement(state: QuotaState, sender: Sender, message: PhaseAnnouncement) -> list[Out]:
+def on_announcement(state: QuotaState, sender: Sender, message: PhaseAnnouncement) -> list[OutgoingMessage]:
     """Note another owner's phase, and reply with the own one if that is wanted."""
     if sender.name in state.other_owners():
         state.owner_phases[sender.name] = OwnerPhase(message.revision, message.phase)
@@ -23,11 +23,11 @@
         agrees = _agrees(state, OwnerPhase(message.revision, message.phase))
         state.fault = None if agrees else _stale_split(state, sender, message.revision)
     if message.wants_reply and state.is_owner():
-        return [Out(sender.name, _announcement(state, wants_reply=False))]
+        return [OutgoingMessage(sender.name, _announcement(state, wants_reply=False))]
     return []
 
 
-def advance_phase(state: QuotaState, now: float) -> list[Out]:
+def advance_phase(state: QuotaState, now: float) -> list[OutgoingMessage]:
     """Enter the phases whose conditions hold; announce the phase while the split is changing."""
     for event, holds in _CONDITIONS:
         transition = PHASE_TABLE.find(state.phase, event)
@@ -37,10 +37,10 @@
     if not state.is_owner() or state.phase is Phase.GROWN or not is_due:
         return []
     state.announced_at = now
-    return [Out(name, _announcement(state, wants_reply=True)) for name in state.other_owners()]
+    return [OutgoingMessage(name, _announcement(state, wants_reply=True)) for name in state.other_owners()]
 
 
-def poll_owner(state: QuotaState, now: float, nodes: int) -> list[Out]:
+def poll_owner(state: QuotaState, now: float, nodes: int) -> list[OutgoingMessage]:
     """Ask one owner after the other for its phase, each within a bounded time while links are whole."""
     owners = state.other_owners()
     interval = max(OWNER_POLL_INTERVAL_S, OWNER_POLL_PER_NODE_S * nodes)
@@ -48,7 +48,7 @@
         return []
     state.polled_at = now
     state.polls += 1
-    return [Out(owners[state.polls % len(owners)], _announcement(state, wants_reply=True))]
+    return [OutgoingMessage(owners[state.polls % len(owners)], _announcement(state, wants_reply=True))]
 
 
 def all_owners_shrunk(state: QuotaState) -> bool:
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -106,25 +106,25 @@
         advice_most: float,
         counters: Counters,
     ) -> None:
-        told = read_section(section)
+        config = read_section(section)
         self.counters = counters
-        self._listen: Address = address_of(told.listen)
-        self._rate = told.rate
-        self._stretch = (1 + told.drift) / (1 - told.drift)
-        self._scopes = told.scopes
+        self._listen: Address = address_of(config.listen)
+        self._rate = config.clock_rate
+        self._stretch = (1 + config.clock_drift) / (1 - config.clock_drift)
+        self._scopes = config.scopes
         self._advice_most = advice_most
         self._longest = longest
         self._loop = asyncio.get_running_loop()
         start = int(time.time() * 1000)
         most = (longest + SLACK) * self._stretch
-        self.member = FleetAgent(name, start, told, most, seed, self.now())
+        self.agent = FleetAgent(name, start, config, most, seed, self.now())
         self._waiting: deque[Waiter] = deque()
         self._transport: asyncio.DatagramTransport | None = None
         self._binding: asyncio.Task[None] | None = None
         self._ticking: asyncio.TimerHandle | None = None
         self._closed = False
         self._told_at: dict[str, float] = {}
-        counters.gauge("fleet_members_alive", lambda: len(self.member.roster.live()))
+        counters.gauge("fleet_members_alive", lambda: len(self.agent.membership.live()))
         counters.gauge("fleet_requests_waiting", lambda: len(self._waiting))
 
     def now(self) -> float:
@@ -161,12 +161,12 @@
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
         self._transport = cast(asyncio.DatagramTransport, transport)
-        self.member.limits.restart_quarantine(self.now())
+        self.agent.quotas.restart_quarantine(self.now())
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
         self.counters.add("fleet_datagrams_received")
         try:
-            self._send(self.member.hear(self.now(), data, text_of((source[0], source[1]))))
+            self._send(self.agent.receive(self.now(), data, text_of((source[0], source[1]))))
         except FleetError as error:
             self.counters.add(f"fleet_datagrams_rejected_{kind_of(error).lower()}")
             self._tell(kind_of(error), str(error.what), error.remedy)
@@ -194,13 +194,13 @@
             return self._look()  # guards against rights spent beside an earlier process of this node
         try:
             now = self.now()
-            self._send(self.member.tick(now))
-            for name, before, after in self.member.roster.take_changes():
+            self._send(self.agent.tick(now))
+            for name, before, after in self.agent.membership.take_changes():
                 if (before is None or not before.live) and after is not None and after.live:
                     log.info("fleet member joined", extra=pairs(node=name, at=after.address))
                 elif before is not None and before.live and (after is None or not after.live):
                     log.warning("fleet member lost", extra=pairs(node=name))
-            for fault in self.member.faults(now):
+            for fault in self.agent.faults(now):
                 self._tell(kind_of(fault), f"{fault.where}: {fault.what}", fault.remedy)
         except Exception as error:
             self.counters.add_failure("fleet transport failed", error)
@@ -221,7 +221,7 @@
         while self._waiting:
             self._settle(self._waiting.popleft(), None)
         if self._transport is not None:
-            self._send(self.member.leave(self.now()))
+            self._send(self.agent.leave(self.now()))
             self._transport.close()
             self._transport = None
 
@@ -251,8 +251,8 @@
                 raise
         if permits is None:
             self.counters.add("fleet_requests_rejected")
-            there = [name for name in names if name in self.member.limits.names]
-            free_in = max((self.member.limits.retry_after(self.now(), name) for name in there), default=0.0)
+            there = [name for name in names if name in self.agent.quotas.names]
+            free_in = max((self.agent.quotas.retry_after(self.now(), name) for name in there), default=0.0)
             return rejection(min(free_in, self._advice_most))
         waited = self.now() - began
         return RequestPermits(self, names, permits), replace(ask, time_left=ask.time_left - waited)
@@ -263,8 +263,8 @@
     def spend(self, names: Sequence[str], until: float) -> list[Permit] | None:
         """A right under each limit that there still is, or none at all."""
         permits: list[Permit] = []
-        for name in (name for name in names if name in self.member.limits.names):
-            permit = self.member.limits.acquire(self.now(), name, until)
+        for name in (name for name in names if name in self.agent.quotas.names):
+            permit = self.agent.quotas.acquire(self.now(), name, until)
             if permit is None:
                 self.release(permits)
                 return None
@@ -272,26 +272,26 @@
         return permits
 
     def extend(self, permits: Sequence[Permit], until: float) -> bool:
-        return all(self.member.limits.extend(self.now(), permit, until) for permit in permits)
+        return all(self.agent.quotas.extend(self.now(), permit, until) for permit in permits)
 
     def release(self, permits: Sequence[Permit]) -> None:
         for permit in permits:
-            self._send(self.member.packed(self.member.limits.release(self.now(), permit)))
+            self._send(self.agent.pack(self.agent.quotas.release(self.now(), permit)))
         if permits and self._waiting:
             self._loop.call_soon(self._look)
 
     def hold(self, permits: Sequence[Permit], until: float) -> None:
         for permit in permits:
-            self.member.limits.expire_at(permit, until)
+            self.agent.quotas.expire_at(permit, until)
 
     def _seek(self, names: Sequence[str]) -> None:
         for name in dict.fromkeys(names):
             waiting = sum(1 for waiter in self._waiting if name in waiter.names)
-            self._send(self.member.packed(self.member.limits.set_waiting(self.now(), name, waiting)))
+            self._send(self.agent.pack(self.agent.quotas.set_waiting(self.now(), name, waiting)))
 
     def _look(self) -> None:
         """Those who wait, in order: each gets its rights, or its no once nothing is to be hoped for."""
-        limits = self.member.limits
+        limits = self.agent.quotas
         if not self._waiting:
             return
         now, short, changed = self.now(), set[str](), list[str]()
@@ -316,29 +316,29 @@
 
     # The file, and what is shown.
 
-    def renew(self, section: Mapping[str, Any], longest: float) -> None:
+    def apply_config(self, section: Mapping[str, Any], longest: float) -> None:
         """Keys and limits as the file has them now; a FleetError where they can't be taken yet."""
         # Guards against jobs that outlast the rights lent for them: these follow the longest at the start.
         if longest > self._longest:
             what = f"a profile's time of {longest} s, over the {self._longest} s that rights are lent for"
             raise LongerJobs(what, "settings.profiles", "start the node again with it")
-        told = read_section(section)
-        self.member.renew(self.now(), told)
-        self._scopes = told.scopes
+        config = read_section(section)
+        self.agent.apply_config(self.now(), config)
+        self._scopes = config.scopes
         for waiter in self._waiting:
             # Guards against jobs that wait under a limit which has gone.
-            waiter.names = tuple(name for name in waiter.names if name in self.member.limits.names)
+            waiter.names = tuple(name for name in waiter.names if name in self.agent.quotas.names)
         self._look()
 
-    def figures(self) -> dict[str, Any]:
+    def status(self) -> dict[str, Any]:
         """What this node holds of its fleet, for an operator."""
-        now, member = self.now(), self.member
+        now, agent = self.now(), self.agent
         return {
-            "away": member.roster.is_away(now),
+            "away": agent.membership.is_away(now),
             "nodes": {
                 name: {"state": held.state.name.lower(), "start": held.start, "at": held.address}
-                for name, held in member.roster.members().items()
+                for name, held in agent.membership.members().items()
             },
-            "limits": {name: member.limits.stats(now, name)._asdict() for name in member.limits.names},
-            "faults": [str(fault) for fault in member.faults(now)],
+            "limits": {name: agent.quotas.stats(now, name)._asdict() for name in agent.quotas.names},
+            "faults": [str(fault) for fault in agent.faults(now)],
         }
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -351,7 +351,7 @@
         )
 
     def fleet_figures(self) -> Mapping[str, Any] | None:
-        return self._fleet.figures() if self._fleet is not None else None
+        return self._fleet.status() if self._fleet is not None else None
 
     def _led(self, event: ServingEvent) -> bool:
         effect = self._service.handle(event)
@@ -393,7 +393,7 @@
         self.counters.add("reloads")
         if self._fleet is not None and told.fleet is not None:
             try:
-                self._fleet.renew(told.fleet, _longest(told))
+                self._fleet.apply_config(told.fleet, _longest(told))
             except NotchjunctionError as error:
                 # Guards against half a file: what the fleet can't take yet keeps all of it out.
                 self.counters.add("reloads_failed")
--- a/tests/test_fleet.py
+++ b/tests/test_fleet.py
@@ -116,7 +116,7 @@
             while ahead:
                 source, (to, data) = ahead.pop(0)
                 try:
-                    answers = self.members[to].hear(self.now, self.spoil(data), source)
+                    answers = self.members[to].receive(self.now, self.spoil(data), source)
                 except FleetError as error:
                     self.refused.append(error)
                     continue
@@ -127,21 +127,21 @@
     wire = Wire(3)
     wire.run(8.0)
     assert all(
-        member.roster.live() == sorted({*wire.members} - {name}) for name, member in wire.members.items()
+        member.membership.live() == sorted({*wire.members} - {name}) for name, member in wire.members.items()
     )
-    limits_of = wire.members["n2"].limits
+    limits_of = wire.members["n2"].quotas
     assert [limits_of.acquire(wire.now, "l", wire.now + 1.0) is not None for _ in range(3)] == [
         True,
         True,
         False,
     ]
     for _ in range(4):
-        for out in wire.members["n2"].packed(limits_of.set_waiting(wire.now, "l", 1)):
-            for answer in wire.members[out.address].hear(wire.now, out.data, "n2"):
-                wire.members[answer.address].hear(wire.now, answer.data, out.address)
+        for out in wire.members["n2"].pack(limits_of.set_waiting(wire.now, "l", 1)):
+            for answer in wire.members[out.address].receive(wire.now, out.data, "n2"):
+                wire.members[answer.address].receive(wire.now, answer.data, out.address)
         wire.run(0.05)
     assert limits_of.acquire(wire.now, "l", wire.now + 1.0) is not None
-    figures = [member.limits.stats(wire.now, "l") for member in wire.members.values()]
+    figures = [member.quotas.stats(wire.now, "l") for member in wire.members.values()]
     assert sum(each.lent for each in figures) >= 1 and sum(each.in_use for each in figures) == 3
 
 
@@ -156,7 +156,7 @@
     wire.spoil = spoil
     wire.run(3.0)
     assert wire.refused and all(type(each) is error and each.remedy for each in wire.refused)
-    assert not any(member.roster.live() for member in wire.members.values())
+    assert not any(member.membership.live() for member in wire.members.values())
 
 
 # The door before the decisions.
--- a/tests/test_membership.py
+++ b/tests/test_membership.py
@@ -14,7 +14,7 @@
 
 from notchjunction.errors import FleetError
 from notchjunction.fleet import envelope as env
-from notchjunction.fleet.envelope import Envelope, Key, Out, Sender
+from notchjunction.fleet.envelope import Envelope, Key, OutgoingMessage, Sender
 from notchjunction.fleet.membership import (
     anti_entropy,
     dissemination,
@@ -70,7 +70,7 @@
             events = self.roster.take_changes()
             self.dead += [name for name, _, after in events if after and after.state is DEAD]
 
-    def say(self, outs: list[Out]) -> None:
+    def say(self, outs: list[OutgoingMessage]) -> None:
         for to, message in outs:
             start = self.roster.start_of(to)
             self.net.post(self, self.roster.address_of(to) or "", Sender(to, start), message)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -15,7 +15,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.exploration import Move, World, explore, walk
 from notchjunction.fleet.quotas import split_change
 from notchjunction.fleet.quotas.borrower import REQUEST_TIMEOUT_S, Borrower
@@ -126,7 +126,9 @@
     return now + self.lease_term
 
 
-def _count_from_grant(self: Borrower, state: Any, now: float, sender: Sender, grant: Any) -> list[Out]:
+def _count_from_grant(
+    self: Borrower, state: Any, now: float, sender: Sender, grant: Any
+) -> list[OutgoingMessage]:
     lease = state.leases.get(grant.serial)
     if lease is not None:
         lease.granted, lease.count, lease.end = True, grant.count, now + grant.term
@@ -290,7 +292,7 @@
         self.busy += self.out * (until - self.now)
         self.now = until
 
-    def carry(self, name: str, outs: Sequence[Out]) -> None:
+    def carry(self, name: str, outs: Sequence[OutgoingMessage]) -> None:
         for out in outs:
             parted = (name in self.cut) != (out.to in self.cut)
             if not parted and self.random.random() >= self.loss:
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -161,14 +161,14 @@
             case "tick":
                 datagrams = own.tick(now)
             case "hear":
-                datagrams = own.hear(now, bytes.fromhex(said[more["datagram"]]), more["source"])
+                datagrams = own.receive(now, bytes.fromhex(said[more["datagram"]]), more["source"])
             case "seek":
-                datagrams = own.packed(own.limits.set_waiting(now, "payments", 2))
+                datagrams = own.pack(own.quotas.set_waiting(now, "payments", 2))
             case "spend":
-                permits[number] = own.limits.acquire(now, "payments", now + heads["longest"])
+                permits[number] = own.quotas.acquire(now, "payments", now + heads["longest"])
                 assert (permits[number] is not None) == more["got"]
             case "release":
-                datagrams = own.packed(own.limits.release(now, permits[more["of"]]))
+                datagrams = own.pack(own.quotas.release(now, permits[more["of"]]))
             case "leave":
                 datagrams = own.leave(now)
             case _:
