--- a/notchjunction/fleet/__init__.py
+++ b/notchjunction/fleet/__init__.py
@@ -1,3 +1,4 @@
-"""What the nodes of a fleet hold in common. Off unless the file has a section `fleet`; decides without I/O
-or clock.
+"""The state that the nodes of a fleet share: membership and quotas. No I/O and no clock.
+
+Loaded only if the configuration has a section `fleet`.
 """
--- a/notchjunction/fleet/agent.py
+++ b/notchjunction/fleet/agent.py
@@ -1,7 +1,7 @@
-"""One node's part in its fleet: its seal, its view of who is there, and its rights, behind two calls. Pure.
+"""One node's part in its fleet: authenticated datagrams, the fleet's membership, and its quotas. Pure.
 
-`hear` takes a datagram and `tick` the time; both give the datagrams to send. Nothing here knows a socket or
-a clock.
+`receive` takes a datagram and `tick` the time; both return the datagrams to send. This module uses neither
+a socket nor a clock.
 """
 
 from __future__ import annotations
@@ -20,11 +20,10 @@
 from notchjunction.fleet.quotas.plan import Plan, Split
 from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
 
-LIST_HEADER_BYTES_MAX = 5  # of a list's own head in msgpack, at most
-MEMBERSHIP_TICK_INTERVAL_S = 0.1  # s between looks at who is there; a tenth of the time between two probes
-DEFAULT_CLOCK_DRIFT = (
-    0.01  # part by which clocks may run off where the file does not say; a hundred times that of plain quartz
-)
+LIST_HEADER_BYTES_MAX = 5  # the longest header of an array in msgpack
+MEMBERSHIP_TICK_INTERVAL_S = 0.1  # a tenth of the probe interval
+# Share by which a clock's rate may deviate, if not configured; 100 times the drift of an ordinary quartz.
+DEFAULT_CLOCK_DRIFT = 0.01
 
 Message = membership_messages.Message | quota_messages.Message
 DECODER = msgspec.msgpack.Decoder(list[Message])
@@ -32,18 +31,21 @@
 
 
 class Datagram(NamedTuple):
+    """A datagram to send."""
+
     address: str  # "host:port"
     data: bytes
 
 
 @dataclass(frozen=True, slots=True)
 class Scope:
-    """The jobs that a limit is about; empty: of all profiles, or of all operators."""
+    """The requests that a quota applies to; an empty set stands for all classes, or for all tenants."""
 
     request_classes: frozenset[str]
     tenants: frozenset[str]
 
     def covers(self, request_class: str, tenant: str) -> bool:
+        """Returns whether the quota applies to requests of this class and tenant."""
         return (not self.request_classes or request_class in self.request_classes) and (
             not self.tenants or tenant in self.tenants
         )
@@ -51,20 +53,20 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetConfig:
-    """The file's section `fleet`, as typed values; times in seconds."""
+    """The section `fleet` of the configuration, as typed values."""
 
     listen: str
     advertise: str
     seeds: tuple[str, ...]
     keys: tuple[Key, ...]
     clock_drift: float
-    clock_rate: float  # at which the node's clock is said to run, in tests; 1 elsewhere
+    clock_rate: float  # factor on the rate of the node's clock, for tests; 1 otherwise
     plans: tuple[Plan, ...]
     scopes: Mapping[str, Scope]
 
 
 def read_section(section: Mapping[str, Any]) -> FleetConfig:
-    """The section after its check."""
+    """Returns the validated section `fleet` as typed values."""
     limits = section.get("limits", [])
     return FleetConfig(
         listen=section["listen"],
@@ -74,7 +76,11 @@
         clock_drift=float(section.get("clock_drift", DEFAULT_CLOCK_DRIFT)),
         clock_rate=float(section.get("clock_rate", 1.0)),
         plans=tuple(
-            Plan(limit["name"], _split(limit), _split(limit["before"]) if "before" in limit else None)
+            Plan(
+                limit["name"],
+                _parse_split(limit),
+                _parse_split(limit["before"]) if "before" in limit else None,
+            )
             for limit in limits
         ),
         scopes={
@@ -84,13 +90,22 @@
     )
 
 
-def _split(config: Mapping[str, Any]) -> Split:
-    owners = {name: int(count) for name, count in config["owners"].items()}
-    return Split(int(config["revision"]), owners, tuple(config.get("ended", ())))
+def _parse_split(row: Mapping[str, Any]) -> Split:
+    owners = {name: int(count) for name, count in row["owners"].items()}
+    return Split(int(row["revision"]), owners, tuple(row.get("ended", ())))
 
 
 class FleetAgent:
-    """`start`: larger for a later start of the same name; `longest`: s that a job's time may be at most."""
+    """One start of a node as a member of its fleet.
+
+    Args:
+        name: The node's name.
+        start: A number that is larger for a later start of the same name.
+        config: The section `fleet` of the configuration.
+        request_time_max: The longest time in seconds that a request may take.
+        seed: For all random choices.
+        now: The node's clock (s).
+    """
 
     def __init__(
         self, name: str, start: int, config: FleetConfig, request_time_max: float, seed: int, now: float
@@ -99,47 +114,51 @@
         self.envelope = Envelope(me, config.keys)
         self.membership = Membership(me, config.advertise, config.seeds, seed)
         self.quotas = Quotas(me, config.plans, LeaseTiming(config.clock_drift, request_time_max), seed, now)
-        self.unknown_peers = 0  # messages for nodes that are not known to be there
+        self.unknown_peers = 0  # messages dropped as their receiver is not a known member
         self._next_membership_tick_at = now
         self._keys = config.keys
 
     def apply_config(self, now: float, config: FleetConfig) -> None:
-        """Other keys and limits from now on; a FleetError where the limits can't be taken yet."""
+        """Replaces the keys and the quotas; raises FleetError if the quotas can't change yet."""
         self.envelope.replace_keys(config.keys)
         try:
             self.quotas.apply_plans(now, config.plans)
         except FleetError:
-            # Guards against half a file in force.
+            # Guards against a configuration that is only partly in force: new keys with the old quotas.
             self.envelope.replace_keys(self._keys)
             raise
         self._keys = config.keys
 
     def tick(self, now: float) -> list[Datagram]:
-        """What is due; to be called every 20 to 50 ms."""
+        """Returns the datagrams that are due; to be called every 20 to 50 ms."""
         outgoing = self.quotas.tick(now, len(self.membership.members()))
-        found: list[Datagram] = []
+        joins: list[Datagram] = []
         if now >= self._next_membership_tick_at:
             self._next_membership_tick_at = now + MEMBERSHIP_TICK_INTERVAL_S
             outgoing += self.membership.tick(now)
-            for address, hello in self.membership.due_joins(now):
-                found.append(Datagram(address, self.envelope.seal("", 0, ENCODER.encode([hello]))))
-        return found + self.pack(outgoing)
+            for address, join in self.membership.due_joins(now):
+                joins.append(Datagram(address, self.envelope.seal("", 0, ENCODER.encode([join]))))
+        return joins + self.pack(outgoing)
 
     def receive(self, now: float, data: bytes, source: str) -> list[Datagram]:
-        """A datagram that came from this address; a FleetError where it must not be heard."""
+        """Processes a datagram from the address `source`, and returns the datagrams to send.
+
+        Raises:
+            FleetError: The datagram must not be accepted.
+        """
         opened = self.envelope.open(data)
         try:
             messages = DECODER.decode(opened.payload)
         except (msgspec.DecodeError, msgspec.ValidationError) as error:
-            what = f"{opened.sender.name} says what can't be read: {error}"
+            what = f"the payload from {opened.sender.name} cannot be decoded: {error}"
             raise MalformedError(
-                what, "a datagram", "run one release on all nodes, or two that follow"
+                what, "a datagram", "run the same release on all nodes, or two consecutive ones"
             ) from error
         sender = opened.sender
         if opened.is_join:
-            answers = [each for message in messages for each in self._reply_to_join(now, sender, message)]
+            replies = [reply for message in messages for reply in self._reply_to_join(now, sender, message)]
             sealed = (
-                self.envelope.seal(sender.name, sender.start, ENCODER.encode([each])) for each in answers
+                self.envelope.seal(sender.name, sender.start, ENCODER.encode([reply])) for reply in replies
             )
             return [Datagram(source, data) for data in sealed]
         outgoing: list[OutgoingMessage] = []
@@ -151,41 +170,43 @@
         return self.pack(outgoing)
 
     def _reply_to_join(self, now: float, sender: Sender, message: Message) -> Iterable[Message]:
-        # Guards against rights asked for or given by what may be heard again without bound.
+        # Guards against leases that are requested or granted by a replayed datagram: a join is not checked
+        # for replay.
         if isinstance(message, quota_messages.Message):
             return ()
         return self.membership.reply_to_join(now, sender, message)
 
     def leave(self, now: float) -> list[Datagram]:
+        """Returns the datagrams by which this node announces that it leaves the fleet."""
         return self.pack(self.membership.leave(now))
 
     def pack(self, outgoing: Sequence[OutgoingMessage]) -> list[Datagram]:
-        """As few datagrams as the messages for each node fit in, in order."""
-        by_node: dict[str, list[bytes]] = {}
-        for out in outgoing:
-            by_node.setdefault(out.to, []).append(ENCODER.encode(out.message))
-        found: list[Datagram] = []
-        for name, messages in by_node.items():
+        """Returns the messages in as few datagrams for each node as they fit in, in order."""
+        encoded: dict[str, list[bytes]] = {}
+        for item in outgoing:
+            encoded.setdefault(item.to, []).append(ENCODER.encode(item.message))
+        datagrams: list[Datagram] = []
+        for name, messages in encoded.items():
             address, start = self.membership.address_of(name), self.membership.start_of(name)
             if address is None or not start:
                 self.unknown_peers += len(messages)
                 continue
-            room = self.envelope.payload_max(name) - LIST_HEADER_BYTES_MAX
-            piece: list[msgspec.Raw] = []
+            size_max = self.envelope.payload_max(name) - LIST_HEADER_BYTES_MAX
+            batch: list[msgspec.Raw] = []
             size = 0
             for message in messages:
-                if piece and size + len(message) > room:
-                    found.append(self._sealed(address, name, start, piece))
-                    piece, size = [], 0
-                piece.append(msgspec.Raw(message))
+                if batch and size + len(message) > size_max:
+                    datagrams.append(self._seal(address, name, start, batch))
+                    batch, size = [], 0
+                batch.append(msgspec.Raw(message))
                 size += len(message)
-            found.append(self._sealed(address, name, start, piece))
-        return found
+            datagrams.append(self._seal(address, name, start, batch))
+        return datagrams
 
-    def _sealed(self, address: str, name: str, start: int, messages: list[msgspec.Raw]) -> Datagram:
+    def _seal(self, address: str, name: str, start: int, messages: list[msgspec.Raw]) -> Datagram:
         return Datagram(address, self.envelope.seal(name, start, ENCODER.encode(messages)))
 
     def faults(self, now: float) -> list[FleetError]:
-        """What an operator has to mend."""
+        """Returns the errors that an on-call operator has to resolve."""
         fault = self.membership.fault(now)
         return self.quotas.faults + ([fault] if fault is not None else [])
--- a/notchjunction/fleet/envelope.py
+++ b/notchjunction/fleet/envelope.py
@@ -1,12 +1,14 @@
-"""Datagrams between nodes under seal: authenticated, for one start of one node, accepted once. Pure.
+"""Authenticated datagrams between nodes: for one start of one node, and accepted once. Pure.
 
-A datagram holds a version, a key's number, the sender's start and sequence number, the receiver's start, the
-lengths of both names, the names, the payload, and a keyed BLAKE2b of all of that. It proves that a holder of
-the key sent it to this receiver; it hides nothing. What arrives twice, from an earlier start of its sender,
-or for another start of this node is rejected, so that nothing sent to an earlier one is accepted.
+A datagram holds a version, a key number, the sender's start and sequence number, the receiver's start, the
+lengths of both names, the names, the payload, and a keyed BLAKE2b over all of that as its MAC. The MAC proves
+that a holder of the key sent the datagram to this receiver. Nothing is encrypted. A datagram that arrives
+twice, that an earlier start of its sender sent, or that is for another start of this node is rejected. So
+nothing that was sent to an earlier start of this node is accepted.
 
-A *join* comes from a node that does not yet know the receiver's start (it is 0 then, and the name may be
-empty). Nothing bounds its repetition, so it may only be answered, and nothing in it believed.
+A *join* comes from a node that does not yet know the receiver's start: that field is 0, and the receiver's
+name may be empty. Joins are not checked for replay. So a join may only be answered, and nothing in it may be
+trusted.
 """
 
 from __future__ import annotations
@@ -19,22 +21,21 @@
 
 from notchjunction.errors import FleetError
 
-DATAGRAM_BYTES_MAX = (
-    1200  # bytes of a sealed datagram; with its headers it fits the least IPv6 path in one piece
-)
-VERSION = 1  # of the layout below
-HEADER = Struct("!BHQQQBB")  # version, key, sender's start, sequence, receiver's start, lengths of both names
-MAC_BYTES = 16  # of the seal; 128 bits can't be guessed at any rate
-NAME_BYTES_MAX = 64  # bytes of a node's name; with two of them most of a datagram is left for the payload
-SECRET_BYTES_MIN = 16  # bytes of a key; fewer could be guessed from one datagram
-SECRET_BYTES_MAX = 64  # bytes of a key that BLAKE2b takes
-REPLAY_WINDOW = 256  # newest sequence numbers of a sender told apart; seconds of its talk to all
-SENDERS_MAX = 1024  # senders whose numbers are kept; five times the largest fleet that is promised
-SEAL_PERSONALIZATION = b"notchjunction"  # keeps seals apart from whatever else the same secret may seal
+DATAGRAM_BYTES_MAX = 1200  # with IP and UDP headers it fits the minimum IPv6 MTU, so it is not fragmented
+VERSION = 1  # of the datagram layout
+# Version, key number, sender's start, sequence number, receiver's start, lengths of both names.
+HEADER = Struct("!BHQQQBB")
+MAC_BYTES = 16  # 128 bits cannot be guessed at any rate of datagrams
+NAME_BYTES_MAX = 64  # two names of this length leave most of a datagram to the payload
+SECRET_BYTES_MIN = 16  # a shorter secret could be found by brute force from one datagram
+SECRET_BYTES_MAX = 64  # the longest key that BLAKE2b takes
+REPLAY_WINDOW = 256  # sequence numbers tracked for each sender; it sends that many to all nodes in seconds
+SENDERS_MAX = 1024  # senders tracked; five times the largest supported fleet
+MAC_PERSONALIZATION = b"notchjunction"  # domain separation from other uses of the same secret
 
 
 class Sender(NamedTuple):
-    """One start of a node; `start` is a whole number that is larger for later starts."""
+    """One start of a node; `start` is an integer that is larger for later starts."""
 
     name: str
     start: int
@@ -48,7 +49,7 @@
 
 
 class Key(NamedTuple):
-    """`number` is 0 to 65535, and names the secret (16 to 64 bytes) in a datagram."""
+    """A secret of 16 to 64 bytes, and the number (0 to 65535) that identifies it in a datagram."""
 
     number: int
     secret: bytes
@@ -60,137 +61,163 @@
     sender: Sender
     receiver_start: int
     payload: bytes
-    is_join: bool  # to be answered only; see above
+    is_join: bool  # may only be answered, as it may be a replay
 
 
-class ReceivedNumbers(NamedTuple):
-    """Which sequence numbers of a sender have arrived."""
+class ReplayState(NamedTuple):
+    """The sequence numbers that have arrived from one start of a sender."""
 
     start: int
-    newest: int  # sequence number
-    bitmap: int  # bit k: the number newest - k has arrived
+    newest: int  # the highest sequence number
+    bitmap: int  # bit k is set if the sequence number `newest - k` has arrived
 
 
 class OversizedError(FleetError):
-    """More bytes than a datagram may have."""
+    """The datagram is longer than the maximum."""
 
 
 class MalformedError(FleetError):
-    """Not of the layout of a datagram, or a name that does not fit it."""
+    """The datagram does not have the expected layout, or a name is too long for it."""
 
 
 class UnknownVersionError(FleetError):
-    """Of a layout that this program does not know."""
+    """The datagram has a layout version that this release does not support."""
 
 
 class UnknownKeyError(FleetError):
-    """Under a key that this node does not hold."""
+    """The datagram was sealed with a key that this node does not have."""
 
 
 class ForgedError(FleetError):
-    """The seal does not fit the content and the key."""
+    """The MAC does not match the content and the key."""
 
 
 class ReplayedError(FleetError):
-    """Received before, or sent by an earlier start of its sender."""
+    """The datagram has been received before, or was sent by an earlier start of its sender."""
 
 
 class NotForMeError(FleetError):
-    """For another node, or for another start of this one."""
+    """The datagram is for another node, or for another start of this one."""
 
 
 class UnusableKeysError(FleetError):
-    """Keys that can't seal."""
+    """The configured keys are missing, ambiguous or of the wrong size."""
 
 
 class Envelope:
-    """Seals and opens for one start of a node, `me`. The first key seals, all of them open."""
+    """Seals and opens the datagrams of one start of a node, `me`.
+
+    The first key seals; datagrams sealed with any of the keys are opened.
+    """
 
     def __init__(self, me: Sender, keys: Sequence[Key]) -> None:
         self._me = me
         self._name = _encoded_name(me.name)
         self._where = f"a datagram at {me.name}"
         self._sequence = 0
-        self._received: dict[str, ReceivedNumbers] = {}  # in the order in which senders last sent
+        self._received: dict[str, ReplayState] = {}  # by sender, least recent first
         self.replace_keys(keys)
 
     def replace_keys(self, keys: Sequence[Key]) -> None:
-        """Use other keys now; nothing is lost if all nodes open with a key before any seals with it."""
+        """Replaces the keys.
+
+        No datagram is lost if all nodes can open with a new key before any node seals with it.
+
+        Raises:
+            UnusableKeysError: The keys are missing, ambiguous or of the wrong size.
+        """
         secrets = {key.number: key.secret for key in keys}
         sizes = [len(secret) for secret in secrets.values()]
-        for wrong, what in (
-            (not keys, "no key is given"),
-            (len(secrets) < len(keys), "two keys have one number"),
-            (not all(0 <= number < 1 << 16 for number in secrets), "a key's number is not 0 to 65535"),
+        for is_invalid, what in (
+            (not keys, "no key is configured"),
+            (len(secrets) < len(keys), "two keys have the same number"),
+            (not all(0 <= number < 1 << 16 for number in secrets), "a key number is not in 0 to 65535"),
             (
                 not all(SECRET_BYTES_MIN <= size <= SECRET_BYTES_MAX for size in sizes),
                 f"a secret does not have {SECRET_BYTES_MIN} to {SECRET_BYTES_MAX} bytes",
             ),
         ):
-            if wrong:
+            if is_invalid:
                 raise UnusableKeysError(
-                    what, f"the keys of {self._me.name}", "mend the fleet's keys in the file"
+                    what, f"the keys of {self._me.name}", "correct fleet.keys in the configuration"
                 )
         self._secrets = secrets
-        self._sealing = keys[0]
+        self._sealing_key = keys[0]
 
     def payload_max(self, to: str) -> int:
-        """Bytes that a payload for this node may have at most."""
+        """Returns the maximum size in bytes of a payload for this node."""
         return DATAGRAM_BYTES_MAX - HEADER.size - len(self._name) - len(_encoded_name(to)) - MAC_BYTES
 
     def seal(self, to: str, to_start: int, payload: bytes) -> bytes:
-        """A datagram for one start of a node; a join if that is 0 (and `to` "", if not known either)."""
+        """Returns a datagram with this payload for one start of a node.
+
+        Args:
+            to: The receiver's name; "" in a join to a node whose name is not known.
+            to_start: The receiver's start; 0 for a join.
+            payload: The content.
+
+        Raises:
+            OversizedError: The payload does not fit a datagram.
+        """
         payload_max = self.payload_max(to)
         if len(payload) > payload_max:
-            what = f"{len(payload)} bytes to say, where {payload_max} fit"
+            what = f"a payload of {len(payload)} bytes exceeds the maximum of {payload_max}"
             raise OversizedError(
-                what, f"a datagram to {to}", "report this: it should have been cut in pieces"
+                what, f"a datagram to {to}", "report it as a defect: the payload should have been split"
             )
         self._sequence += 1
         name = _encoded_name(to)
         sizes = len(self._name), len(name)
-        number, secret = self._sealing
+        number, secret = self._sealing_key
         header = HEADER.pack(VERSION, number, self._me.start, self._sequence, to_start, *sizes)
         body = header + self._name + name + payload
         return body + _mac(secret, body)
 
     def open(self, data: bytes) -> OpenedDatagram:
-        """Check a datagram and return its content.
+        """Checks a datagram and returns its content.
 
         Raises:
-            FleetError: It must not be accepted; the type says why.
+            FleetError: It must not be accepted; the type of the error gives the reason.
         """
-        # Guards against work for strangers: size, version and key number are looked at before the seal.
-        strangers = "let nothing but the fleet's nodes send to its port"
+        # Guards against CPU time spent on datagrams from outside the fleet: size, version and key number are
+        # checked before the MAC is computed.
+        restrict_port = "allow only the fleet's nodes to send to this port"
         if len(data) > DATAGRAM_BYTES_MAX:
             raise OversizedError(
-                f"{len(data)} bytes, of {DATAGRAM_BYTES_MAX} at most", self._where, strangers
+                f"{len(data)} bytes exceed the maximum of {DATAGRAM_BYTES_MAX}", self._where, restrict_port
             )
         if len(data) < HEADER.size + MAC_BYTES:
-            raise MalformedError(f"only {len(data)} bytes", self._where, strangers)
+            raise MalformedError(f"{len(data)} bytes are too few", self._where, restrict_port)
         version, number, start, sequence, to_start, name_size, to_size = HEADER.unpack_from(data)
         if version != VERSION:
-            what = f"version {version}, where {VERSION} is known"
-            raise UnknownVersionError(what, self._where, "run one release on all nodes, or two that follow")
+            what = f"version {version} is not supported, only {VERSION}"
+            raise UnknownVersionError(
+                what, self._where, "run the same release on all nodes, or two consecutive ones"
+            )
         if number not in self._secrets:
-            what = f"key {number}, where {sorted(self._secrets)} are held"
-            remedy = "give all nodes a new key second, then first, and take the old one out last"
+            what = f"key {number} is not configured, only {sorted(self._secrets)}"
+            remedy = (
+                "on all nodes, add a new key as the second, then make it the first, then remove the old one"
+            )
             raise UnknownKeyError(what, self._where, remedy)
-        body, seal = data[:-MAC_BYTES], data[-MAC_BYTES:]
-        if not compare_digest(_mac(self._secrets[number], body), seal):
-            what = f"the seal under key {number} does not fit"
-            raise ForgedError(what, self._where, f"give all nodes the same secret as key {number}")
+        body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
+        if not compare_digest(_mac(self._secrets[number], body), mac):
+            what = f"the MAC under key {number} does not match"
+            raise ForgedError(what, self._where, f"configure the same secret for key {number} on all nodes")
         names_end = HEADER.size + name_size + to_size
         names = body[HEADER.size : names_end]
         try:
             name, to = names[:name_size].decode(), names[name_size:].decode()
         except UnicodeDecodeError:
             raise MalformedError(
-                "names that are not text", self._where, "report this: it has the seal"
+                "a name is not valid UTF-8", self._where, "report it as a defect: the MAC is valid"
             ) from None
         if (to, to_start) not in ((self._me.name, self._me.start), (self._me.name, 0), ("", 0)):
-            what = f"for start {to_start} of {to!r}, from {name}"
-            remedy = f"nothing, if {self._me.name} has just started; else see who else has its address"
+            what = f"a datagram from {name} is for start {to_start} of {to!r}"
+            remedy = (
+                f"ignore it if {self._me.name} has just started; otherwise check whether another node "
+                "has the same address"
+            )
             raise NotForMeError(what, self._where, remedy)
         sender = Sender(name, start)
         if to_start:
@@ -198,33 +225,39 @@
         return OpenedDatagram(sender, to_start, body[names_end:], not to_start)
 
     def _check_not_replayed(self, sender: Sender, sequence: int) -> None:
-        # Guards against replays: an earlier start, a number that has arrived, and one too old to know.
+        # Guards against replays: from an earlier start, of a sequence number that has arrived, or of one that
+        # is too old to be tracked.
         received = self._received.get(sender.name)
         if received is None or sender.start > received.start:
-            received = ReceivedNumbers(sender.start, sequence, 1)
+            received = ReplayState(sender.start, sequence, 1)
         elif sender.start < received.start:
-            what = f"from start {sender.start} of {sender.name}, which has started again at {received.start}"
-            remedy = f"if it goes on, see if two nodes are named {sender.name}, or its clock was set back"
+            what = f"from start {sender.start} of {sender.name}, which has restarted as {received.start}"
+            remedy = (
+                f"if it persists, check whether two nodes are named {sender.name}, "
+                "or whether its clock was set back"
+            )
             raise ReplayedError(what, self._where, remedy)
         elif sequence > received.newest:
-            # Guards against a shift as long as a sender claims.
+            # Guards against a bitmap as long as the gap that a sender claims.
             ahead = min(sequence - received.newest, REPLAY_WINDOW)
-            received = ReceivedNumbers(
+            received = ReplayState(
                 received.start, sequence, (received.bitmap << ahead | 1) & ((1 << REPLAY_WINDOW) - 1)
             )
         else:
             behind = received.newest - sequence
             if behind >= REPLAY_WINDOW or received.bitmap >> behind & 1:
-                what = f"number {sequence} of {sender.name} again, or too late to tell"
-                remedy = "nothing, if rare: networks repeat; else find who repeats what nodes send"
+                what = f"sequence number {sequence} of {sender.name} is a duplicate, or too old to check"
+                remedy = (
+                    "ignore it if rare: networks duplicate datagrams; otherwise find out who replays them"
+                )
                 raise ReplayedError(what, self._where, remedy)
             received = received._replace(bitmap=received.bitmap | 1 << behind)
         self._received.pop(sender.name, None)
         self._received[sender.name] = received
-        # Guards against memory without bound. It costs that what the sender silent for longest once sent to
-        # this start could be accepted again. That is safe: only holders of a key can push it out, by a
-        # thousand names, and what nodes send of each other bears starts and incarnations: what is overtaken
-        # is void.
+        # Guards against unbounded memory. The cost: datagrams that the least recent sender once sent to this
+        # start could be accepted again. That is safe. Only holders of a key can evict a sender, with a
+        # thousand names. And the records that nodes send of one another carry starts and incarnations, so
+        # outdated ones have no effect.
         if len(self._received) > SENDERS_MAX:
             del self._received[next(iter(self._received))]
 
@@ -232,10 +265,10 @@
 def _encoded_name(name: str) -> bytes:
     data = name.encode()
     if len(data) > NAME_BYTES_MAX:
-        what = f"a name of {len(data)} bytes"
-        raise MalformedError(what, name, f"give the node a name of {NAME_BYTES_MAX} bytes at most")
+        what = f"the name has {len(data)} bytes"
+        raise MalformedError(what, name, f"give the node a name of at most {NAME_BYTES_MAX} bytes")
     return data
 
 
 def _mac(secret: bytes, body: bytes) -> bytes:
-    return blake2b(body, key=secret, digest_size=MAC_BYTES, person=SEAL_PERSONALIZATION).digest()
+    return blake2b(body, key=secret, digest_size=MAC_BYTES, person=MAC_PERSONALIZATION).digest()
