--- a/notchjunction/fleet/envelope.py
+++ b/notchjunction/fleet/envelope.py
@@ -202,7 +202,7 @@
             raise UnknownKeyError(what, self._where, remedy)
         body, mac = data[:-MAC_BYTES], data[-MAC_BYTES:]
         if not compare_digest(_mac(self._secrets[number], body), mac):
-            what = f"the MAC under key {number} does not match"
+            what = f"the authentication code under key {number} does not match"
             raise ForgedError(what, self._where, f"configure the same secret for key {number} on all nodes")
         names_end = HEADER.size + name_size + to_size
         names = body[HEADER.size : names_end]
@@ -210,10 +210,12 @@
             name, to = names[:name_size].decode(), names[name_size:].decode()
         except UnicodeDecodeError:
             raise MalformedError(
-                "a name is not valid UTF-8", self._where, "report it as a defect: the MAC is valid"
+                "a name is not valid UTF-8",
+                self._where,
+                "report it as a defect: the authentication code is valid",
             ) from None
         if (to, to_start) not in ((self._me.name, self._me.start), (self._me.name, 0), ("", 0)):
-            what = f"a datagram from {name} is for start {to_start} of {to!r}"
+            what = f"for start {to_start} of {to!r}, sent by {name}"
             remedy = (
                 f"ignore it if {self._me.name} has just started; otherwise check whether another node "
                 "has the same address"
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -1,8 +1,7 @@
-"""The talk between the nodes of a fleet on one datagram socket, and the door before the decisions. Off
-unless told.
+"""The fleet's datagram socket, and the admission of requests under the fleet's quotas.
 
-What is said and who may send is decided in `fleet/`; here are the socket, the clock, and jobs that wait for
-a right.
+`fleet/` decides what is sent and which requests may be sent to endpoints. This module has the socket, the
+clock, and the requests that wait for a permit. It is used only if the configuration has a section `fleet`.
 """
 
 from __future__ import annotations
@@ -28,154 +27,181 @@
 
 log = logging.getLogger(__name__)
 
-TICK = 0.025  # s between looks at what is due; short against the time that a job waits for a right
-BIND_EVERY = 0.25  # s between tries for the socket, which an earlier process of this node may still hold
-WRITE_SLACK = 0.4  # s past a job's time that a right covers: a connection may take that long to come up
-ARRIVE_SLACK = 0.25  # s until what is written has been read by its server; networks lose and repeat
-SLACK = WRITE_SLACK + ARRIVE_SLACK
-WAIT_SHARE = 0.25  # of a job's time that it waits for a right at most
-FAULT_EVERY = 10.0  # s between log lines of one kind; what is refused may come in floods
+TICK_INTERVAL_S = 0.025  # short against the time that a request waits for a permit
+BIND_RETRY_INTERVAL_S = 0.25  # an earlier process of this node may still have the address bound
+# A permit lasts this much longer than the request's time left: opening a connection may take so long.
+WRITE_SLACK_S = 0.4
+ARRIVAL_SLACK_S = 0.25  # until the endpoint has read what was written, with losses and retransmissions
+PERMIT_SLACK_S = WRITE_SLACK_S + ARRIVAL_SLACK_S
+WAIT_SHARE = 0.25  # share of its time left that a request waits for a permit at most
+FAULT_LOG_INTERVAL_S = 10.0  # between log lines of one kind; rejected datagrams may come in floods
 
 
-def kind_of(error: FleetError) -> str:
-    """The error's name in log lines and counters: that of its type, without "Error"."""
+def fault_kind(error: FleetError) -> str:
+    """Returns an error's name in log lines and counters: that of its type, without "Error"."""
     return type(error).__name__.removesuffix("Error")
 
 
 class LongerJobs(FleetError):
-    """Profiles whose jobs may take longer than rights are lent for."""
+    """A request class may take longer than the leases allow for."""
 
 
 @dataclass(slots=True, eq=False)
 class Waiter:
-    """A job that waits for rights under `names`; they must last until `until` (s, the fleet's clock)."""
+    """A request that waits for a permit under each of its quotas; moments are in s on the fleet's clock."""
 
-    names: tuple[str, ...]
-    until: float
-    deadline: float
-    done: asyncio.Future[list[Permit] | None]
+    quotas: tuple[str, ...]
+    until: float  # the permits must last until then
+    deadline: float  # it waits no longer
+    result: asyncio.Future[list[Permit] | None]
 
 
 class RequestPermits:
-    """One job's rights: a set for each dispatch that is out; the first set was there before the job."""
+    """One request's permits: a set, with one permit under each quota, for each attempt in flight.
 
-    def __init__(self, talk: FleetTransport, names: tuple[str, ...], first: list[Permit]) -> None:
-        self._talk = talk
-        self._names = names
-        self._spare: list[list[Permit]] = [first]
-        self._out: dict[int, tuple[list[Permit], float]] = {}
+    The first set was acquired as the request was admitted.
+    """
+
+    def __init__(self, transport: FleetTransport, quotas: tuple[str, ...], first: list[Permit]) -> None:
+        self._transport = transport
+        self._quotas = quotas
+        self._unused: list[list[Permit]] = [first]
+        self._in_flight: dict[int, tuple[list[Permit], float]] = {}
         self._closed = False
 
-    def write(self, dispatch: int, within: float) -> bool:
-        until = self._talk.until(within)
-        held = self._spare.pop() if self._spare else self._talk.spend(self._names, until)
-        if held is None or not self._talk.extend(held, until):
-            self._talk.counters.add("fleet_quota_exhausted")
-            self._talk.release(held or [])
+    def write(self, attempt: int, timeout: float) -> bool:
+        """Returns whether an attempt with this timeout (s) may be written now, and tracks it if so."""
+        until = self._transport.attempt_end(timeout)
+        permits = self._unused.pop() if self._unused else self._transport.acquire(self._quotas, until)
+        if permits is None or not self._transport.extend(permits, until):
+            self._transport.counters.add("fleet_quota_exhausted")
+            self._transport.release(permits or [])
             return False
-        self._out[dispatch] = held, until
+        self._in_flight[attempt] = permits, until
         return True
 
-    def landed(self, dispatch: int, answered: bool) -> None:
-        held, until = self._out.pop(dispatch, (None, 0.0))
-        if held is None:
+    def landed(self, attempt: int, answered: bool) -> None:
+        """Reuses or releases the permits of an attempt that ended.
+
+        Without an answer the endpoint may go on until the timeout, so the permits stay in use until then.
+        """
+        permits, until = self._in_flight.pop(attempt, (None, 0.0))
+        if permits is None:
             return
         if not answered:
-            # Guards against more at servers than the limit, where they do not notice that a node has gone.
-            self._talk.hold(held, until)
+            # Guards against more attempts at endpoints than the quota: an endpoint that does not notice that
+            # the connection was closed goes on with the attempt.
+            self._transport.expire_at(permits, until)
         elif self._closed:
-            self._talk.release(held)
+            self._transport.release(permits)
         else:
-            self._spare.append(held)
+            self._unused.append(permits)
 
     def close(self) -> None:
+        """Releases the unused permits; those of attempts in flight follow as these end."""
         self._closed = True
-        while self._spare:
-            self._talk.release(self._spare.pop())
+        while self._unused:
+            self._transport.release(self._unused.pop())
 
 
 class FleetTransport(asyncio.DatagramProtocol):
-    """`longest`: s of the longest abandon time; `advice_most`: s that a client may be asked to wait."""
+    """A node's socket in its fleet, and the admission of its requests under the fleet's quotas.
+
+    Args:
+        section: The validated section `fleet` of the configuration.
+        name: The node's name.
+        request_time_max: The longest time (s) that a request of any class may take.
+        seed: For all random choices.
+        retry_after_max: The longest time (s) that a rejected client is asked to wait.
+        counters: The node's counters.
+    """
 
     def __init__(
         self,
         section: Mapping[str, Any],
         name: str,
-        longest: float,
+        request_time_max: float,
         seed: int,
-        advice_most: float,
+        retry_after_max: float,
         counters: Counters,
     ) -> None:
         config = read_section(section)
         self.counters = counters
         self._listen: Address = address_of(config.listen)
-        self._rate = config.clock_rate
-        self._stretch = (1 + config.clock_drift) / (1 - config.clock_drift)
+        self._clock_rate = config.clock_rate
+        self._clock_stretch = (1 + config.clock_drift) / (1 - config.clock_drift)
         self._scopes = config.scopes
-        self._advice_most = advice_most
-        self._longest = longest
+        self._retry_after_max = retry_after_max
+        self._request_time_max = request_time_max
         self._loop = asyncio.get_running_loop()
         start = int(time.time() * 1000)
-        most = (longest + SLACK) * self._stretch
-        self.agent = FleetAgent(name, start, config, most, seed, self.now())
+        permit_time_max = (request_time_max + PERMIT_SLACK_S) * self._clock_stretch
+        self.agent = FleetAgent(name, start, config, permit_time_max, seed, self.now())
         self._waiting: deque[Waiter] = deque()
         self._transport: asyncio.DatagramTransport | None = None
-        self._binding: asyncio.Task[None] | None = None
-        self._ticking: asyncio.TimerHandle | None = None
+        self._bind_task: asyncio.Task[None] | None = None
+        self._tick_timer: asyncio.TimerHandle | None = None
         self._closed = False
-        self._told_at: dict[str, float] = {}
+        self._logged_at: dict[str, float] = {}
         counters.gauge("fleet_members_alive", lambda: len(self.agent.membership.live()))
         counters.gauge("fleet_requests_waiting", lambda: len(self._waiting))
 
     def now(self) -> float:
-        """The fleet's clock at this node: one that goes on while the machine sleeps, and never jumps."""
-        # Guards against leases that outlast a machine's sleep, which the usual clock does not count.
-        return time.clock_gettime(time.CLOCK_BOOTTIME) * self._rate
+        """Returns this node's time (s) on the fleet's clock, which counts suspended time and never jumps."""
+        # Guards against leases that outlast the suspension of a machine: CLOCK_MONOTONIC does not count it.
+        return time.clock_gettime(time.CLOCK_BOOTTIME) * self._clock_rate
 
-    def until(self, within: float) -> float:
-        """When the time of a dispatch written now is over by any clock."""
-        return self.now() + (within + ARRIVE_SLACK) * self._stretch
+    def attempt_end(self, timeout: float) -> float:
+        """Returns when (s, the fleet's clock) an attempt written now has timed out by every clock."""
+        return self.now() + (timeout + ARRIVAL_SLACK_S) * self._clock_stretch
 
     # The socket.
 
     async def open(self) -> None:
+        """Binds the socket, in the background if the address is in use, and starts the timer."""
         if not await self._bind():
-            self._binding = asyncio.create_task(self._bind_late())
+            self._bind_task = asyncio.create_task(self._retry_bind())
         self._tick()
 
     async def _bind(self) -> bool:
-        # Not shared: one process alone has a name's rights, and the address is how the system sees to it.
+        # The address is not shared, so the kernel ensures that only one process uses the units of a node.
         try:
             await self._loop.create_datagram_endpoint(lambda: self, local_addr=self._listen)
         except OSError as error:
-            self._tell(
-                "fleet talk can't listen", str(error), "end the earlier process of this node, if it stays"
+            self._log_fault(
+                "fleet talk can't listen",
+                str(error),
+                "if it persists, end the earlier process of this node",
             )
             return False
         log.info("fleet started", extra=pairs(listen=text_of(self._listen)))
         return True
 
-    async def _bind_late(self) -> None:
+    async def _retry_bind(self) -> None:
         while not self._closed and not await self._bind():
-            await asyncio.sleep(BIND_EVERY)
+            await asyncio.sleep(BIND_RETRY_INTERVAL_S)
+
+    # Methods of `asyncio.DatagramProtocol`.
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
+        """Stores the bound socket; the quarantine of this node's units counts from now."""
         self._transport = cast(asyncio.DatagramTransport, transport)
         self.agent.quotas.restart_quarantine(self.now())
 
     def datagram_received(self, data: bytes, source: tuple[Any, ...]) -> None:
+        """Processes a datagram and sends the replies; one that must not be accepted is counted and logged."""
         self.counters.add("fleet_datagrams_received")
         try:
             self._send(self.agent.receive(self.now(), data, text_of((source[0], source[1]))))
         except FleetError as error:
-            self.counters.add(f"fleet_datagrams_rejected_{kind_of(error).lower()}")
-            self._tell(kind_of(error), str(error.what), error.remedy)
+            self.counters.add(f"fleet_datagrams_rejected_{fault_kind(error).lower()}")
+            self._log_fault(fault_kind(error), str(error.what), error.remedy)
         except Exception as error:
             self.counters.add_failure("fleet transport failed", error)
-        self._look()
+        self._serve_waiting()
 
     def error_received(self, error: Exception) -> None:
-        """A node that is gone: the talk goes on without it."""
+        """Counts an ICMP error: no process listens at some node's address."""
         self.counters.add("fleet_unreachable")
 
     def _send(self, datagrams: Sequence[Datagram]) -> None:
@@ -189,9 +215,10 @@
     def _tick(self) -> None:
         if self._closed:
             return
-        self._ticking = self._loop.call_later(TICK, self._tick)
+        self._tick_timer = self._loop.call_later(TICK_INTERVAL_S, self._tick)
         if self._transport is None:
-            return self._look()  # guards against rights spent beside an earlier process of this node
+            # Guards against permits used at the same time as those of an earlier process of this node.
+            return self._serve_waiting()
         try:
             now = self.now()
             self._send(self.agent.tick(now))
@@ -201,69 +228,79 @@
                 elif before is not None and before.live and (after is None or not after.live):
                     log.warning("fleet member lost", extra=pairs(node=name))
             for fault in self.agent.faults(now):
-                self._tell(kind_of(fault), f"{fault.where}: {fault.what}", fault.remedy)
+                self._log_fault(fault_kind(fault), f"{fault.where}: {fault.what}", fault.remedy)
         except Exception as error:
             self.counters.add_failure("fleet transport failed", error)
-        self._look()
+        self._serve_waiting()
 
-    def _tell(self, kind: str, what: str, remedy: str) -> None:
+    def _log_fault(self, kind: str, what: str, remedy: str) -> None:
         now = self._loop.time()
-        if now - self._told_at.get(kind, -FAULT_EVERY) >= FAULT_EVERY:
-            self._told_at[kind] = now
+        if now - self._logged_at.get(kind, -FAULT_LOG_INTERVAL_S) >= FAULT_LOG_INTERVAL_S:
+            self._logged_at[kind] = now
             log.warning("fleet fault", extra=pairs(kind=kind, what=what, remedy=remedy))
 
     def close(self) -> None:
+        """Rejects the waiting requests, announces the leave, and closes the socket."""
         self._closed = True
-        if self._ticking is not None:
-            self._ticking.cancel()
-        if self._binding is not None:
-            self._binding.cancel()
+        if self._tick_timer is not None:
+            self._tick_timer.cancel()
+        if self._bind_task is not None:
+            self._bind_task.cancel()
         while self._waiting:
-            self._settle(self._waiting.popleft(), None)
+            self._resolve(self._waiting.popleft(), None)
         if self._transport is not None:
             self._send(self.agent.leave(self.now()))
             self._transport.close()
             self._transport = None
 
-    # Rights.
+    # Permits.
+
+    async def admit(self, spec: RequestSpec) -> Answer | tuple[RequestPermits | None, RequestSpec]:
+        """Waits for a permit under each quota that applies to a request.
 
-    async def admit(self, ask: RequestSpec) -> Answer | tuple[RequestPermits | None, RequestSpec]:
-        """Rights for a job under all limits that are about it, and its ask; or the answer of a refusal."""
-        names = tuple(
-            name for name, scope in self._scopes.items() if scope.covers(ask.request_class, ask.tenant)
+        Returns:
+            The permits (None if no quota applies) and the request with the time that is left; or the response
+            that rejects it.
+        """
+        quotas = tuple(
+            name for name, scope in self._scopes.items() if scope.covers(spec.request_class, spec.tenant)
         )
-        if not names:
-            return None, ask
-        began = self.now()
-        until = began + (min(ask.time_left, self._longest) + SLACK) * self._stretch
-        permits = None if self._queued(names) else self.spend(names, until)
+        if not quotas:
+            return None, spec
+        started_at = self.now()
+        until = (
+            started_at + (min(spec.time_left, self._request_time_max) + PERMIT_SLACK_S) * self._clock_stretch
+        )
+        permits = None if self._has_waiter_for(quotas) else self.acquire(quotas, until)
         if permits is None:
-            deadline = began + min(REQUEST_TIMEOUT_S, WAIT_SHARE * ask.time_left)
-            waiter = Waiter(names, until, deadline, self._loop.create_future())
+            deadline = started_at + min(REQUEST_TIMEOUT_S, WAIT_SHARE * spec.time_left)
+            waiter = Waiter(quotas, until, deadline, self._loop.create_future())
             self._waiting.append(waiter)
-            self._seek(names)
-            self._look()
+            self._update_waiting(quotas)
+            self._serve_waiting()
             try:
-                permits = await waiter.done
+                permits = await waiter.result
             except asyncio.CancelledError:
-                if waiter.done.done() and not waiter.done.cancelled():
-                    self.release(waiter.done.result() or [])
+                if waiter.result.done() and not waiter.result.cancelled():
+                    self.release(waiter.result.result() or [])
                 raise
         if permits is None:
             self.counters.add("fleet_requests_rejected")
-            there = [name for name in names if name in self.agent.quotas.names]
-            free_in = max((self.agent.quotas.retry_after(self.now(), name) for name in there), default=0.0)
-            return rejection(min(free_in, self._advice_most))
-        waited = self.now() - began
-        return RequestPermits(self, names, permits), replace(ask, time_left=ask.time_left - waited)
+            configured = [name for name in quotas if name in self.agent.quotas.names]
+            retry_after = max(
+                (self.agent.quotas.retry_after(self.now(), name) for name in configured), default=0.0
+            )
+            return rejection(min(retry_after, self._retry_after_max))
+        waited = self.now() - started_at
+        return RequestPermits(self, quotas, permits), replace(spec, time_left=spec.time_left - waited)
 
-    def _queued(self, names: Sequence[str]) -> bool:
-        return any(name in waiter.names for waiter in self._waiting for name in names)
+    def _has_waiter_for(self, quotas: Sequence[str]) -> bool:
+        return any(name in waiter.quotas for waiter in self._waiting for name in quotas)
 
-    def spend(self, names: Sequence[str], until: float) -> list[Permit] | None:
-        """A right under each limit that there still is, or none at all."""
+    def acquire(self, quotas: Sequence[str], until: float) -> list[Permit] | None:
+        """Returns a permit under each of the quotas that still exist, or None if any of them has none."""
         permits: list[Permit] = []
-        for name in (name for name in names if name in self.agent.quotas.names):
+        for name in (name for name in quotas if name in self.agent.quotas.names):
             permit = self.agent.quotas.acquire(self.now(), name, until)
             if permit is None:
                 self.release(permits)
@@ -272,72 +309,86 @@
         return permits
 
     def extend(self, permits: Sequence[Permit], until: float) -> bool:
+        """Extends permits until then; returns False if one has expired or cannot be extended so far."""
         return all(self.agent.quotas.extend(self.now(), permit, until) for permit in permits)
 
     def release(self, permits: Sequence[Permit]) -> None:
+        """Frees the units of permits that are no longer needed."""
         for permit in permits:
             self._send(self.agent.pack(self.agent.quotas.release(self.now(), permit)))
         if permits and self._waiting:
-            self._loop.call_soon(self._look)
+            self._loop.call_soon(self._serve_waiting)
 
-    def hold(self, permits: Sequence[Permit], until: float) -> None:
+    def expire_at(self, permits: Sequence[Permit], until: float) -> None:
+        """Keeps permits until then and no longer."""
         for permit in permits:
             self.agent.quotas.expire_at(permit, until)
 
-    def _seek(self, names: Sequence[str]) -> None:
-        for name in dict.fromkeys(names):
-            waiting = sum(1 for waiter in self._waiting if name in waiter.names)
+    def _update_waiting(self, quotas: Sequence[str]) -> None:
+        for name in dict.fromkeys(quotas):
+            waiting = sum(1 for waiter in self._waiting if name in waiter.quotas)
             self._send(self.agent.pack(self.agent.quotas.set_waiting(self.now(), name, waiting)))
 
-    def _look(self) -> None:
-        """Those who wait, in order: each gets its rights, or its no once nothing is to be hoped for."""
-        limits = self.agent.quotas
+    def _serve_waiting(self) -> None:
+        """Grants permits to the waiting requests in order, and rejects those that can no longer get any."""
+        fleet_quotas = self.agent.quotas
         if not self._waiting:
             return
-        now, short, changed = self.now(), set[str](), list[str]()
+        now, exhausted, changed = self.now(), set[str](), list[str]()
         for waiter in list(self._waiting):
-            # Guards against a job that overtakes those who waited before it.
-            permits = None if short.intersection(waiter.names) else self.spend(waiter.names, waiter.until)
-            hopeless = now >= waiter.deadline or not any(limits.may_be_granted(name) for name in waiter.names)
-            if waiter.done.cancelled() or permits is not None or hopeless:
+            # Guards against a request that gets a unit before an earlier one that waits for the same quota.
+            permits = (
+                None if exhausted.intersection(waiter.quotas) else self.acquire(waiter.quotas, waiter.until)
+            )
+            is_rejected = now >= waiter.deadline or not any(
+                fleet_quotas.may_be_granted(name) for name in waiter.quotas
+            )
+            if waiter.result.cancelled() or permits is not None or is_rejected:
                 self._waiting.remove(waiter)
-                self._settle(waiter, permits)
-                changed += waiter.names
+                self._resolve(waiter, permits)
+                changed += waiter.quotas
             if permits is None:
-                short.update(waiter.names)
+                exhausted.update(waiter.quotas)
         if changed:
-            self._seek(changed)
+            self._update_waiting(changed)
 
-    def _settle(self, waiter: Waiter, permits: list[Permit] | None) -> None:
-        if waiter.done.done():
+    def _resolve(self, waiter: Waiter, permits: list[Permit] | None) -> None:
+        if waiter.result.done():
             self.release(permits or [])
         else:
-            waiter.done.set_result(permits)
+            waiter.result.set_result(permits)
+
+    # Reconfiguration and status.
 
-    # The file, and what is shown.
+    def apply_config(self, section: Mapping[str, Any], request_time_max: float) -> None:
+        """Replaces keys and quotas by those of a reloaded configuration.
 
-    def apply_config(self, section: Mapping[str, Any], longest: float) -> None:
-        """Keys and limits as the file has them now; a FleetError where they can't be taken yet."""
-        # Guards against jobs that outlast the rights lent for them: these follow the longest at the start.
-        if longest > self._longest:
-            what = f"a profile's time of {longest} s, over the {self._longest} s that rights are lent for"
-            raise LongerJobs(what, "settings.profiles", "start the node again with it")
+        Raises:
+            FleetError: They can't change yet, or a request class may take longer than the leases allow for.
+        """
+        # Guards against requests that outlast their leases: a lease's term follows from the longest request
+        # time at the start of this process.
+        if request_time_max > self._request_time_max:
+            what = (
+                f"a profile's time of {request_time_max} s exceeds the {self._request_time_max} s of leases"
+            )
+            raise LongerJobs(what, "settings.profiles", "restart the node with this configuration")
         config = read_section(section)
         self.agent.apply_config(self.now(), config)
         self._scopes = config.scopes
         for waiter in self._waiting:
-            # Guards against jobs that wait under a limit which has gone.
-            waiter.names = tuple(name for name in waiter.names if name in self.agent.quotas.names)
-        self._look()
+            # Guards against requests that wait for a quota which was removed.
+            waiter.quotas = tuple(name for name in waiter.quotas if name in self.agent.quotas.names)
+        self._serve_waiting()
 
     def status(self) -> dict[str, Any]:
-        """What this node holds of its fleet, for an operator."""
+        """Returns this node's view of its fleet, for the admin API."""
         now, agent = self.now(), self.agent
         return {
             "away": agent.membership.is_away(now),
             "nodes": {
-                name: {"state": held.state.name.lower(), "start": held.start, "at": held.address}
-                for name, held in agent.membership.members().items()
+                name: {"state": member.state.name.lower(), "start": member.start, "at": member.address}
+                for name, member in agent.membership.members().items()
             },
             "limits": {name: agent.quotas.stats(now, name)._asdict() for name in agent.quotas.names},
             "faults": [str(fault) for fault in agent.faults(now)],
