--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -370,7 +370,7 @@
         # time at the start of this process.
         if request_time_max > self._request_time_max:
             what = (
-                f"a profile's time of {request_time_max} s exceeds the {self._request_time_max} s of leases"
+                f"a profile's time of {request_time_max} s exceeds the {self._request_time_max} s that leases cover"
             )
             raise LongerJobs(what, "settings.profiles", "restart the node with this configuration")
         config = read_section(section)
--- a/notchjunction/net/gossip_socket.py
+++ b/notchjunction/net/gossip_socket.py
@@ -48,7 +48,8 @@
 
     async def open(self) -> None:
         """Binds the socket; raises OSError if that fails."""
-        # The port is shared: two processes run as this node during an upgrade, and either may receive a datagram.
+        # The port is shared: during an upgrade two processes run as this node, and either may receive a
+        # datagram.
         await asyncio.get_running_loop().create_datagram_endpoint(
             lambda: self, local_addr=self._listen, reuse_port=True
         )
--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -282,7 +282,7 @@
             running(server, **{**BESIDE, "node_count": 2, "node_index": 0}) as (node, at),
         ):
             node._talk = GossipSocket(free_address(), [], lambda *_: None, node.counters)
-            node._talk.send = lambda peer, note: notes.append(note)  # type: ignore[method-assign]
+            node._talk.send = lambda peer, data: notes.append(data)  # type: ignore[method-assign]
             client = await Client().open(at)
             client.ask()
             assert (await client.answer()).status == 200
