--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -383,18 +383,18 @@
 DRIFT = 0.05
 MOVE_KINDS = (
     "deliver",
-    "seek",
-    "spend",
-    "end",
-    "pass",
-    "near",
-    "take",
+    "wait",
+    "acquire_and_write",
+    "release",
+    "advance",
+    "advance_near",
+    "acquire",
     "write",
     "pause",
-    "wake",
-    "replan",
+    "resume",
+    "change_plan",
     "lose",
-    "repeat",
+    "duplicate",
     "crash",
 )
 MOVE_WEIGHTS = (6.0, 1.0, 3.0, 1.0, 1.0, 1.0, 1.0, 1.0, 0.3, 1.0, 0.3, 0.3, 0.5, 0.2)
@@ -409,7 +409,7 @@
         after = Plan(LIMIT, Split(2, {"a": 1, "b": 1, "d": 2}), before)
         plans: dict[str, Sequence[Plan]] = {name: [Plan(LIMIT, before), after] for name in "abcde"}
         self._world = LimitsWorld(
-            plans, CLOCK_RATES, DRIFT, kinds=MOVE_KINDS, losses=20, repeats=20, crashes=4
+            plans, CLOCK_RATES, DRIFT, kinds=MOVE_KINDS, losses=20, duplicates=20, crashes=4
         ).settle(fleet.LIMIT_SETTLE_S)
         self._moves = list(self._world.moves())
 
@@ -420,23 +420,23 @@
     def moves(self) -> Sequence[fleet.Move]:
         """As in `fleet.LimitWorld`."""
         self._moves = list(self._world.moves())
-        return [fleet.Move(MOVE_KINDS.index(move.kind), move.at) for move in self._moves]
+        return [fleet.Move(MOVE_KINDS.index(move.kind), move.position) for move in self._moves]
 
     def take(self, number: int) -> None:
         """As in `fleet.LimitWorld`."""
-        self._world.do(self._moves[number])
+        self._world.apply(self._moves[number])
 
     def messages(self) -> Sequence[fleet.Message]:
         """As in `fleet.LimitWorld`."""
         return [
             fleet.Message(flight.to, tuple(flattened(fleet.wire_value(flight.message))))
-            for flight in self._world.flights
+            for flight in self._world.messages
         ]
 
     def state(self) -> Iterator[tuple[float, ...]]:
         """As in `fleet.LimitWorld`."""
-        for number in range(len(self._world.places)):
-            figures = self._world.of(number).stats(self._world.clock(number), LIMIT)
+        for number in range(len(self._world.nodes)):
+            figures = self._world.quotas_of(number).stats(self._world.clock(number), LIMIT)
             yield tuple(flattened(figures))
 
 
--- a/notchjunction/fleet/exploration.py
+++ b/notchjunction/fleet/exploration.py
@@ -1,10 +1,9 @@
-"""Small worlds in which a hard limit is tried out: every order of delivery, loss, repeat, pause, crash and
-time.
+"""Model checking of the fleet's quotas over orders of delivery, loss, duplication, pauses, crashes and time.
 
-For tests and the laboratory; a node never imports it. A world is a few nodes' real `Limits`, the messages
-on their way, and the dispatches that are truly out, by a true time that no node knows. `explore` goes
-through all worlds that so many moves lead to, each once; `walk` follows one long chain of moves by chance.
-Both end at the first world in which more is out than the limit, and give the moves that led there.
+For tests and benchmarks; a node never imports it. A world holds the real `Quotas` of a few nodes, the
+messages in flight, and the attempts in flight by a true time that no node knows. `explore` visits every world
+that a number of moves leads to, each once. `walk` follows one long sequence of random moves. Both end at the
+first world with more attempts in flight than the quota allows, and return the moves that led to it.
 """
 
 from __future__ import annotations
@@ -23,297 +22,343 @@
 from notchjunction.fleet.quotas.quotas import LeaseTiming, Quotas
 from notchjunction.fleet.quotas.state import Permit
 
-NAME = "l"
-TINY = 1e-6  # s by which a moment is passed, or not yet reached
-IN_FLIGHT_MOST = 5  # messages on their way; what is more is lost
-OUT_MOST = 3  # dispatches of one node
+QUOTA = "l"
+EPSILON_S = 1e-6  # how far the true time is set before or after an expiry
+MAX_MESSAGES_IN_FLIGHT = 5  # further ones are lost
+MAX_ATTEMPTS_PER_NODE = 3  # in flight
 
 
 class Move(NamedTuple):
+    """One step of a world."""
+
     kind: str
-    at: int = 0  # a node's place, or a message's
+    position: int = 0  # of a node, or of a message in flight
+
 
+class InFlightMessage(NamedTuple):
+    """A message that has been sent and not yet been delivered or lost."""
 
-class Flight(NamedTuple):
     sender: Sender
     to: int
     message: Message
 
 
 @dataclass(slots=True)
-class Dispatch:
+class InFlightAttempt:
+    """An attempt that an endpoint may be working on."""
+
     node: int
     permit: Permit
-    until: float  # true time at which its server's time for it is over, by a server's clock that may run slow
+    until: float  # true time at which it has timed out even by the clock of an endpoint that runs slow
 
 
 @dataclass(slots=True)
-class Place:
-    """One node: its clock reads `offset` plus the true time at `rate`."""
+class SimulatedNode:
+    """A node whose clock shows `offset` plus the true time multiplied by `rate`."""
 
     name: str
     rate: float
     offset: float
-    plans: list[Plan]  # what its file says, the one in force first; a move goes on to the next
-    limits: Quotas | None = None
+    plans: list[Plan]  # the one in force, then those that it is reconfigured to
+    quotas: Quotas | None = None
     start: int = 1
     paused: bool = False
-    taken: list[Permit] = field(default_factory=list)  # spent, and nothing written under it yet
+    unwritten_permits: list[Permit] = field(default_factory=list)  # acquired, no attempt written yet
 
 
-class First:
-    """In place of chance: a world that is explored has no other."""
+class FirstChoice:
+    """Replaces the random choice of an owner, so that a world is deterministic."""
 
     def choice(self, names: Sequence[str], /) -> str:
+        """Returns the first of the names."""
         return names[0]
 
 
 class World:
-    """Nodes with their clocks' rates; each asks for dispatches of `within` seconds."""
+    """A few nodes that share one quota, the messages between them, and their attempts in flight.
+
+    Args:
+        plans: The plans of each node, by its name: the one in force, then those that it is reconfigured to.
+        rates: The rate of each node's clock.
+        drift: The share by which clocks may deviate, as configured.
+        timeout: Timeout of each attempt, in seconds.
+        kinds: The kinds of moves that are possible.
+        losses: How many messages may be lost.
+        duplicates: How many messages may be delivered twice.
+        crashes: How many nodes may crash.
+    """
 
     def __init__(
         self,
         plans: dict[str, Sequence[Plan]],
         rates: Sequence[float],
         drift: float,
-        within: float = 1.0,
-        kinds: Sequence[str] = ("pass", "spend", "end", "seek", "deliver"),
+        timeout: float = 1.0,
+        kinds: Sequence[str] = ("advance", "acquire_and_write", "release", "wait", "deliver"),
         losses: int = 0,
-        repeats: int = 0,
+        duplicates: int = 0,
         crashes: int = 0,
     ) -> None:
         self.now = 100.0
         self.drift = drift
-        self.within = within
+        self.timeout = timeout
         self.kinds = tuple(kinds)
-        self.left = {"lose": losses, "repeat": repeats, "crash": crashes}
-        self.flights: list[Flight] = []
-        self.out: list[Dispatch] = []
-        self.places = [
-            Place(name, rate, 1000.0 * number, list(mine))
-            for number, ((name, mine), rate) in enumerate(zip(plans.items(), rates, strict=True))
+        self.remaining = {"lose": losses, "duplicate": duplicates, "crash": crashes}
+        self.messages: list[InFlightMessage] = []
+        self.attempts: list[InFlightAttempt] = []
+        self.nodes = [
+            SimulatedNode(name, rate, 1000.0 * number, list(own_plans))
+            for number, ((name, own_plans), rate) in enumerate(zip(plans.items(), rates, strict=True))
         ]
-        for number in range(len(self.places)):
-            self._start(number)
-
-    def _start(self, number: int) -> None:
-        place = self.places[number]
-        limits = Quotas(
-            Sender(place.name, place.start),
-            place.plans[:1],
-            LeaseTiming(self.drift, self.within),
+        for number in range(len(self.nodes)):
+            self._start_node(number)
+
+    def _start_node(self, number: int) -> None:
+        node = self.nodes[number]
+        quotas = Quotas(
+            Sender(node.name, node.start),
+            node.plans[:1],
+            LeaseTiming(self.drift, self.timeout),
             1,
             self.clock(number),
         )
-        limits.borrower.chooser = First()
-        place.limits = limits
+        quotas.borrower.chooser = FirstChoice()
+        node.quotas = quotas
 
     def clock(self, number: int) -> float:
-        place = self.places[number]
-        return place.offset + self.now * place.rate
+        """Returns the time (s) that a node's clock shows."""
+        node = self.nodes[number]
+        return node.offset + self.now * node.rate
 
-    def of(self, number: int) -> Quotas:
-        limits = self.places[number].limits
-        assert limits is not None
-        return limits
+    def quotas_of(self, number: int) -> Quotas:
+        """Returns a node's quotas."""
+        quotas = self.nodes[number].quotas
+        assert quotas is not None
+        return quotas
 
-    # What can happen.
+    # Moves.
 
     def moves(self) -> Iterator[Move]:
-        """All that may come next, in a fixed order."""
-        awake = [number for number, place in enumerate(self.places) if not place.paused]
+        """Yields all moves that are possible now, in a fixed order."""
+        running = [number for number, node in enumerate(self.nodes) if not node.paused]
         for kind in self.kinds:
             match kind:
-                case "deliver" | "lose" | "repeat":
-                    if self.left.get(kind, 1):
-                        to = (number for number, flight in enumerate(self.flights) if flight.to in awake)
-                        yield from (Move(kind, number) for number in to)
-                case "pass" | "near":
+                case "deliver" | "lose" | "duplicate":
+                    if self.remaining.get(kind, 1):
+                        deliverable = (
+                            number for number, sent in enumerate(self.messages) if sent.to in running
+                        )
+                        yield from (Move(kind, number) for number in deliverable)
+                case "advance" | "advance_near":
                     yield Move(kind)
-                case "spend" | "take":
-                    few = [n for n in awake if sum(1 for each in self.out if each.node == n) < OUT_MOST]
-                    yield from (Move(kind, number) for number in few if not self.places[number].taken)
+                case "acquire_and_write" | "acquire":
+                    below_max = [
+                        n
+                        for n in running
+                        if sum(1 for attempt in self.attempts if attempt.node == n) < MAX_ATTEMPTS_PER_NODE
+                    ]
+                    yield from (
+                        Move(kind, number) for number in below_max if not self.nodes[number].unwritten_permits
+                    )
                 case "write":
-                    yield from (Move(kind, number) for number in awake if self.places[number].taken)
-                case "end":
-                    yield from (Move(kind, n) for n in awake if any(each.node == n for each in self.out))
-                case "wake":
-                    yield from (Move(kind, n) for n, place in enumerate(self.places) if place.paused)
-                case "replan":
-                    ready = [n for n in awake if self.of(n).states[NAME].phase is Phase.GROWN]
-                    yield from (Move(kind, n) for n in ready if len(self.places[n].plans) > 1)
+                    yield from (
+                        Move(kind, number) for number in running if self.nodes[number].unwritten_permits
+                    )
+                case "release":
+                    yield from (
+                        Move(kind, n) for n in running if any(attempt.node == n for attempt in self.attempts)
+                    )
+                case "resume":
+                    yield from (Move(kind, n) for n, node in enumerate(self.nodes) if node.paused)
+                case "change_plan":
+                    ready = [n for n in running if self.quotas_of(n).states[QUOTA].phase is Phase.GROWN]
+                    yield from (Move(kind, n) for n in ready if len(self.nodes[n].plans) > 1)
                 case "crash":
-                    if self.left["crash"]:
-                        yield from (Move(kind, number) for number in range(len(self.places)))
+                    if self.remaining["crash"]:
+                        yield from (Move(kind, number) for number in range(len(self.nodes)))
                 case _:
-                    yield from (Move(kind, number) for number in awake)
+                    yield from (Move(kind, number) for number in running)
 
-    def do(self, move: Move) -> None:
-        number = move.at
-        if move.kind in self.left:
-            self.left[move.kind] -= 1
+    def apply(self, move: Move) -> None:
+        """Makes one of the possible moves."""
+        number = move.position
+        if move.kind in self.remaining:
+            self.remaining[move.kind] -= 1
         match move.kind:
             case "deliver":
-                self._deliver(self.flights.pop(number))
-            case "repeat":
-                self._deliver(self.flights[number])
+                self._deliver(self.messages.pop(number))
+            case "duplicate":
+                self._deliver(self.messages[number])
             case "lose":
-                del self.flights[number]
-            case "pass" | "near":
-                ahead = min(
-                    (at for at in self._moments() if at > self.now + 2 * TINY), default=self.now + 1.0
+                del self.messages[number]
+            case "advance" | "advance_near":
+                expiry = min(
+                    (at for at in self._expiries() if at > self.now + 2 * EPSILON_S), default=self.now + 1.0
                 )
-                self.now = ahead + (TINY if move.kind == "pass" else -TINY)
+                self.now = expiry + (EPSILON_S if move.kind == "advance" else -EPSILON_S)
                 self._tick()
-            case "spend":
-                if self._take(number):
+            case "acquire_and_write":
+                if self._acquire(number):
                     self._write(number)
-            case "take":
-                self._take(number)
+            case "acquire":
+                self._acquire(number)
             case "write":
                 self._write(number)
-            case "end":
-                self._end(number)
-            case "seek":
-                self._carry(number, self.of(number).set_waiting(self.clock(number), NAME, 1))
+            case "release":
+                self._release(number)
+            case "wait":
+                self._send(number, self.quotas_of(number).set_waiting(self.clock(number), QUOTA, 1))
             case "pause":
-                self.places[number].paused = True
-            case "wake":
-                self.places[number].paused = False
-            case "replan":
-                plans = self.places[number].plans
-                self.of(number).apply_plans(self.clock(number), plans[1:2])
+                self.nodes[number].paused = True
+            case "resume":
+                self.nodes[number].paused = False
+            case "change_plan":
+                plans = self.nodes[number].plans
+                self.quotas_of(number).apply_plans(self.clock(number), plans[1:2])
                 del plans[0]
             case "crash":
-                place = self.places[number]
-                place.start += 1
-                place.taken.clear()
-                place.paused = False
-                self._start(number)  # what it had out goes on at its servers
-        self.out = [each for each in self.out if each.until > self.now]
+                node = self.nodes[number]
+                node.start += 1
+                node.unwritten_permits.clear()
+                node.paused = False
+                self._start_node(number)  # its attempts in flight continue at their endpoints
+        self.attempts = [attempt for attempt in self.attempts if attempt.until > self.now]
 
     def _tick(self) -> None:
-        for number, place in enumerate(self.places):
-            if not place.paused:
-                self._carry(number, self.of(number).tick(self.clock(number)))
+        for number, node in enumerate(self.nodes):
+            if not node.paused:
+                self._send(number, self.quotas_of(number).tick(self.clock(number)))
 
-    def _take(self, number: int) -> bool:
+    def _acquire(self, number: int) -> bool:
         now = self.clock(number)
-        permit = self.of(number).acquire(now, NAME, now + self._needed())
+        permit = self.quotas_of(number).acquire(now, QUOTA, now + self._permit_time())
         if permit is not None:
-            self.places[number].taken.append(permit)
+            self.nodes[number].unwritten_permits.append(permit)
         return permit is not None
 
-    def _needed(self) -> float:
-        """s by the node's clock after which a dispatch's time is over by any server's."""
-        return self.within * (1 + self.drift) / (1 - self.drift)
+    def _permit_time(self) -> float:
+        """Returns the seconds on a node's clock after which an attempt has timed out by every clock."""
+        return self.timeout * (1 + self.drift) / (1 - self.drift)
 
     def _write(self, number: int) -> None:
-        now, permit = self.clock(number), self.places[number].taken.pop()
-        if self.of(number).extend(now, permit, now + self._needed()):
-            self.out.append(Dispatch(number, permit, self.now + self.within / (1 - self.drift)))
-
-    def _end(self, number: int) -> None:
-        ended = next(each for each in self.out if each.node == number)
-        self.out.remove(ended)
-        self._carry(number, self.of(number).release(self.clock(number), ended.permit))
-
-    def _deliver(self, flight: Flight) -> None:
-        outgoing = self.of(flight.to).receive(self.clock(flight.to), flight.sender, flight.message)
-        self._carry(flight.to, outgoing)
-
-    def _carry(self, number: int, outgoing: Sequence[OutgoingMessage]) -> None:
-        place = self.places[number]
-        names = [each.name for each in self.places]
-        for out in outgoing:
-            if len(self.flights) < IN_FLIGHT_MOST and out.to in names:
-                sender = Sender(place.name, place.start)
-                self.flights.append(Flight(sender, names.index(out.to), out.message))
-
-    def _moments(self) -> Iterator[float]:
-        """True times at which something ends at a node."""
-        for number, place in enumerate(self.places):
-            side = self.of(number).states[NAME]
-            leases = [lease for lease in side.leases.values() if lease.granted]
-            ends = [lease.end for lease in leases] + [lease.end - self._needed() for lease in leases]
-            ends += [loan.ends for loan in side.loans.values()]
-            ends += [until for until, _, permit in side.permits if permit.live]
-            ends += [side.quarantine_ends] if side.phase is Phase.STARTING else []
-            yield from ((end - place.offset) / place.rate for end in ends)
-            yield from (each.until for each in self.out if each.node == number)
+        now, permit = self.clock(number), self.nodes[number].unwritten_permits.pop()
+        if self.quotas_of(number).extend(now, permit, now + self._permit_time()):
+            self.attempts.append(InFlightAttempt(number, permit, self.now + self.timeout / (1 - self.drift)))
+
+    def _release(self, number: int) -> None:
+        released = next(attempt for attempt in self.attempts if attempt.node == number)
+        self.attempts.remove(released)
+        self._send(number, self.quotas_of(number).release(self.clock(number), released.permit))
+
+    def _deliver(self, sent: InFlightMessage) -> None:
+        outgoing = self.quotas_of(sent.to).receive(self.clock(sent.to), sent.sender, sent.message)
+        self._send(sent.to, outgoing)
+
+    def _send(self, number: int, outgoing: Sequence[OutgoingMessage]) -> None:
+        node = self.nodes[number]
+        names = [other.name for other in self.nodes]
+        for item in outgoing:
+            if len(self.messages) < MAX_MESSAGES_IN_FLIGHT and item.to in names:
+                sender = Sender(node.name, node.start)
+                self.messages.append(InFlightMessage(sender, names.index(item.to), item.message))
+
+    def _expiries(self) -> Iterator[float]:
+        """Yields the true times at which a lease, a loan, a permit, a quarantine or an attempt ends."""
+        for number, node in enumerate(self.nodes):
+            state = self.quotas_of(number).states[QUOTA]
+            leases = [lease for lease in state.leases.values() if lease.granted]
+            ends = [lease.end for lease in leases] + [lease.end - self._permit_time() for lease in leases]
+            ends += [loan.ends for loan in state.loans.values()]
+            ends += [until for until, _, permit in state.permits if permit.live]
+            ends += [state.quarantine_ends] if state.phase is Phase.STARTING else []
+            yield from ((end - node.offset) / node.rate for end in ends)
+            yield from (attempt.until for attempt in self.attempts if attempt.node == number)
 
     def settle(self, seconds: float) -> World:
-        """Lets so much time pass with every message delivered; for a beginning in which all is calm."""
+        """Advances the time with every message delivered at once, and returns this world.
+
+        Used to reach a steady initial state, in which no quarantine is left.
+        """
         until = self.now + seconds
         while self.now < until:
             self.now += 0.05
             self._tick()
-            while self.flights:
-                self._deliver(self.flights.pop(0))
+            while self.messages:
+                self._deliver(self.messages.pop(0))
         return self
 
-    # The promise.
+    # The checked property.
 
-    def most(self) -> int:
-        """The limit in force: the larger of two splits until all nodes that run have settled to the last."""
-        plans = [place.plans[0] for place in self.places]
+    def limit_in_force(self) -> int:
+        """Returns the quota: the larger one of the splits until all nodes have settled to the newest."""
+        plans = [node.plans[0] for node in self.nodes]
         newest = max(plans, key=lambda plan: plan.split.revision)
-        sides = [self.of(number).states[NAME] for number in range(len(self.places))]
-        done = all(side.phase is Phase.GROWN and side.plan.split == newest.split for side in sides)
-        if done:
+        states = [self.quotas_of(number).states[QUOTA] for number in range(len(self.nodes))]
+        is_settled = all(state.phase is Phase.GROWN and state.plan.split == newest.split for state in states)
+        if is_settled:
             return newest.split.total
         splits = [plan.split.total for plan in plans] + [plan.before.total for plan in plans if plan.before]
         return max(splits)
 
-    def broken(self) -> bool:
-        return len(self.out) > self.most()
+    def is_limit_exceeded(self) -> bool:
+        """Returns whether more attempts are in flight than the quota allows."""
+        return len(self.attempts) > self.limit_in_force()
 
 
 @dataclass(frozen=True, slots=True)
-class Found:
-    """What a search saw; `way`: the moves to a world in which the promise is broken, if there is one."""
-
-    worlds: int
-    most_out: int
-    way: tuple[Move, ...] | None = None
-
-
-def explore(world: World, moves: int, worlds_most: int = 100_000) -> Found:
-    """Every world within so many moves, each once; ends early at `worlds_most`."""
-    first = pickle.dumps(world)
-    seen = {hash(first)}
-    ahead: deque[tuple[bytes, tuple[Move, ...]]] = deque([(first, ())])
-    most_out = len(world.out)
-    while ahead and len(seen) < worlds_most:
-        packed, way = ahead.popleft()
-        here: World = pickle.loads(packed)
-        for move in list(here.moves()):
-            there: World = pickle.loads(packed)
-            there.do(move)
-            most_out = max(most_out, len(there.out))
-            if there.broken():
-                return Found(len(seen), most_out, (*way, move))
-            then = pickle.dumps(there)
-            if hash(then) not in seen:
-                seen.add(hash(then))
-                if len(way) + 1 < moves:
-                    ahead.append((then, (*way, move)))
-    return Found(len(seen), most_out)
-
-
-def walk(world: World, seed: int, moves: int, weights: dict[str, float] | None = None) -> Found:
-    """One chain of so many moves by chance, from a copy; `weights` by kind of move, 1 where none is given."""
+class SearchResult:
+    """The result of a search."""
+
+    worlds: int  # visited
+    max_in_flight: int  # attempts, the most in any world visited
+    path: tuple[Move, ...] | None = (
+        None  # the moves to a world that exceeds the quota; None if none was found
+    )
+
+
+def explore(world: World, moves: int, max_worlds: int = 100_000) -> SearchResult:
+    """Visits every world within a number of moves, each once; ends early after `max_worlds` worlds."""
+    initial = pickle.dumps(world)
+    seen = {hash(initial)}
+    pending: deque[tuple[bytes, tuple[Move, ...]]] = deque([(initial, ())])
+    max_in_flight = len(world.attempts)
+    while pending and len(seen) < max_worlds:
+        packed, path = pending.popleft()
+        current: World = pickle.loads(packed)
+        for move in list(current.moves()):
+            next_world: World = pickle.loads(packed)
+            next_world.apply(move)
+            max_in_flight = max(max_in_flight, len(next_world.attempts))
+            if next_world.is_limit_exceeded():
+                return SearchResult(len(seen), max_in_flight, (*path, move))
+            packed_next = pickle.dumps(next_world)
+            if hash(packed_next) not in seen:
+                seen.add(hash(packed_next))
+                if len(path) + 1 < moves:
+                    pending.append((packed_next, (*path, move)))
+    return SearchResult(len(seen), max_in_flight)
+
+
+def walk(world: World, seed: int, moves: int, weights: dict[str, float] | None = None) -> SearchResult:
+    """Follows a random sequence of moves from a copy of a world.
+
+    Args:
+        world: The initial world; it is not changed.
+        seed: Of the random choices.
+        moves: The number of moves.
+        weights: Weights of the choice by kind of move; 1 for a kind that is not given.
+    """
     random = Random(seed)
-    here: World = pickle.loads(pickle.dumps(world))
-    way: list[Move] = []
-    most_out = 0
+    current: World = pickle.loads(pickle.dumps(world))
+    path: list[Move] = []
+    max_in_flight = 0
     for number in range(moves):
-        may = list(here.moves())
-        chances = [(weights or {}).get(move.kind, 1.0) for move in may]
-        move = random.choices(may, chances)[0]
-        here.do(move)
-        way.append(move)
-        most_out = max(most_out, len(here.out))
-        if here.broken():
-            return Found(number + 1, most_out, tuple(way))
-    return Found(moves, most_out)
+        possible = list(current.moves())
+        move_weights = [(weights or {}).get(move.kind, 1.0) for move in possible]
+        move = random.choices(possible, move_weights)[0]
+        current.apply(move)
+        path.append(move)
+        max_in_flight = max(max_in_flight, len(current.attempts))
+        if current.is_limit_exceeded():
+            return SearchResult(number + 1, max_in_flight, tuple(path))
+    return SearchResult(moves, max_in_flight)
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -369,9 +369,7 @@
         # Guards against requests that outlast their leases: a lease's term follows from the longest request
         # time at the start of this process.
         if request_time_max > self._request_time_max:
-            what = (
-                f"a profile's time of {request_time_max} s exceeds the {self._request_time_max} s that leases cover"
-            )
+            what = f"a profile's time of {request_time_max} s exceeds the leases' {self._request_time_max} s"
             raise LongerJobs(what, "settings.profiles", "restart the node with this configuration")
         config = read_section(section)
         self.agent.apply_config(self.now(), config)
--- a/tests/test_quotas.py
+++ b/tests/test_quotas.py
@@ -37,15 +37,15 @@
 ) -> World:
     """a and b own a right each, c borrows; a's clock runs fast and c's slow."""
     plans: dict[str, Sequence[Plan]] = {name: [plan, *more.pop(name, [])] for name in "abc"}
-    return World(plans, rates, DRIFT, kinds=("deliver", "pass", *kinds), **more).settle(CALM)
+    return World(plans, rates, DRIFT, kinds=("deliver", "advance", *kinds), **more).settle(CALM)
 
 
 def borrowed(*kinds: str, **more: Any) -> World:
     """The same, where c holds a's right, and b's is out."""
     found = world(*kinds, **more)
-    for move in (Move("seek", 2), Move("deliver"), Move("deliver"), Move("spend", 1)):
-        found.do(move)
-    assert len(found.out) == 1
+    for move in (Move("wait", 2), Move("deliver"), Move("deliver"), Move("acquire_and_write", 1)):
+        found.apply(move)
+    assert len(found.attempts) == 1
     return found
 
 
@@ -55,10 +55,10 @@
 def lent(*kinds: str, way: float = 0.0, **more: Any) -> World:
     """a owns the one right there is, and has lent it to c; the grant was so long on its way (s)."""
     found = world(*kinds, plan=ALONE, **more)
-    found.do(Move("seek", 2))
-    found.do(Move("deliver"))
+    found.apply(Move("wait", 2))
+    found.apply(Move("deliver"))
     found.now += way
-    found.do(Move("deliver"))
+    found.apply(Move("deliver"))
     return found
 
 
@@ -69,14 +69,20 @@
 
 
 SITUATIONS: dict[str, Callable[[], World]] = {
-    "lent by a fast clock to a slow one": lambda: lent("near", "spend", "end"),
-    "a grant that is late": lambda: lent("near", "spend", "end", way=0.24),
-    "paused between right and writing": lambda: lent("near", "take", "write", "pause", "wake", "spend"),
-    "repeated and lost": lambda: world("seek", "spend", "lose", "repeat", losses=2, repeats=3),
-    "given back and asked again": lambda: borrowed("seek", "spend", "end", "repeat", repeats=2),
-    "killed and started again": lambda: lent("spend", "crash", crashes=2),
+    "lent by a fast clock to a slow one": lambda: lent("advance_near", "acquire_and_write", "release"),
+    "a grant that is late": lambda: lent("advance_near", "acquire_and_write", "release", way=0.24),
+    "paused between right and writing": lambda: lent(
+        "advance_near", "acquire", "write", "pause", "resume", "acquire_and_write"
+    ),
+    "repeated and lost": lambda: world(
+        "wait", "acquire_and_write", "lose", "duplicate", losses=2, duplicates=3
+    ),
+    "given back and asked again": lambda: borrowed(
+        "wait", "acquire_and_write", "release", "duplicate", duplicates=2
+    ),
+    "killed and started again": lambda: lent("acquire_and_write", "crash", crashes=2),
     "changed while some are cut off": lambda: lowered(
-        "spend", "replan", "lose", "crash", losses=2, crashes=1
+        "acquire_and_write", "change_plan", "lose", "crash", losses=2, crashes=1
     ),
 }
 
@@ -84,11 +90,11 @@
 @pytest.mark.parametrize("name", SITUATIONS)
 def test_no_order_of_events_gets_more_out_than_the_limit(name: str) -> None:
     begun = SITUATIONS[name]()
-    found = explore(begun, moves=5, worlds_most=2500)
-    assert found.way is None and found.worlds >= 100, found
+    found = explore(begun, moves=5, max_worlds=2500)
+    assert found.path is None and found.worlds >= 100, found
     for seed in range(6):
-        walked = walk(begun, seed, 250, {"deliver": 6.0, "spend": 3.0, "lose": 0.3})
-        assert walked.way is None, walked
+        walked = walk(begun, seed, 250, {"deliver": 6.0, "acquire_and_write": 3.0, "lose": 0.3})
+        assert walked.path is None, walked
 
 
 @settings(derandomize=True, max_examples=60, deadline=None)
@@ -98,28 +104,28 @@
     after = Plan("l", Split(2, {"a": 1, "b": 1, "d": 2}), before)
     kinds = [
         "deliver",
-        "seek",
-        "spend",
-        "end",
-        "pass",
-        "near",
-        "take",
+        "wait",
+        "acquire_and_write",
+        "release",
+        "advance",
+        "advance_near",
+        "acquire",
         "write",
         "pause",
-        "wake",
-        "replan",
+        "resume",
+        "change_plan",
         "lose",
-        "repeat",
+        "duplicate",
         "crash",
     ]
     rates = (1.05, 1.0, 1 / 1.05, 1 / 1.05, 1.05)
     plans: dict[str, Sequence[Plan]] = {name: [Plan("l", before), after] for name in "abcde"}
-    here = World(plans, rates, DRIFT, kinds=kinds, losses=6, repeats=6, crashes=2)
+    here = World(plans, rates, DRIFT, kinds=kinds, losses=6, duplicates=6, crashes=2)
     here.settle(CALM)
     for number in chosen:
         moves = list(here.moves())
-        here.do(moves[number % len(moves)])
-        assert not here.broken()
+        here.apply(moves[number % len(moves)])
+        assert not here.is_limit_exceeded()
 
 
 def _free_at_term(self: Lender, now: float) -> float:
@@ -164,8 +170,8 @@
     owner: Any, name: str, broken: Callable[..., Any], situation: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(owner, name, broken)
-    found = explore(SITUATIONS[situation](), moves=8, worlds_most=8000)
-    assert found.way is not None
+    found = explore(SITUATIONS[situation](), moves=8, max_worlds=8000)
+    assert found.path is not None
 
 
 def test_an_ask_that_comes_twice_is_lent_for_once(monkeypatch: pytest.MonkeyPatch) -> None:
