--- a/notchjunction/fleet/membership/__init__.py
+++ b/notchjunction/fleet/membership/__init__.py
@@ -1,1 +1,1 @@
-"""Membership of the fleet: which nodes there are, found out by SWIM's probes, gossip and digests."""
+"""Membership of the fleet: which nodes are alive, determined with SWIM's probes, gossip and digests."""
--- a/notchjunction/fleet/membership/anti_entropy.py
+++ b/notchjunction/fleet/membership/anti_entropy.py
@@ -1,4 +1,4 @@
-"""Digests that find what gossip missed, and contact with the dead. Pure."""
+"""Anti-entropy: digests that find the updates which gossip missed, and probes of dead nodes. Pure."""
 
 from __future__ import annotations
 
@@ -10,12 +10,12 @@
 from notchjunction.fleet.membership.messages import Differences, Digest, MemberState, UpdateBatch
 from notchjunction.fleet.membership.records import RecordEvent
 
-DEAD_KEPT_S = 3600.0  # that the dead are remembered; longer than partitions that end by themselves
-DEAD_KEPT_MAX = 2048  # dead remembered; ten restarts of a large fleet under other names
+DEAD_KEPT_S = 3600.0  # retention of records of dead nodes; longer than partitions that end by themselves
+DEAD_KEPT_MAX = 2048  # such records; enough for ten restarts of a large fleet under new names
 
 
 class AntiEntropy:
-    """Compares records with other nodes, and looks for the dead."""
+    """Compares records with other nodes, and probes dead ones to find out that a partition has ended."""
 
     def __init__(
         self,
@@ -30,7 +30,7 @@
         self._detector = detector
 
     def send_updates(self, now: float) -> list[OutgoingMessage]:
-        """Send changed records alone to one node, while there are any."""
+        """Send the changed records, if there are any, to one node in a message of their own."""
         names = self._local.sample(self._table.live(), 1) if self._table.pending else []
         return [
             OutgoingMessage(name, UpdateBatch(self._dissemination.updates_for(now, name))) for name in names
@@ -50,18 +50,21 @@
         return [OutgoingMessage(to, Differences(self._table.digest(), updates))]
 
     def on_differences(self, now: float, to: str, message: Differences) -> list[OutgoingMessage]:
-        """Answer differences with the own records there."""
+        """Answer differences with this node's records in the parts of the digest that differ."""
         if not (parts := self._table.differing_parts(message.sums)):
             return []
         return [OutgoingMessage(to, UpdateBatch(self._dissemination.updates_in(now, parts, message.updates)))]
 
     def contact_dead(self, now: float) -> list[OutgoingMessage]:
-        """Forget those dead for long, and probe another, so that sides of a partition meet again."""
+        """Forget nodes that have been dead for long, and probe one of the others.
+
+        Without these probes the sides of a partition would not find each other once it has ended.
+        """
         gone = [record for record in self._table.ordered().values() if not record.live]
         gone.sort(key=lambda record: record.since, reverse=True)
         for rank, record in enumerate(gone):
             if rank >= DEAD_KEPT_MAX or now - record.since > DEAD_KEPT_S:
                 self._table.apply(now, RecordEvent.RETENTION_ENDED, record)
         known = self._table.records
-        dead = [each.name for each in gone if each.state is MemberState.DEAD and each.name in known]
+        dead = [record.name for record in gone if record.state is MemberState.DEAD and record.name in known]
         return [self._detector.ping(now, name) for name in self._local.sample(dead, 1)]
--- a/notchjunction/fleet/membership/failure_detector.py
+++ b/notchjunction/fleet/membership/failure_detector.py
@@ -1,4 +1,4 @@
-"""SWIM's failure detector: probes, indirect probes and suspicion timeouts, with Lifeguard's guards. Pure."""
+"""SWIM's failure detector with Lifeguard's extensions: probes, indirect probes, suspicion timeouts. Pure."""
 
 from __future__ import annotations
 
@@ -20,25 +20,28 @@
 )
 from notchjunction.fleet.membership.records import Member, RecordEvent
 
-PROBE_INTERVAL_S = 1.0  # each node is probed about once a second by somebody
-PROBE_TIMEOUT_S = 0.3  # for an answer; longer than a way round the world
-INDIRECT_TIMEOUT_S = (
-    0.6  # more with helpers, who wait PROBE_TIMEOUT_S and send a Nack; ends with the interval
-)
-HELPERS = 3  # nodes asked for an indirect probe; one lost datagram or one bad link accuses nobody
-SUSPICION_FACTOR = 4.0  # intervals, times log10 of the nodes, to refute at least; a few rounds of gossip
-SUSPICION_MAX_FACTOR = 3.0  # times as long for a suspicion that nobody shares
-REPROBE_INTERVAL_S = 0.5  # between probes of a suspected node; several times before it is declared dead
-REPROBERS = 10  # nodes that do so, besides the accusers; the others learn of its answer
+PROBE_INTERVAL_S = 1.0  # so each node is probed about once a second by some other node
+PROBE_TIMEOUT_S = 0.3  # longer than any round trip on earth
+# Added for an indirect probe: its helpers wait PROBE_TIMEOUT_S and send a Nack. Ends within the interval.
+INDIRECT_TIMEOUT_S = 0.6
+HELPERS = 3  # nodes asked for an indirect probe, so that one lost datagram or bad link causes no suspicion
+# The minimum time to refute a suspicion: this many probe intervals times log10 of the number of nodes. It is
+# enough for a few rounds of gossip.
+SUSPICION_FACTOR = 4.0
+SUSPICION_MAX_FACTOR = 3.0  # on that minimum, for a suspicion that no other node shares
+REPROBE_INTERVAL_S = 0.5  # a suspected node is probed several times before it is declared dead
+# Expected number of nodes that probe a suspected one again, besides its accusers. The others learn of its
+# answer by gossip.
+REPROBERS = 10
 
 
 @dataclass(slots=True)
 class Probe:
-    """A probe under way; `step_at` is when the next step is due."""
+    """A probe that has not been answered yet."""
 
     member: Member
-    step_at: float
-    helpers: int | None = None
+    step_at: float  # when the next step is due
+    helpers: int | None = None  # how many were asked for an indirect probe; None before that
     nacks: int = 0
 
 
@@ -51,7 +54,7 @@
 
 
 class FailureDetector:
-    """Probes the other nodes, and accuses those that do not answer."""
+    """Probes the other nodes, and suspects those that do not answer."""
 
     def __init__(self, local: LocalNode, table: MemberTable, dissemination: Dissemination) -> None:
         self._local = local
@@ -61,17 +64,17 @@
         self._relays: dict[int, Relay] = {}
 
     def ping(self, now: float, to: str) -> OutgoingMessage:
-        """A Ping under a new number."""
+        """Return a Ping with a new sequence number."""
         seq = self._local.next_seq()
         return OutgoingMessage(to, Ping(seq, self._dissemination.updates_for(now, to, own=True)))
 
     def delay_probes(self, gap: float) -> None:
-        """Give all probes so many seconds more."""
+        """Extend the timeouts of all probes by `gap` seconds."""
         for probe in self._probes.values():
             probe.step_at += gap
 
     def abandon_probes(self) -> None:
-        """Forget all probes, own ones and those for others."""
+        """Drop all probes, this node's own ones and those for other nodes."""
         self._probes.clear()
         self._relays.clear()
 
@@ -95,9 +98,9 @@
         return outgoing
 
     def reprobe_suspect(self, now: float) -> list[OutgoingMessage]:
-        """Probe a suspected node once more."""
-        # Guards against a refutation that was lost: whom it accuses, or would soon declare dead, it probes
-        # again; but not all nodes probe one.
+        """Probe one of the suspected nodes again."""
+        # Guards against a refutation that was lost: this node probes again those that it accuses itself, and
+        # some of those that it would soon declare dead. Not all nodes probe a suspected one.
         is_reprober = self._local.random.random() * self._table.live_count < REPROBERS
         me = self._local.me.name
         names = [
@@ -108,7 +111,7 @@
         return [self.ping(now, name) for name in self._local.sample(names, 1)]
 
     def expire_suspicions(self, now: float) -> None:
-        """Declare dead the suspected nodes whose time to refute is over."""
+        """Declare the suspected nodes dead whose suspicion has timed out."""
         for name in list(self._table.suspects):
             record = self._table.records[name]
             if now - record.since >= self._timeout(record):
@@ -130,12 +133,13 @@
         name = probe.member.name
         record = self._table.records.get(name)
         if record is None or not record.live or record.version != probe.member.version:
-            del self._probes[seq]  # updated since: the probe says nothing of that
+            del self._probes[seq]  # the record was updated since, so the probe is outdated
             return []
         if probe.helpers is None:
             return self._probe_indirectly(now, seq, probe)
         del self._probes[seq]
-        # Guards against a node with bad links accusing the healthy: helpers that do not answer count.
+        # Guards against a node with bad links that suspects healthy ones: a helper that does not answer
+        # counts as a failure of this node's own links.
         self._local.adjust_health(max(0, probe.helpers - probe.nacks) if probe.helpers else 1)
         self._table.apply(now, RecordEvent.PROBE_FAILED, record)
         return []
@@ -154,7 +158,7 @@
         return outgoing
 
     def on_indirect_ping(self, now: float, to: str, message: IndirectPing) -> list[OutgoingMessage]:
-        """Probe a node for another one."""
+        """Probe a node on behalf of another one."""
         if message.name not in self._table.records:
             return []
         ping = self.ping(now, message.name)
@@ -162,7 +166,7 @@
         return [ping]
 
     def on_ack(self, now: float, message: Ack) -> list[OutgoingMessage]:
-        """End the probe that is answered; pass the answer on if it was for another node."""
+        """End the probe that is answered; relay the answer if the probe was for another node."""
         if self._probes.pop(message.seq, None):
             self._local.adjust_health(-1)
         relay = self._relays.pop(message.seq, None)
@@ -185,15 +189,20 @@
 
 
 def suspicion_timeout(nodes: int, confirmations: int) -> float:
-    """Seconds that a suspected node has to refute, if so many others of a fleet share the suspicion."""
+    """Return the seconds that a suspected node has to refute the suspicion.
+
+    Args:
+        nodes: The number of nodes in the fleet.
+        confirmations: How many other nodes share the suspicion.
+    """
     shortest = PROBE_INTERVAL_S * SUSPICION_FACTOR * max(1.0, math.log10(nodes))
     others = min(CONFIRMATIONS_MAX, nodes - 2)
     if others < 1:
         return shortest
-    part = math.log(1 + min(max(confirmations, 0), others)) / math.log(1 + others)
-    return shortest * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1) * part)
+    share = math.log(1 + min(max(confirmations, 0), others)) / math.log(1 + others)
+    return shortest * (SUSPICION_MAX_FACTOR - (SUSPICION_MAX_FACTOR - 1) * share)
 
 
 def detection_time_max(nodes: int) -> float:
-    """Seconds from a node's end until all the others know it dead, in a fleet of so many."""
+    """Return the maximum seconds from a node's crash until all other nodes have declared it dead."""
     return 5 * PROBE_INTERVAL_S + suspicion_timeout(nodes, 2) + PROBE_INTERVAL_S * math.log2(nodes)
--- a/notchjunction/fleet/membership/member_table.py
+++ b/notchjunction/fleet/membership/member_table.py
@@ -1,4 +1,4 @@
-"""All records of one node, kept by the record table, with the digest and what has changed. Pure."""
+"""The records of all members that one node knows, their digest, and the changes to them. Pure."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
     merge,
 )
 
-DEATH_NEWS_S = 1800.0  # after which a death is no news to one who never knew the node
+DEATH_NEWS_S = 1800.0  # an older death of an unknown node is ignored
 
 
 class MemberChange(NamedTuple):
-    """A record that changed; None: not known."""
+    """A change of one record; None stands for no record."""
 
     name: str
     before: Member | None
@@ -39,13 +39,14 @@
 
     def __init__(self, local: LocalNode) -> None:
         self._local = local
-        self.records: dict[str, Member] = {}  # in order of change
+        self.records: dict[str, Member] = {}  # by name, in the order of their last change
         self.suspects: dict[str, None] = {}
         self.live_count = 0
         self.changes: list[MemberChange] = []
-        self.pending: dict[str, int] = {}  # records to disseminate: times sent, in order of change
-        self.probe_order: list[str] = []  # the rest of this round, last one first
-        self._checksums: list[dict[str, int]] = [{} for _ in range(DIGEST_PARTS)]  # by name
+        # How often each record that is to be disseminated was sent, by name, in the order of their change.
+        self.pending: dict[str, int] = {}
+        self.probe_order: list[str] = []  # the rest of this round of probes, in reverse order
+        self._checksums: list[dict[str, int]] = [{} for _ in range(DIGEST_PARTS)]  # for each part by name
 
     @property
     def own(self) -> Member:
@@ -53,36 +54,36 @@
         return self.records[self._local.me.name]
 
     def live(self) -> list[str]:
-        """Names of the others that are alive or only suspected."""
+        """Return the names of the other nodes that are alive or suspected."""
         me = self._local.me.name
         return sorted(name for name, record in self.records.items() if record.live and name != me)
 
     def ordered(self) -> Mapping[str, Member]:
-        """All records by name."""
+        """Return all records, sorted by name."""
         return dict(sorted(self.records.items()))
 
     def digest(self) -> bytes:
-        """Checksums by parts; alike where two nodes have the same of all names."""
+        """Return the checksums of all parts; equal if two nodes have the same records."""
         return b"".join(
             reduce(xor, part.values(), 0).to_bytes(CHECKSUM_BYTES, "big") for part in self._checksums
         )
 
     def differing_parts(self, sums: bytes) -> list[int]:
-        """The parts in which another node's digest differs from the own one."""
+        """Return the parts in which another node's digest differs from this node's."""
         own = self.digest()
         spans = [slice(at, at + CHECKSUM_BYTES) for at in range(0, len(own), CHECKSUM_BYTES)]
         return [part for part, span in enumerate(spans) if own[span] != sums[span]]
 
     def names_in(self, part: int) -> list[str]:
-        """The names in one part of the digest."""
+        """Return the names in one part of the digest."""
         return list(self._checksums[part])
 
     def receive(self, now: float, update: Member) -> bool:
-        """Apply a received record; whether the known one is another now."""
+        """Apply a received record; return whether this changed the known one."""
         return self.apply(now, RECEIVED[update.state], update)
 
     def apply(self, now: float, event: RecordEvent, update: Member) -> bool:
-        """Apply an event to the record of a name; whether it is another now."""
+        """Apply an event to the record of a name; return whether this changed it."""
         known = self.records.get(update.name)
         occurrence = Occurrence(event, self._relation(now, event, known, update))
         transition = RECORD_TABLE.find(known.state if known else None, occurrence)
@@ -109,7 +110,7 @@
         match action:
             case RecordAction.MERGE:
                 return merge(known, update) if known else update
-            case RecordAction.DOUBT | RecordAction.DECLARE_DEAD:
+            case RecordAction.SUSPECT | RecordAction.DECLARE_DEAD:
                 return replace(update, since=now, accusers=())
             case RecordAction.ACCUSE:
                 since = update.since if update.state is MemberState.SUSPECT else now
@@ -123,7 +124,7 @@
                 return replace(update, address=address, incarnation=incarnation, since=now, accusers=())
 
     def put(self, name: str, after: Member | None) -> bool:
-        """Replace or, with None, forget a record; whether it is another now."""
+        """Replace a record, or forget it if `after` is None; return whether this changed it."""
         before = self.records.pop(name, None)
         self.suspects.pop(name, None)
         self.live_count += (after is not None and after.live) - (before is not None and before.live)
@@ -149,17 +150,17 @@
             self.pending.pop(name, None)
             self.pending[name] = 0
         if after.live and name != self._local.me.name and name not in self.probe_order:
-            # Guards against one that came during a round and dies before the next is shuffled.
+            # Guards against a node that joins during a round of probes and dies before the next one.
             self.probe_order.insert(self._local.random.randint(0, len(self.probe_order)), name)
 
     def shift_suspicions(self, gap: float) -> None:
-        """Give all suspected nodes so many seconds more to refute."""
+        """Extend the time that suspected nodes have to refute by `gap` seconds."""
         for name in self.suspects:
             record = self.records[name]
             self.records[name] = replace(record, since=record.since + gap)
 
     def restart_suspicions(self, now: float) -> None:
-        """Give all suspected nodes all of their time to refute from now on."""
+        """Restart the time that suspected nodes have to refute."""
         for name in self.suspects:
             self.records[name] = replace(self.records[name], since=now)
 
--- a/notchjunction/fleet/membership/messages.py
+++ b/notchjunction/fleet/membership/messages.py
@@ -1,4 +1,4 @@
-"""What nodes send one another about the fleet's members. Tags and the order of fields are the wire."""
+"""Messages between nodes about the fleet's members. Tags and the order of fields are the wire format."""
 
 from __future__ import annotations
 
@@ -9,14 +9,14 @@
 
 from notchjunction.fleet.envelope import NAME_BYTES_MAX
 
-CONFIRMATIONS_MAX = 3  # others that share a suspicion until the shortest timeout holds; more add nothing
-DIGEST_PARTS = 64  # of 200 nodes a few records each, and 256 bytes in all
-CHECKSUM_BYTES = 4  # of each part; two views that differ look alike once in billions
+CONFIRMATIONS_MAX = 3  # so many confirmations of a suspicion give the shortest timeout; more have no effect
+DIGEST_PARTS = 64  # with 200 nodes a few records in each; 256 bytes in total
+CHECKSUM_BYTES = 4  # of each part; parts that differ have equal checksums once in billions
 ADDRESS_LENGTH_MAX = 128  # characters; any "host:port" fits
 
 
 class MemberState(IntEnum):
-    """In order of precedence within one incarnation; values and names are on the wire."""
+    """States in order of precedence within one incarnation; values are on the wire, names in the admin API."""
 
     ALIVE = 0
     SUSPECT = 1
@@ -25,7 +25,7 @@
 
 
 Name = Annotated[str, msgspec.Meta(max_length=NAME_BYTES_MAX)]
-Natural = Annotated[int, msgspec.Meta(ge=0, le=2**62)]  # leaves numbers above to refute with
+Natural = Annotated[int, msgspec.Meta(ge=0, le=2**62)]  # leaves higher incarnations to refute with
 Checksums = Annotated[
     bytes,
     msgspec.Meta(min_length=DIGEST_PARTS * CHECKSUM_BYTES, max_length=DIGEST_PARTS * CHECKSUM_BYTES),
@@ -33,7 +33,7 @@
 
 
 class MemberUpdate(msgspec.Struct, frozen=True, array_like=True):
-    """A record as sent; `age`: s since a death or leave."""
+    """A record as it is sent; `age` is the time in seconds since a death or leave."""
 
     name: Name
     address: Annotated[str, msgspec.Meta(max_length=ADDRESS_LENGTH_MAX)]
@@ -45,7 +45,7 @@
 
 
 class Join(msgspec.Struct, frozen=True, array_like=True, tag=1):
-    """To an address whose node is not known: asks who is there."""
+    """Sent to an address whose node is not known; requests a JoinReply."""
 
     seq: Natural
 
@@ -80,14 +80,14 @@
 
 
 class Nack(msgspec.Struct, frozen=True, array_like=True, tag=6):
-    """The node of an IndirectPing has not answered the helper."""
+    """Sent by a helper if the node of an IndirectPing has not answered."""
 
     seq: Natural  # of the IndirectPing
     updates: tuple[MemberUpdate, ...]
 
 
 class Digest(msgspec.Struct, frozen=True, array_like=True, tag=7):
-    """Checksums of all records that the sender has, by parts."""
+    """Checksums of all the sender's records, by parts."""
 
     sums: Checksums
     updates: tuple[MemberUpdate, ...]
@@ -101,7 +101,7 @@
 
 
 class UpdateBatch(msgspec.Struct, frozen=True, array_like=True, tag=9):
-    """Records alone."""
+    """Records without another message."""
 
     updates: tuple[MemberUpdate, ...]
 
--- a/notchjunction/fleet/membership/records.py
+++ b/notchjunction/fleet/membership/records.py
@@ -1,4 +1,4 @@
-"""Records of members, how two are merged, and what each event makes of one. Pure."""
+"""Records of members, how two of them are merged, and the transitions of their state. Pure."""
 
 from __future__ import annotations
 
@@ -12,33 +12,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Member:
-    """A record of one name. `since`: s on the own clock; `accusers`: who could not reach it, if suspected."""
+    """A record of one name."""
 
     name: str
     address: str
     start: int
     incarnation: int
     state: MemberState
-    since: float
-    accusers: tuple[str, ...] = ()
+    since: float  # when it got this state (s, own clock)
+    accusers: tuple[str, ...] = ()  # the nodes that could not reach it, while it is suspected
 
     @property
     def live(self) -> bool:
-        """Whether it is alive or only suspected."""
+        """Whether the member is alive or suspected."""
         return self.state <= MemberState.SUSPECT
 
     @property
     def version(self) -> tuple[int, int]:
-        """By which records of one name are newer or older."""
+        """The key that orders the records of one name by age."""
         return self.start, self.incarnation
 
     @property
     def precedence(self) -> tuple[int, int, int, str]:
-        """By which one of two records of a name is kept."""
+        """The key by which one of two records of a name is kept."""
         return self.start, self.incarnation, self.state, self.address
 
     def to_update(self, now: float) -> MemberUpdate:
-        """The record as it is sent."""
+        """Return the record in the form in which it is sent."""
         age = 0 if self.live else max(0, int(now - self.since))
         return MemberUpdate(
             self.name, self.address, self.start, self.incarnation, self.state, age, self.accusers
@@ -46,7 +46,7 @@
 
 
 def from_update(update: MemberUpdate, now: float) -> Member:
-    """A record as it was received."""
+    """Return the record that was received in an update."""
     since = now - update.age if update.state >= MemberState.DEAD else now
     accusers = update.accusers if update.state is MemberState.SUSPECT else ()
     return Member(
@@ -54,48 +54,48 @@
     )
 
 
-def merge(one: Member, other: Member) -> Member:
-    """Two records of one name merged; commutative, associative, idempotent."""
-    if one.precedence != other.precedence:
-        return max(one, other, key=lambda member: member.precedence)
-    accusers = limit_accusers(*one.accusers, *other.accusers)
-    return replace(one, since=min(one.since, other.since), accusers=accusers)
+def merge(first: Member, second: Member) -> Member:
+    """Merge two records of one name; this is commutative, associative and idempotent."""
+    if first.precedence != second.precedence:
+        return max(first, second, key=lambda member: member.precedence)
+    accusers = limit_accusers(*first.accusers, *second.accusers)
+    return replace(first, since=min(first.since, second.since), accusers=accusers)
 
 
 def limit_accusers(*names: str) -> tuple[str, ...]:
-    """Accusers as they are kept: in order, each once, so many that the shortest timeout holds."""
+    """Return the accusers as a record keeps them: sorted, unique, and no more than affect the timeout."""
     return tuple(sorted(set(names))[: CONFIRMATIONS_MAX + 1])
 
 
 class RecordEvent(Enum):
-    """What happens to a record: an update is received, or this node finds out itself."""
+    """Events of a record: an update that was received, or an observation of this node."""
 
     ALIVE_RECEIVED = auto()
     SUSPECT_RECEIVED = auto()
     DEAD_RECEIVED = auto()
     LEFT_RECEIVED = auto()
-    PROBE_FAILED = auto()  # an own probe and its helpers
+    PROBE_FAILED = auto()  # neither this node's probe nor its helpers' were answered
     SUSPICION_TIMED_OUT = auto()
-    RETENTION_ENDED = auto()  # dead for so long, or so many are
+    RETENTION_ENDED = auto()  # dead for too long, or too many are
 
 
 class Relation(Enum):
-    """How an update relates to the known record; or whether this node may trust what it observes itself."""
+    """How an update relates to the known record; or whether this node may trust its own observations."""
 
     NEWER = auto()  # a later start, a higher incarnation, or a name not known
     EQUAL = auto()  # the same start and incarnation
     OLDER = auto()
-    STALE = auto()  # an old death of a name not known
-    OWN = auto()  # of this start of this node, and not refuted yet
+    STALE = auto()  # an old death of an unknown name
+    OWN = auto()  # about this start of this node, and not refuted yet
     TRUSTED = auto()
-    UNTRUSTED = auto()  # it is away, or replaced
+    UNTRUSTED = auto()  # this node is away or was replaced
 
 
 class RecordAction(Enum):
-    """How the new record follows from the known one and the update."""
+    """How the new record is derived from the known one and the update."""
 
     MERGE = auto()
-    DOUBT = auto()
+    SUSPECT = auto()
     ACCUSE = auto()
     DECLARE_DEAD = auto()
     FORGET = auto()
@@ -103,7 +103,7 @@
 
 
 class Occurrence(NamedTuple):
-    """An event and how it relates to what is known."""
+    """An event and its relation to the known record."""
 
     event: RecordEvent
     relation: Relation
@@ -136,10 +136,10 @@
         *_transitions((*_UNKNOWN, *_ANY), _E.ALIVE_RECEIVED, _R.NEWER, _S.ALIVE, _A.MERGE),
         *_transitions((*_UNKNOWN, *_ANY), _E.SUSPECT_RECEIVED, _R.NEWER, _S.SUSPECT, _A.MERGE),
         *_transitions(_LIVE, _E.SUSPECT_RECEIVED, _R.EQUAL, _S.SUSPECT, _A.MERGE),
-        # Guards against a side of a partition, or a node that was paused, declaring the healthy dead by
-        # hearsay.
-        *_transitions(_LIVE, _E.DEAD_RECEIVED, _R.NEWER, _S.SUSPECT, _A.DOUBT),
-        *_transitions((_S.ALIVE,), _E.DEAD_RECEIVED, _R.EQUAL, _S.SUSPECT, _A.DOUBT),
+        # Guards against updates from a side of a partition, or from a node that was paused, which declare
+        # healthy nodes dead.
+        *_transitions(_LIVE, _E.DEAD_RECEIVED, _R.NEWER, _S.SUSPECT, _A.SUSPECT),
+        *_transitions((_S.ALIVE,), _E.DEAD_RECEIVED, _R.EQUAL, _S.SUSPECT, _A.SUSPECT),
         *_transitions((*_UNKNOWN, *_GONE), _E.DEAD_RECEIVED, _R.NEWER, _S.DEAD, _A.MERGE),
         *_transitions((_S.DEAD,), _E.DEAD_RECEIVED, _R.EQUAL, _S.DEAD, _A.MERGE),
         *_transitions((*_UNKNOWN, *_ANY), _E.LEFT_RECEIVED, _R.NEWER, _S.LEFT, _A.MERGE),
