--- a/notchjunction/fleet/membership/local_node.py
+++ b/notchjunction/fleet/membership/local_node.py
@@ -91,8 +91,8 @@
         self._fault, self._fault_until = ReplacedError(what, self.me.name, remedy), math.inf
 
     def report_duplicate(self, now: float, earlier: Sender, start: int, address: str) -> None:
-        """Record that an earlier start still runs besides a known one of the same name."""
-        what = f"start {earlier.start} still runs besides {start} at {address}"
+        """Record that an earlier start still runs alongside a known one of the same name."""
+        what = f"start {earlier.start} still runs alongside {start} at {address}"
         remedy = "stop or rename one of the two; if only one runs, replace the key: it has been compromised"
         if self.fault(now) is None or isinstance(self._fault, DuplicateNodeNameError):
             self._fault = DuplicateNodeNameError(what, earlier.name, remedy)
--- a/notchjunction/fleet/membership/messages.py
+++ b/notchjunction/fleet/membership/messages.py
@@ -16,7 +16,10 @@
 
 
 class MemberState(IntEnum):
-    """States in order of precedence within one incarnation; values are on the wire, names in the admin API."""
+    """States in order of precedence within one incarnation.
+
+    The values are part of the wire format, and the names of the admin API.
+    """
 
     ALIVE = 0
     SUSPECT = 1
--- a/notchjunction/fleet/quotas/__init__.py
+++ b/notchjunction/fleet/quotas/__init__.py
@@ -1,1 +1,1 @@
-"""Quotas that hold for the whole fleet: each unit is owned by one node, and lent to others for a time."""
+"""Quotas for the whole fleet: each unit is owned by one node, which can lend it to others for a time."""
--- a/notchjunction/fleet/quotas/borrower.py
+++ b/notchjunction/fleet/quotas/borrower.py
@@ -15,22 +15,22 @@
 )
 from notchjunction.fleet.quotas.state import Lease, OwnerDenial, QuotaState
 
-RENEW_SHARE = 0.25  # of a lease's term after which it is renewed; several tries are left before it is useless
-RENEW_INTERVAL_S = 0.25  # between those tries; short against any lease
-REQUEST_TIMEOUT_S = 0.25  # that a request may wait for a unit in all; short against any latency objective
-NEXT_OWNER_DELAY_S = 0.03  # without a grant, after which another owner is asked too; some round trips
-RESEND_DELAY_S = 0.1  # after which the same owner is asked again, as request or answer may be lost
-DENIED_OWNER_PAUSE_S = 0.05  # that an owner which denied a lease is not asked again
-ROUNDS_KEPT = 8  # latest renewals whose grants still count; two seconds of them
-IDLE_KEPT_S = 0.2  # after which a unit that was not used is returned; the time of a few requests
-RECALL_VALID_S = 0.5  # that an owner's recall counts; then its need may be over
+RENEW_SHARE = 0.25  # share of a lease's term after which it is renewed; leaves time for several attempts
+RENEW_INTERVAL_S = 0.25  # between those attempts; short against any lease's term
+REQUEST_TIMEOUT_S = 0.25  # a request waits no longer for a unit; short against any latency objective
+NEXT_OWNER_DELAY_S = 0.03  # without a grant for so long, another owner is asked too; a few round trips
+RESEND_DELAY_S = 0.1  # without an answer for so long, a lease request is sent to the same owner again
+DENIED_OWNER_PAUSE_S = 0.05  # an owner that denied a lease is not asked again for so long
+ROUNDS_KEPT = 8  # latest renewals of a lease whose grants are accepted; they span two seconds
+IDLE_KEPT_S = 0.2  # units that were idle for so long are returned; the duration of a few requests
+RECALL_VALID_S = 0.5  # an owner's recall applies for so long; the owner may not need the units any more
 
 
 class OwnerChoice(Protocol):
-    """Chooses the owner that is asked next; a random generator, except in explored worlds."""
+    """Chooses the owner that is asked next: a random generator, except in model checking."""
 
     def choice(self, names: Sequence[str], /) -> str:
-        """One of the names."""
+        """Return one of the names."""
         ...
 
 
@@ -48,7 +48,7 @@
         self._serial = 0
 
     def request_lease(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
-        """Ask one more owner where those asked have not answered yet."""
+        """Ask one more owner for units if requests wait and the owners asked have not granted any yet."""
         if not state.waiting:
             return []
         pending = [lease for lease in state.leases.values() if not lease.granted]
@@ -72,14 +72,14 @@
     def on_grant(
         self, state: QuotaState, now: float, sender: Sender, grant: LeaseGrant
     ) -> list[OutgoingMessage]:
-        """Use a lease or its renewal from now on; return one that is no longer wanted."""
+        """Accept a lease or its renewal; return a lease that is no longer wanted."""
         lease = state.leases.get(grant.serial)
         if lease is None or lease.owner != sender.name:
-            # Guards against units that wait a whole term at their owner for a borrower who has given up.
+            # Guards against units that stay lent for a whole term after the borrower withdrew its request.
             return [OutgoingMessage(sender.name, LeaseReturn(grant.quota, grant.serial, 0))]
         if grant.round not in lease.rounds:
             return []
-        # Guards against a grant that was delayed on its way: its term counts from the request.
+        # Guards against a grant that was delayed by the network: its term counts from the request.
         lease.end = max(lease.end, lease.rounds[grant.round] + grant.term)
         if not lease.granted:
             lease.granted, lease.count, lease.reviewed_at = True, grant.count, now
@@ -101,7 +101,7 @@
         """Return what is not needed of a recalled lease."""
         lease = state.leases.get(recall.serial)
         if lease is None or lease.owner != sender.name:
-            # Guards against units that nobody has: the message that returned them was lost.
+            # Guards against units that no node can use, as the message that returned them was lost.
             return [OutgoingMessage(sender.name, LeaseReturn(recall.quota, recall.serial, 0))]
         if not lease.granted:
             return []
@@ -112,16 +112,16 @@
         return outgoing
 
     def heed_recall(self, state: QuotaState, lease: Lease) -> list[OutgoingMessage]:
-        """Return what no own request needs, and what exceeds the recall as it comes free."""
+        """Return units that no request of this node needs, and recalled ones as they come free."""
         needed = min(lease.count, lease.in_use + state.waiting)
         return _reduce(state, lease, max(lease.in_use, min(needed, lease.recall_keep)))
 
     def withdraw_requests(self, state: QuotaState) -> list[OutgoingMessage]:
-        """Give up all requests that are not answered yet."""
+        """Withdraw all lease requests that are not answered yet."""
         return _withdraw(state, lambda lease: True)
 
     def review_leases(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
-        """Resend, renew and return what is due."""
+        """Resend requests, renew leases and return idle units, each when it is due."""
         outgoing = _withdraw(state, lambda lease: now - lease.requested_at > REQUEST_TIMEOUT_S)
         for lease in list(state.leases.values()):
             if lease.granted:
@@ -152,7 +152,7 @@
 
 
 def _withdraw(state: QuotaState, is_withdrawn: Callable[[Lease], bool]) -> list[OutgoingMessage]:
-    """Give up unanswered requests; the message frees at once what may have been granted meanwhile."""
+    """Withdraw unanswered requests; the messages free at once any units that were granted meanwhile."""
     withdrawn = [lease for lease in state.leases.values() if not lease.granted and is_withdrawn(lease)]
     for lease in withdrawn:
         del state.leases[lease.serial]
@@ -162,7 +162,7 @@
 
 
 def _reduce(state: QuotaState, lease: Lease, kept: int) -> list[OutgoingMessage]:
-    """Return units: fewer here first, then the message."""
+    """Return units: this node stops using them before the message is sent."""
     if kept >= lease.count:
         return []
     lease.count = kept
--- a/notchjunction/fleet/quotas/lender.py
+++ b/notchjunction/fleet/quotas/lender.py
@@ -25,10 +25,10 @@
 )
 from notchjunction.fleet.quotas.state import RETRY_AFTER_MAX_S, QuotaState
 
-QUEUE_MAX = 1024  # requests that wait at an owner; more nodes than are promised
-LOANS_MAX = 16384  # loans an owner remembers, most of them closed; past that new requests are denied
-RECALL_INTERVAL_S = 0.05  # between recalls to one borrower
-RESERVATION_S = 0.1  # that a unit stays reserved for the owner's own waiting request
+QUEUE_MAX = 1024  # lease requests queued at an owner; more than the supported number of nodes
+LOANS_MAX = 16384  # loans kept at an owner, most of them closed; further requests are denied
+RECALL_INTERVAL_S = 0.05  # between recalls of one loan
+RESERVATION_S = 0.1  # a unit stays reserved for so long for a waiting request of the owner itself
 
 
 class Lender:
@@ -44,7 +44,7 @@
         self._clock_stretch = clock_stretch
 
     def loan_end(self, now: float) -> float:
-        """When units that are lent now are surely free again, whatever the borrower's clock shows."""
+        """Return when units lent now are certainly free again, whatever the borrower's clock shows."""
         return now + self.lease_term * self._clock_stretch
 
     def on_request(
@@ -61,14 +61,14 @@
             denial = LeaseDenial(state.plan.name, request.serial, state.own_retry_after())
             return [OutgoingMessage(sender.name, denial)]
         if action is LoanAction.RENEW:
-            # The end moves before the borrower can know of it.
+            # The loan is extended before the borrower can receive the grant.
             loan.round, loan.ends = request.round, self.loan_end(now)
         return [self._grant(state, loan)]
 
     def on_return(
         self, state: QuotaState, now: float, sender: Sender, returned: LeaseReturn
     ) -> list[OutgoingMessage]:
-        """Free what a borrower returns, and lend it to those who wait."""
+        """Free the units that a borrower returns, and lend them to queued requests."""
         key = LoanKey(sender.name, sender.start, returned.serial)
         loan = state.loans.get(key)
         event = LoanEvent.PARTLY_RETURNED if returned.kept > 0 else LoanEvent.RETURNED
@@ -93,7 +93,7 @@
     def _grant_or_queue(
         self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest
     ) -> list[OutgoingMessage]:
-        # Guards against memory without bound, whoever sends requests how often.
+        # Guards against unbounded memory, whatever the rate of requests.
         if len(state.queue) >= QUEUE_MAX or len(state.loans) >= LOANS_MAX:
             return [
                 OutgoingMessage(sender.name, LeaseDenial(state.plan.name, request.serial, RETRY_AFTER_MAX_S))
@@ -107,7 +107,7 @@
         return OutgoingMessage(loan.borrower.name, grant)
 
     def serve_queue(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
-        """Give what is free to those who wait; recall lent units where it is not enough."""
+        """Grant free units to queued requests; recall lent units if there are not enough."""
         outgoing: list[OutgoingMessage] = []
         while (free := state.free()) > 0:
             queued = _next_in_queue(state)
@@ -143,11 +143,11 @@
 
 
 def _next_in_queue(state: QuotaState) -> QueuedLeaseRequest | None:
-    """The request that gets the next unit: the oldest, or none while own requests come first."""
+    """Return the request that gets the next unit: the oldest, or none while own requests come first."""
     if state.waiting <= len(state.reserved):
         return next(iter(state.queue), None)
-    # Guards against owners that lend one another what each needs itself: a partition would leave it to
-    # nobody.
+    # Guards against owners that lend each other units which they need themselves: in a partition neither
+    # could use them.
     from_ownerless = [queued for queued in state.queue if _owns_nothing(state, queued.borrower.name)]
     own_share = math.ceil(state.usable() / (1 + len(_ownerless_borrowers(state))))
     has_own_share = state.own_in_use + len(state.reserved) >= own_share
@@ -159,14 +159,14 @@
 
 
 def _ownerless_borrowers(state: QuotaState) -> set[str]:
-    """Nodes that own no unit, and have borrowed or requested one here."""
+    """Return the nodes that own no unit, and have borrowed or requested one here."""
     names = {queued.borrower.name for queued in state.queue}
     names |= {loan.borrower.name for loan in state.loans.values() if loan.count > 0}
     return {name for name in names if _owns_nothing(state, name)}
 
 
 def _recall(state: QuotaState, now: float) -> list[OutgoingMessage]:
-    """Recall from all borrowers what is idle, and what comes free where it exceeds their share."""
+    """Recall idle units from all borrowers, and units above a borrower's share as they come free."""
     lent = [loan for loan in state.loans.values() if loan.count > 0]
     borrowed = Counter(loan.borrower.name for loan in lent for _ in range(loan.count))
     is_short = state.waiting > len(state.reserved)
--- a/notchjunction/fleet/quotas/loan.py
+++ b/notchjunction/fleet/quotas/loan.py
@@ -1,4 +1,4 @@
-"""A loan, the owner's side of a lease: its states, and what each of the borrower's messages does. Pure."""
+"""A loan, which is the owner's side of a lease: its states and their transitions. Pure."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
     NONE = auto()
     LENT = auto()
-    CLOSED = auto()  # returned; kept as long as it could have lasted, as older messages may still arrive
+    CLOSED = auto()  # returned; kept until its term would have ended, as older messages may still arrive
 
 
 class LoanEvent(Enum):
-    """What a borrower's message asks of the owner."""
+    """The borrower's messages, as events of the loan."""
 
     REQUESTED = auto()
     RENEWAL_REQUESTED = auto()  # another round
@@ -43,10 +43,11 @@
 LOAN_TABLE = StateTable(
     (
         Transition(LoanState.NONE, LoanEvent.REQUESTED, LoanState.NONE, LoanAction.GRANT_OR_QUEUE),
-        # Guards against a renewal of what is no longer lent: the borrower's time may be over at the owner.
+        # Guards against the renewal of units that are no longer lent: the loan may have ended at the owner.
         Transition(LoanState.NONE, LoanEvent.RENEWAL_REQUESTED, LoanState.NONE, LoanAction.DENY),
         Transition(LoanState.NONE, LoanEvent.PARTLY_RETURNED, LoanState.NONE, LoanAction.NOTHING),
-        # Guards against a request that arrives after its own return: it would be lent to nobody for a term.
+        # Guards against a request that arrives after its own return: no node would use the units, for a whole
+        # term.
         Transition(LoanState.NONE, LoanEvent.RETURNED, LoanState.CLOSED, LoanAction.CLOSE),
         # Guards against lending twice for one request that arrived twice.
         Transition(LoanState.LENT, LoanEvent.REQUESTED, LoanState.LENT, LoanAction.GRANT_AGAIN),
@@ -83,13 +84,13 @@
 
     @property
     def key(self) -> LoanKey:
-        """Under which the owner finds this loan."""
+        """The key under which the owner stores this loan."""
         return LoanKey(self.borrower.name, self.borrower.start, self.serial)
 
 
 @dataclass(frozen=True, slots=True)
 class QueuedLeaseRequest:
-    """A lease request that waits at the owner for a unit to come free, since `queued_at` (s, own clock)."""
+    """A lease request that waits at its owner for a free unit since `queued_at` (s, own clock)."""
 
     borrower: Sender
     serial: int
--- a/notchjunction/fleet/quotas/messages.py
+++ b/notchjunction/fleet/quotas/messages.py
@@ -1,6 +1,6 @@
-"""What nodes send one another about quotas. Tags and the order of fields are the wire.
+"""Messages between nodes about quotas. Tags and the order of fields are the wire format.
 
-`quota` names the quota, `serial` is the borrower's number of a lease, `round` counts its renewals.
+`quota` is the quota's name, `serial` the borrower's number of a lease, and `round` the count of its renewals.
 """
 
 from __future__ import annotations
@@ -9,7 +9,7 @@
 
 
 class LeaseRequest(msgspec.Struct, frozen=True, array_like=True, tag=20):
-    """A borrower asks an owner for units; a `round` over 0 asks for the renewal of a lease."""
+    """A borrower requests units from an owner; with a `round` above 0, the renewal of a lease."""
 
     quota: str
     serial: int
@@ -28,7 +28,7 @@
 
 
 class LeaseDenial(msgspec.Struct, frozen=True, array_like=True, tag=22):
-    """An owner does not lend."""
+    """An owner denies a request or a renewal."""
 
     quota: str
     serial: int
@@ -36,7 +36,7 @@
 
 
 class LeaseReturn(msgspec.Struct, frozen=True, array_like=True, tag=23):
-    """A borrower gives units back before the lease ends."""
+    """A borrower returns units before the lease ends."""
 
     quota: str
     serial: int
@@ -44,16 +44,16 @@
 
 
 class LeaseRecall(msgspec.Struct, frozen=True, array_like=True, tag=24):
-    """An owner wants idle units back; the borrower need not comply before the lease ends."""
+    """An owner recalls idle units; the borrower need not comply before the lease ends."""
 
     quota: str
     serial: int
-    count: int  # units that are lent according to the owner
+    count: int  # units lent, as the owner has recorded
     keep: int  # units that the borrower's waiting requests may keep; all others that are idle are recalled
 
 
 class PhaseAnnouncement(msgspec.Struct, frozen=True, array_like=True, tag=25):
-    """Which split the sender uses, and how far it has changed to it."""
+    """The split that the sender uses, and its phase of the change to it."""
 
     quota: str
     revision: int
--- a/notchjunction/fleet/quotas/phase.py
+++ b/notchjunction/fleet/quotas/phase.py
@@ -1,4 +1,4 @@
-"""How far a node has changed to a quota's split: the phases and their transitions. Pure."""
+"""The phases in which a node changes to a new split of a quota, and their transitions. Pure."""
 
 from __future__ import annotations
 
@@ -8,19 +8,21 @@
 
 
 class Phase(IntEnum):
-    """How far a node has changed to its split; the values are on the wire."""
+    """Phase of a node's change to its split; the values are part of the wire format."""
 
-    STARTING = auto()  # nothing is spent: what an earlier start lent may be in use, or the split be stale
-    SHRINKING = auto()  # more is in use than the smaller of both splits allows
-    SHRUNK = auto()  # announced to all; waits for the other owners
-    GROWN = auto()  # the split is in force at this node
+    STARTING = (
+        auto()
+    )  # no unit is used: units that an earlier start lent may be in use, or the split is stale
+    SHRINKING = auto()  # more units are in use than the smaller of both splits allows
+    SHRUNK = auto()  # announced to all owners; waits for the others to shrink too
+    GROWN = auto()  # the new split is in force at this node
 
 
 class PhaseEvent(Enum):
-    """What moves a node to its next phase."""
+    """Events that move a node to its next phase."""
 
-    QUARANTINE_OVER = auto()  # an earlier start's units have expired, and another owner confirms the split
-    FITS_SMALLER_SPLIT = auto()  # what is in use fits the smaller of both splits
+    QUARANTINE_OVER = auto()  # an earlier start's loans have expired, and another owner confirms the split
+    FITS_SMALLER_SPLIT = auto()  # the units in use fit the smaller of both splits
     ALL_OWNERS_SHRUNK = auto()  # every owner of the previous split has shrunk
     SPLIT_CHANGED = auto()  # the configuration has a new split
 
--- a/notchjunction/fleet/quotas/plan.py
+++ b/notchjunction/fleet/quotas/plan.py
@@ -1,4 +1,4 @@
-"""How a quota is split between its owners, and which split may follow which. Pure."""
+"""How a quota is split between its owners, and which split may replace which. Pure."""
 
 from __future__ import annotations
 
@@ -18,38 +18,38 @@
 
 
 class StaleSplitError(FleetError):
-    """Another owner knows of a later split than the one this node started with."""
+    """Another owner uses a later split than the one that this node started with."""
 
 
 class QuotaOverspentError(FleetError):
-    """More units are in use or lent than owned: a defect of the program itself."""
+    """More units would be in use or lent than are owned, because of a defect of the program."""
 
 
 @dataclass(frozen=True, slots=True)
 class Split:
-    """Which node owns how many units; `ended`: owners that an operator declares stopped for good."""
+    """The number of units that each owner has."""
 
     revision: int
     owners: Mapping[str, int]
-    ended: tuple[str, ...] = ()
+    ended: tuple[str, ...] = ()  # owners that an on-call operator has declared stopped for good
 
     def owned_by(self, node: str) -> int:
-        """Units that a node owns; 0 for a node that is no owner."""
+        """Return the number of units that a node owns; 0 for a node that is no owner."""
         return self.owners.get(node, 0)
 
     @property
     def total(self) -> int:
-        """The quota: the units of all owners."""
+        """The size of the quota: the units of all owners."""
         return sum(self.owners.values())
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A quota as configured; `before`: the split that it follows, until that has settled everywhere."""
+    """A quota as configured."""
 
     name: str
     split: Split
-    before: Split | None = None
+    before: Split | None = None  # the previous split, until the new one has settled at all owners
 
 
 def check_follows(known: Plan, phase: Phase, plan: Plan) -> None:
@@ -68,13 +68,13 @@
         raise SplitMismatchError(
             f"revision {plan.split.revision} does not follow {known.split.revision}",
             where,
-            "put the split in force under `before`, and count one on from its revision",
+            "put the split in force under `before`, and set `revision` to its revision plus one",
         )
     if phase is not Phase.GROWN:
         raise UnsettledSplitError(
             f"revision {known.split.revision} has not settled",
             where,
-            "wait until every owner shows it as settled, or name those stopped for good under `ended`",
+            "wait until every owner shows it as settled, or list owners stopped for good under `ended`",
         )
 
 
@@ -90,7 +90,7 @@
         )
     if plan.before is None and known.before is not None and phase is not Phase.GROWN:
         raise UnsettledSplitError(
-            "`before` is left out too early",
+            "`before` was removed too early",
             where,
             "keep it until every owner shows the limit as settled",
         )
--- a/notchjunction/fleet/quotas/quotas.py
+++ b/notchjunction/fleet/quotas/quotas.py
@@ -1,18 +1,19 @@
-"""Quotas that hold for the whole fleet: units, each owned by one node, and lent for a time. Pure.
-
-A quota bounds the attempts that are in flight over all nodes at any moment. An attempt is in flight from its
-writing until it is answered, or the time that its endpoint was given is over, whichever is first. The
-operator's file defines who owns how many units; their sum is the quota. An owner alone decides on its units,
-so nothing has to be agreed, and no acknowledgement is needed for safety, only for use:
-
-- a borrower counts a lease's term from its request, its owner from the grant and longer by what clocks may
-  drift;
-- an attempt is written only under a unit that lasts until the attempt's time is over, checked at the writing;
-- an owner that has started anew neither uses nor lends until whatever its earlier start lent has surely
-  ended, and until another owner has announced that the split it knows is the one in force;
-- a changed split only shrinks until every owner of the one before has settled to the smaller of the two.
-
-`now` is the node's own clock in seconds; it never jumps, and may run off by `drift`.
+"""Quotas for the whole fleet, divided into units that are each owned by one node and lent for a time. Pure.
+
+A quota limits the attempts that are in flight from all nodes at any moment. An attempt is in flight from its
+write until it is answered or its timeout is over, whichever is first. The configuration defines how many
+units each owner has; their sum is the quota. Each owner decides on its own units alone. So no consensus is
+necessary, and lost messages affect only availability, never the limit:
+
+- a borrower counts a lease's term from its request; its owner counts it from the grant, and extends it by the
+  clock drift;
+- an attempt is written only with a unit that lasts until the attempt's timeout; this is checked at the write;
+- an owner that has restarted neither uses nor lends units until the loans of its earlier start have certainly
+  ended, and until another owner has announced that the split of this node is in force;
+- while a split changes, each owner uses the smaller number of units of both splits, until every owner of the
+  previous split has shrunk to that.
+
+`now` is the node's own clock in seconds; it never jumps, and its rate may deviate by the configured drift.
 """
 
 from __future__ import annotations
@@ -39,13 +40,14 @@
 from notchjunction.fleet.quotas.split_change import advance_phase, on_announcement, poll_owner
 from notchjunction.fleet.quotas.state import REQUEST_QUEUED_S, Permit, QuotaState, QuotaStats
 
-LEASE_TERM_FACTOR = 2.0  # a lease's term in longest request times: it is usable for half of it, unrenewed
+# A lease's term as a multiple of the longest request time; so a lease is usable for half its term unrenewed.
+LEASE_TERM_FACTOR = 2.0
 
 
 class LeaseTiming(NamedTuple):
-    """What leases' terms follow from: the share by which clocks may run off, and the longest request."""
+    """The parameters that determine the terms of leases."""
 
-    clock_drift: float
+    clock_drift: float  # share by which a clock's rate may deviate
     request_time_max: float  # s
 
     @property
@@ -55,8 +57,8 @@
 
     @property
     def clock_stretch(self) -> float:
-        """How many seconds an owner's clock may count in one of a borrower's."""
-        # The borrower's clock may run slow and the owner's fast: both by the drift against true time.
+        """The seconds that an owner's clock may count in one second of a borrower's."""
+        # The borrower's clock may run slow and the owner's fast, each by the drift.
         return (1 + self.clock_drift) / (1 - self.clock_drift)
 
 
@@ -66,9 +68,9 @@
     Args:
         me: This start of this node.
         plans: The quotas as configured.
-        timing: What the terms of leases follow from.
-        seed: Of the choice between owners.
-        now: The node's clock.
+        timing: The parameters that determine the terms of leases.
+        seed: For the random choice between owners.
+        now: The node's clock (s).
     """
 
     def __init__(self, me: Sender, plans: Sequence[Plan], timing: LeaseTiming, seed: int, now: float) -> None:
@@ -80,7 +82,7 @@
         self.apply_plans(now, plans)
 
     def apply_plans(self, now: float, plans: Sequence[Plan]) -> None:
-        """Use the quotas as they are configured now: all of them or, with an error, none.
+        """Apply a new configuration of all quotas; if an error is raised, no quota is changed.
 
         Raises:
             SplitMismatchError: A split does not follow the one in force.
@@ -103,12 +105,15 @@
         self.states = states
 
     def restart_quarantine(self, now: float) -> None:
-        """Count from now what an earlier process lent: only from now on is the node's address its own."""
+        """Restart the quarantine, as an earlier process of this node may have lent units until now.
+
+        To be called when this process has bound the node's address, which only one process can have.
+        """
         for state in self.states.values():
             state.quarantine_ends = self.lender.loan_end(now)
 
     def acquire(self, now: float, quota: str, until: float) -> Permit | None:
-        """Use one unit for an attempt whose time is over at `until`; none where none is at hand."""
+        """Acquire a permit for an attempt that times out at `until`; None if no unit is free."""
         state = self.states[quota]
         state.expire(now)
         free = state.free()
@@ -120,7 +125,7 @@
             permit = Permit(state, None, until)
         else:
             usable = [lease for lease in state.leases.values() if lease.end >= until and lease.idle(now) > 0]
-            lease = max(usable, key=lambda each: each.end, default=None)
+            lease = max(usable, key=lambda lease: lease.end, default=None)
             if lease is None:
                 return None
             lease.in_use += 1
@@ -130,8 +135,8 @@
         return permit
 
     def extend(self, now: float, permit: Permit, until: float) -> bool:
-        """Whether the unit is still this permit's, now and until then; to be checked at each writing."""
-        # Guards against a process that was paused between acquiring a permit and writing under it.
+        """Return whether a permit is valid until then, and extend it if so; to be called at each write."""
+        # Guards against a process that was paused between acquiring the permit and writing the attempt.
         if not permit.live or now >= permit.expires_at:
             return False
         if permit.lease is not None and permit.lease.end < until:
@@ -150,13 +155,13 @@
         return self.lender.serve_queue(state, now)
 
     def expire_at(self, permit: Permit, until: float) -> None:
-        """Keep the permit of an unanswered attempt only until then: its endpoint may work on it so long."""
+        """Let the permit of an unanswered attempt expire at `until`; its endpoint may go on until then."""
         if permit.live and until < permit.expires_at:
             permit.expires_at = until
             permit.state.track_permit(permit)
 
     def set_waiting(self, now: float, quota: str, waiting: int) -> list[OutgoingMessage]:
-        """Note how many own requests wait for a unit, 0 where none does any more; borrow for them."""
+        """Set how many requests of this node wait for a unit, and borrow units for them."""
         state = self.states[quota]
         state.waiting = waiting
         if not waiting:
@@ -164,22 +169,22 @@
         return self.lender.serve_queue(state, now) + self.borrower.request_lease(state, now)
 
     def may_be_granted(self, quota: str) -> bool:
-        """Whether waiting requests may still get a unit; where not, they are rejected at once."""
+        """Return whether waiting requests may still get a unit; if not, they are rejected at once."""
         state = self.states[quota]
         owns = state.phase is not Phase.STARTING and state.plan.split.owned_by(self._me.name) > 0
         return owns or any(not lease.granted for lease in state.leases.values())
 
     def retry_after(self, now: float, quota: str) -> float:
-        """Seconds until a unit may come free for this node, by what it and the owners have observed."""
+        """Return the estimated seconds until a unit is free for this node."""
         return self.states[quota].retry_after(now)
 
     @property
     def faults(self) -> list[FleetError]:
-        """What an operator has to mend before this node may use what it owns."""
+        """The errors that an on-call operator has to resolve before this node may use its units."""
         return [state.fault for state in self.states.values() if state.fault is not None]
 
     def receive(self, now: float, sender: Sender, message: Message) -> list[OutgoingMessage]:
-        """Apply another node's message, and return what is to be sent."""
+        """Process another node's message, and return the messages to send."""
         state = self.states.get(message.quota)
         if state is None:
             return []
@@ -201,7 +206,7 @@
                 return on_announcement(state, sender, message)
 
     def tick(self, now: float, nodes: int = 1) -> list[OutgoingMessage]:
-        """Do what is due, in a fleet of so many nodes; to be called every 20 to 100 ms."""
+        """Do what is due in a fleet of `nodes` nodes; to be called every 20 to 100 ms."""
         outgoing: list[OutgoingMessage] = []
         for state in self.states.values():
             state.expire(now)
@@ -213,7 +218,7 @@
         return outgoing
 
     def stats(self, now: float, quota: str) -> QuotaStats:
-        """The figures of one quota, for an operator."""
+        """Return the statistics of one quota for the admin API."""
         state = self.states[quota]
         state.expire(now)
         return state.stats(now)
--- a/notchjunction/fleet/quotas/split_change.py
+++ b/notchjunction/fleet/quotas/split_change.py
@@ -10,13 +10,14 @@
 from notchjunction.fleet.quotas.plan import StaleSplitError
 from notchjunction.fleet.quotas.state import OwnerPhase, QuotaState
 
-ANNOUNCE_INTERVAL_S = 1.0  # between an owner's announcements while a split changes, or it has just started
-OWNER_POLL_INTERVAL_S = 5.0  # in which each owner is asked for its phase, in a small fleet; for `age` alone
-OWNER_POLL_PER_NODE_S = 0.1  # of that more for each node: an owner answers ten a second in any fleet
+ANNOUNCE_INTERVAL_S = 1.0  # between an owner's announcements while a split changes, or after its start
+OWNER_POLL_INTERVAL_S = 5.0  # a node polls each owner once in this time, in a small fleet; only for `age`
+# That time is at least this for each node of the fleet, so an owner answers at most ten polls a second.
+OWNER_POLL_PER_NODE_S = 0.1
 
 
 def on_announcement(state: QuotaState, sender: Sender, message: PhaseAnnouncement) -> list[OutgoingMessage]:
-    """Note another owner's phase, and reply with the own one if that is wanted."""
+    """Record another owner's phase, and reply with this node's if that is requested."""
     if sender.name in state.other_owners():
         state.owner_phases[sender.name] = OwnerPhase(message.revision, message.phase)
     if state.phase is Phase.STARTING:
@@ -28,7 +29,7 @@
 
 
 def advance_phase(state: QuotaState, now: float) -> list[OutgoingMessage]:
-    """Enter the phases whose conditions hold; announce the phase while the split is changing."""
+    """Enter the next phases whose conditions are met; announce the phase while the split is changing."""
     for event, holds in _CONDITIONS:
         transition = PHASE_TABLE.find(state.phase, event)
         if transition is not None and holds(state, now):
@@ -41,7 +42,7 @@
 
 
 def poll_owner(state: QuotaState, now: float, nodes: int) -> list[OutgoingMessage]:
-    """Ask one owner after the other for its phase, each within a bounded time while links are whole."""
+    """Poll one owner after the other for its phase, so that each is polled within a bounded time."""
     owners = state.other_owners()
     interval = max(OWNER_POLL_INTERVAL_S, OWNER_POLL_PER_NODE_S * nodes)
     if not owners or now - state.polled_at < interval / len(owners):
@@ -52,7 +53,7 @@
 
 
 def all_owners_shrunk(state: QuotaState) -> bool:
-    """Whether every other owner of the previous split has at least shrunk to this one."""
+    """Return whether every other owner of the previous split has shrunk to this one, or gone further."""
     before = state.plan.before
     if before is None:
         return True
@@ -69,15 +70,15 @@
 
 def _stale_split(state: QuotaState, sender: Sender, revision: int) -> StaleSplitError:
     return StaleSplitError(
-        f"{sender.name} goes by revision {revision}, this node started with "
+        f"{sender.name} uses revision {revision}, this node started with "
         f"{state.plan.split.revision}, or without its `before`",
         f"fleet.limits {state.plan.name}",
-        "give this node the file in force, and start it again",
+        "give this node the configuration in force, and restart it",
     )
 
 
 def _agrees(state: QuotaState, other: OwnerPhase) -> bool:
-    """Whether another owner's split is the one this node started with, or the one before it."""
+    """Return whether another owner's split is the one that this node started with, or the one before it."""
     before, own = state.plan.before, state.plan.split.revision
     if before is not None:
         return other.revision in (own, before.revision)
@@ -85,12 +86,12 @@
 
 
 def _is_confirmed(state: QuotaState) -> bool:
-    """Whether another owner has announced the same split, and none a different one."""
-    # Guards against an old file, with which a node starts while the others have gone on to another split.
+    """Return whether another owner has announced the same split, and none a different one."""
+    # Guards against a node that starts with an old configuration after the others have changed the split.
     if not state.other_owners():
-        return True  # a sole owner needs nobody
+        return True  # a sole owner needs no confirmation
     announced = state.owner_phases.values()
-    return bool(announced) and all(_agrees(state, each) for each in announced)
+    return bool(announced) and all(_agrees(state, phase) for phase in announced)
 
 
 def _quarantine_over(state: QuotaState, now: float) -> bool:
@@ -105,7 +106,7 @@
     return not state.is_owner() or all_owners_shrunk(state)
 
 
-# In the order of the phases, so that a node passes through several at once.
+# In the order of the phases, so that a node can pass through several of them in one call.
 _CONDITIONS: tuple[tuple[PhaseEvent, Callable[[QuotaState, float], bool]], ...] = (
     (PhaseEvent.QUARANTINE_OVER, _quarantine_over),
     (PhaseEvent.FITS_SMALLER_SPLIT, _fits_smaller_split),
--- a/notchjunction/fleet/quotas/state.py
+++ b/notchjunction/fleet/quotas/state.py
@@ -1,4 +1,4 @@
-"""All that one node knows of one quota: its plan, own units, loans, leases and permits. Pure."""
+"""One node's state of one quota: its plan, own units, loans, leases and permits. Pure."""
 
 from __future__ import annotations
 
@@ -14,10 +14,10 @@
 from notchjunction.fleet.quotas.phase import Phase
 from notchjunction.fleet.quotas.plan import Plan, QuotaOverspentError
 
-REQUEST_QUEUED_S = 0.2  # that an owner keeps a request that it can't grant yet; under the borrower's wait
-RELEASES_KEPT = 8  # latest moments at which units came free, from which the next one is estimated
-RETRY_AFTER_MIN_S = 0.05  # told at least until a unit may come free
-RETRY_AFTER_MAX_S = 5.0  # told at most; a client that waits longer had better send its request again
+REQUEST_QUEUED_S = 0.2  # an owner queues a request for so long; less than the borrower waits
+RELEASES_KEPT = 8  # latest releases of units, from which the next one is estimated
+RETRY_AFTER_MIN_S = 0.05  # the shortest estimate of the time until a unit is free
+RETRY_AFTER_MAX_S = 5.0  # the longest one; rather than wait longer a client should send its request again
 
 
 @dataclass(slots=True, eq=False)
@@ -28,55 +28,57 @@
     serial: int
     requested: int
     requested_at: float
-    rounds: dict[int, float]  # when each was first requested; the latest few
+    rounds: dict[int, float]  # when each of the latest renewals was first requested, by number
     round: int = 0
     sent_at: float = 0.0
     granted: bool = False
     count: int = 0
     end: float = -math.inf
     in_use: int = 0
-    peak: int = 0  # largest number in use since the last review
+    peak: int = 0  # the most units in use at once since the last review
     reviewed_at: float = 0.0
-    recall_keep: int = 0  # of the owner's last recall
+    recall_keep: int = 0  # units that waiting requests may keep, by the owner's last recall
     recalled_until: float = -math.inf
 
     def idle(self, now: float) -> int:
-        """Units that may be used now."""
+        """Return the number of units that are valid and not in use."""
         return self.count - self.in_use if now < self.end else 0
 
 
 @dataclass(slots=True, eq=False)
 class Permit:
-    """One unit in use; at `expires_at` (s, own clock) it frees itself if nobody does."""
+    """One unit in use; it is freed automatically at `expires_at` (s, own clock)."""
 
-    state: QuotaState  # guards against a unit returned to a quota that was removed and added again since
-    lease: Lease | None  # none: an own unit
+    # Guards against a unit that is returned to another quota: its own one may have been removed and added
+    # again.
+    state: QuotaState
+    lease: Lease | None  # None for an own unit
     expires_at: float
     live: bool = True
 
 
 class QuotaStats(NamedTuple):
-    """One quota at one node; counts are units, times are seconds. The names are keys of /control/fleet."""
+    """Statistics of a quota at one node, in units and seconds. The names are keys in /control/fleet."""
 
-    owned: int  # that may be used or lent now
+    owned: int  # own units that may be used or lent now
     in_use: int
     lent: int
     borrowed: int
     quarantined_for: float
     revision: int
     settled: bool
-    age: float | None  # since the last message of the owner silent for longest; none: one has sent nothing
+    age: float | None  # since the least recent of all owners' last messages; None if one has sent none
 
 
 class OwnerDenial(NamedTuple):
-    """An owner's last denial; both are moments (s, own clock)."""
+    """An owner's last denial; both fields are moments (s, own clock)."""
 
     received_at: float
     free_at: float
 
 
 class OwnerPhase(NamedTuple):
-    """What another owner last announced."""
+    """The split and phase that another owner announced last."""
 
     revision: int
     phase: int
@@ -84,7 +86,7 @@
 
 @dataclass(slots=True, eq=False)
 class QuotaState:
-    """One quota at the node named `node`."""
+    """The state of one quota at the node with the name `node`."""
 
     node: str
     plan: Plan
@@ -94,12 +96,12 @@
     lent: int = 0
     reserved: deque[float] = field(default_factory=deque)  # expiry of units for own waiting requests
     loans: dict[LoanKey, Loan] = field(default_factory=dict)
-    loan_ends: list[tuple[float, LoanKey]] = field(default_factory=list)  # a heap; an end may be later now
+    loan_ends: list[tuple[float, LoanKey]] = field(default_factory=list)  # a heap; renewed loans end later
     queue: deque[QueuedLeaseRequest] = field(default_factory=deque)
     leases: dict[int, Lease] = field(default_factory=dict)
     permits: list[tuple[float, int, Permit]] = field(default_factory=list)  # a heap by expiry
-    permit_entries: int = 0  # ever put on that heap; keeps its order total
-    waiting: int = 0  # own requests that wait for a unit
+    permit_entries: int = 0  # entries ever put on that heap; makes its order total
+    waiting: int = 0  # requests of this node that wait for a unit
     denials: dict[str, OwnerDenial] = field(default_factory=dict)  # by owner
     owner_phases: dict[str, OwnerPhase] = field(default_factory=dict)  # by owner
     last_message_at: dict[str, float] = field(default_factory=dict)  # by owner
@@ -110,28 +112,28 @@
     fault: FleetError | None = None
 
     def usable(self) -> int:
-        """Own units that may be in use or lent now."""
+        """Return the number of own units that may be in use or lent now."""
         if self.phase is Phase.STARTING:
             return 0
         new, before = self.plan.split.owned_by(self.node), self.plan.before
         if self.phase is Phase.GROWN or before is None:
             return new
-        # Guards against both splits being used at once.
+        # Guards against units of both splits that are in use at once.
         return min(new, before.owned_by(self.node))
 
     def free(self) -> int:
-        """Own units that are neither in use nor lent nor reserved; negative while the split shrinks."""
+        """Return the number of own units not in use, lent or reserved; negative while the split shrinks."""
         return self.usable() - self.own_in_use - self.lent - len(self.reserved)
 
     def use_own(self, count: int = 1, lend: bool = False) -> None:
-        """Use or lend own units: the one place where they leave.
+        """Mark own units as in use or lent; no other method does this.
 
         Raises:
-            QuotaOverspentError: There are not so many left.
+            QuotaOverspentError: Fewer units are free.
         """
         if self.own_in_use + self.lent + len(self.reserved) + count > self.usable():
             raise QuotaOverspentError(
-                "more rights out than owned", f"fleet.limits {self.plan.name}", "report it as a defect"
+                "more units in use than owned", f"fleet.limits {self.plan.name}", "report it as a defect"
             )
         if lend:
             self.lent += count
@@ -139,24 +141,24 @@
             self.own_in_use += count
 
     def is_owner(self) -> bool:
-        """Whether this node is an owner by the split, or by the one before."""
+        """Return whether this node is an owner in the split or in the previous one."""
         before = self.plan.before
         return self.node in self.plan.split.owners or (before is not None and self.node in before.owners)
 
     def other_owners(self) -> list[str]:
-        """All owners of the split and of the one before, except this node and those stopped for good."""
+        """Return the owners in this and the previous split, without this node and those stopped for good."""
         before = self.plan.before
         names = {**(before.owners if before else {}), **self.plan.split.owners}
         ended = before.ended if before else ()
         return [name for name in sorted(names) if name != self.node and name not in ended]
 
     def track_permit(self, permit: Permit) -> None:
-        """Have a permit free itself at its expiry."""
+        """Register a permit, so that it is freed at its expiry."""
         self.permit_entries += 1
         heapq.heappush(self.permits, (permit.expires_at, self.permit_entries, permit))
 
     def free_permit(self, permit: Permit, now: float) -> None:
-        """End a live permit; its unit may be used again."""
+        """End a live permit, so that its unit may be used again."""
         permit.live = False
         self.released_at.append(now)
         if permit.lease is not None:
@@ -165,12 +167,12 @@
             self.own_in_use -= 1
 
     def add_loan(self, loan: Loan) -> None:
-        """Remember a loan until it ends."""
+        """Store a loan until it ends."""
         self.loans[loan.key] = loan
         heapq.heappush(self.loan_ends, (loan.ends, loan.key))
 
     def expire(self, now: float) -> None:
-        """Free the units whose time is over: used, reserved and lent ones."""
+        """Free the units whose permit, reservation or loan has ended."""
         while self.permits and self.permits[0][0] <= now:
             _, entry, permit = heapq.heappop(self.permits)
             if permit.live and permit.expires_at > now:
@@ -188,20 +190,24 @@
                 self.lent -= self.loans.pop(key).count
 
     def release_interval(self) -> float:
-        """Median time in seconds between the latest releases, with that of those ahead in the queue."""
+        """Return the estimated seconds until a unit is released for a new request.
+
+        This is the median interval between the latest releases, and as much for each request ahead in the
+        queue.
+        """
         gaps = sorted(later - earlier for earlier, later in itertools.pairwise(self.released_at))
         if not gaps:
             return RETRY_AFTER_MAX_S
         median = gaps[len(gaps) // 2]
-        # Requests queued for too long are denied, and are not ahead of one that arrives later.
+        # Requests that are queued for too long are denied, so they do not delay a new one.
         return median + min(REQUEST_QUEUED_S, median * len(self.queue))
 
     def own_retry_after(self) -> float:
-        """Seconds until an own unit may come free, as told to borrowers."""
+        """Return the estimated seconds until an own unit is free, as sent to borrowers."""
         return clamp_retry_after(self.release_interval()) if self.usable() > 0 else RETRY_AFTER_MAX_S
 
     def retry_after(self, now: float) -> float:
-        """Seconds until this node may get a unit, its own or another owner's."""
+        """Return the estimated seconds until this node may get a unit, its own or another owner's."""
         others = [max(0.0, denial.free_at - now) for denial in self.denials.values()]
         own = self.release_interval() if self.usable() > 0 or self.leases else RETRY_AFTER_MAX_S
         if self.phase is Phase.STARTING and self.plan.split.owned_by(self.node) > 0:
@@ -209,7 +215,7 @@
         return clamp_retry_after(min([own, *others]))
 
     def stats(self, now: float) -> QuotaStats:
-        """The quota's figures for an operator."""
+        """Return the quota's statistics for the admin API."""
         leases = self.leases.values()
         owners = self.other_owners()
         times = [at for at in map(self.last_message_at.get, owners) if at is not None]
@@ -227,5 +233,5 @@
 
 
 def clamp_retry_after(seconds: float) -> float:
-    """The time as it may be told to others."""
+    """Limit an estimate to the range that is sent to borrowers and clients."""
     return min(RETRY_AFTER_MAX_S, max(RETRY_AFTER_MIN_S, seconds))
