--- a/notchjunction/addresses.py
+++ b/notchjunction/addresses.py
@@ -7,9 +7,10 @@
 
 
 def address_of(text: str) -> Address:
-    """Returns the address that `host:port` names; an IPv6 host may stand in brackets.
+    """Parses `host:port`; an IPv6 host may be in brackets.
 
-    Raises ValueError for a port that is missing or no number.
+    Raises:
+        ValueError: The port is missing or is not a number.
     """
     host, _, port = text.rpartition(":")
     return host.strip("[]"), int(port)
--- a/notchjunction/discovery/endpoint_list.py
+++ b/notchjunction/discovery/endpoint_list.py
@@ -11,7 +11,7 @@
 from notchjunction.discovery.endpoints import EndpointState, ListedEndpoint
 from notchjunction.discovery.watch_state import WatchEvent
 
-# The protocol's words for an endpoint's state.
+# The protocol's names for the state of an endpoint.
 STATE_BY_STATUS = {
     "active": EndpointState.ACTIVE,
     "leaving": EndpointState.DRAINING,
@@ -21,7 +21,10 @@
 
 
 class ListUnavailableError(Exception):
-    """A poll failed, or its response is no endpoint list; `event` says how, for the watch's state machine."""
+    """A poll failed, or its response is not an endpoint list.
+
+    `event` is the failure as an event of the watch's state machine.
+    """
 
     def __init__(self, reason: str, event: WatchEvent = WatchEvent.CONNECTION_LOST) -> None:
         super().__init__(reason)
@@ -30,24 +33,26 @@
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """A version of the list: all of it (`is_snapshot`), or the changes since an earlier version."""
+    """A version of the list: a snapshot, or the changes since an earlier version."""
 
     version: int
     is_snapshot: bool
     endpoints: tuple[ListedEndpoint, ...]
-    addresses: Mapping[str, Address]  # by endpoint name; without those where no connection can be tried
-    is_stale: bool = False  # older than the last one: its versions start anew, or its source lags
+    addresses: Mapping[str, Address]  # by endpoint name; without addresses that cannot be connected to
+    is_stale: bool = False  # older than the previous list: discovery restarted its versions, or lags
 
     def drains_and_removals(self) -> EndpointList:
-        """Returns only what it says of endpoints that may get no new requests, as changes."""
-        closing = tuple(endpoint for endpoint in self.endpoints if endpoint.state is not EndpointState.ACTIVE)
-        return replace(self, is_snapshot=False, endpoints=closing, addresses={})
+        """Returns, as changes, only the entries of endpoints that may get no new requests."""
+        inactive = tuple(
+            endpoint for endpoint in self.endpoints if endpoint.state is not EndpointState.ACTIVE
+        )
+        return replace(self, is_snapshot=False, endpoints=inactive, addresses={})
 
 
 def read_list(document: Any) -> EndpointList:
-    """Returns the list that a decoded JSON document holds; raises ListUnavailableError if it holds none."""
+    """Converts a decoded JSON document to a list; raises ListUnavailableError if it is malformed."""
     try:
-        # Guards against two rows for one endpoint in one list: every reader goes by the last one.
+        # Guards against two rows for the same endpoint in one list: only the last one is used.
         rows = list({str(row["name"]): row for row in document["endpoints"]}.values())
         addresses = {str(row["name"]): _parse_address(row["address"]) for row in rows if row.get("address")}
         unreachable = {name for name, address in addresses.items() if address is None}
@@ -62,19 +67,19 @@
 
 
 def _parse_address(text: Any) -> Address | None:
-    """Returns None for a port that cannot exist: no connection there must be tried, nor fail the node."""
+    """Parses an address; returns None if its port is out of range, as connecting to it would raise."""
     address = address_of(text)
     return address if 0 < address[1] <= MAX_PORT else None
 
 
 def _parse_row(row: Mapping[str, Any], reachable: bool) -> ListedEndpoint:
-    """Returns the endpoint of one row of the JSON document; raises ValueError for a start that is no time."""
+    """Returns the endpoint of one row of the JSON document; raises ValueError if its start is not finite."""
     started_at_ms = float(row.get("since_ms") or 0)
     if not math.isfinite(started_at_ms):
-        raise ValueError("since_ms is no time")
+        raise ValueError("since_ms is not a finite number")
     return ListedEndpoint(
         name=str(row["name"]),
-        # Guards against requests to an endpoint in a state that this node does not know, or at no address.
+        # Guards against requests to an endpoint with an unknown state, or without a valid address.
         state=_parse_state(row["status"], reachable),
         started_at=started_at_ms / 1000,
         zone=str(row.get("zone") or ""),
@@ -83,7 +88,7 @@
 
 
 def _parse_state(status: Any, reachable: bool) -> EndpointState:
-    """Returns the state for a status; an unknown status, and an unreachable endpoint, count as draining."""
+    """Returns the state for a status; an unknown status and an unreachable endpoint count as draining."""
     state = STATE_BY_STATUS.get(status, EndpointState.DRAINING)
     return state if reachable or state is not EndpointState.ACTIVE else EndpointState.DRAINING
 
--- a/notchjunction/discovery/endpoints.py
+++ b/notchjunction/discovery/endpoints.py
@@ -7,7 +7,7 @@
 
 
 class EndpointState(Enum):
-    """Whether an endpoint may get new requests, by the endpoint list."""
+    """The state of an endpoint in the endpoint list; only active ones may get new requests."""
 
     ACTIVE = "active"
     DRAINING = "draining"
@@ -16,14 +16,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ListedEndpoint:
-    """An endpoint in the list.
-
-    `started_at` is in s of Unix time, 0 where the list gives none. An endpoint without a deduplication group
-    shares its group with no other.
-    """
+    """An endpoint in the list."""
 
     name: str
     state: EndpointState
-    started_at: float = 0.0
+    started_at: float = 0.0  # s of Unix time; 0 if the list gives none
     zone: str = ""
-    deduplication_group: int | None = None
+    deduplication_group: int | None = None  # None: a group of its own
--- a/notchjunction/discovery/known_endpoints.py
+++ b/notchjunction/discovery/known_endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoints that this node knows, from the endpoint list and its changes so far. No I/O."""
+"""The endpoints that this node knows from the endpoint list and its changes so far. No I/O."""
 
 from __future__ import annotations
 
@@ -21,13 +21,17 @@
         return len(self._endpoints)
 
     def apply(self, update: EndpointList) -> EndpointList:
-        """Applies an update; returns what of it is new, as changes if any endpoint was known before."""
+        """Applies an update.
+
+        Returns:
+            What is new in it: changes, or the whole snapshot if no endpoint was known before.
+        """
         if update.is_stale:
             update = replace(
                 update, endpoints=tuple(self._keep_draining(endpoint) for endpoint in update.endpoints)
             )
         if update.is_snapshot and self._endpoints:
-            # Guards against a snapshot of thousands of endpoints that holds up the node: most are known.
+            # Guards against a snapshot of thousands of endpoints that blocks the node: most are unchanged.
             update = self._differences(update)
         self._addresses.update(update.addresses)
         self._endpoints.update({endpoint.name: endpoint for endpoint in update.endpoints})
@@ -53,7 +57,7 @@
         ]
 
     def _differences(self, snapshot: EndpointList) -> EndpointList:
-        """Returns a snapshot as changes to what is known; what it does not name is removed."""
+        """Returns a snapshot as changes to the known endpoints; those that it does not list are removed."""
         listed = {endpoint.name for endpoint in snapshot.endpoints}
         changed = [endpoint for endpoint in snapshot.endpoints if self._has_changed(endpoint, snapshot)]
         removed = [
@@ -77,9 +81,9 @@
         )
 
     def _keep_draining(self, endpoint: ListedEndpoint) -> ListedEndpoint:
-        """Guards against a stale list that ends an endpoint's drain; only another start of it does.
+        """Guards against a stale list that ends an endpoint's drain; only another start of it may end that.
 
-        Another start, not a later one: the wall clock that starts are given by may have been stepped back.
+        The other start need not be later, as the wall clock that gives the start may have been stepped back.
         """
         known = self._endpoints.get(endpoint.name)
         if known is None or known.state is not EndpointState.DRAINING:
--- a/notchjunction/discovery/start_times.py
+++ b/notchjunction/discovery/start_times.py
@@ -1,8 +1,8 @@
-"""When endpoints started, on this node's own clock, whatever becomes of the wall clock.
+"""When endpoints started, on this node's own clock, independently of steps of the wall clock.
 
-The list gives an endpoint's start as wall-clock time. That clock may be stepped, by up to an hour, between
-the endpoint's start, the update that lists it, and this node's own start. An endpoint that has just started
-would then pass for a warm one, or stay in slow start for an hour. Pure: no I/O and no clock.
+The list gives an endpoint's start as wall-clock time. That clock may be stepped by up to an hour between the
+endpoint's start, the update that lists it, and this node's own start. Without a correction, an endpoint that
+has just started could be treated as a warm one, or stay in slow start for an hour. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -12,13 +12,13 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-# The list may give a start this late; a start that is new and older than that is not believed.
+# The list may give a start with this delay; an older start that was not listed before is not trusted.
 MAX_LISTING_DELAY_S = 3.0
 # The wall clock may have been stepped by this much before this process started.
 MAX_CLOCK_STEP_S = 3600.0
-# Two listed times of one start may differ by less than this; the list has milliseconds.
+# Two listed times of the same start may differ by less than this; the list has a resolution of 1 ms.
 LISTED_TIME_TOLERANCE_S = 0.001
-# Endpoints remembered, also those that were removed; over twice the largest fleet.
+# Endpoints tracked, with those that were removed; over twice the largest supported number.
 MAX_TRACKED_ENDPOINTS = 8192
 
 
@@ -38,22 +38,22 @@
 
 
 class StartTimes:
-    """The starts of all endpoints that were listed lately."""
+    """The starts of all endpoints that were listed recently."""
 
     def __init__(self, now: float) -> None:
-        """`now` is the node's clock (s) as this process starts."""
+        """Starts without any endpoint; `now` is the node's clock (s) at the start of this process."""
         self._process_started_at = now
         self._starts: OrderedDict[str, EndpointStart] = OrderedDict()
         self._list_received_at: float | None = None
 
     def started_at(self, name: str, listed_at: float, now: float, wall_time: float) -> float:
-        """Returns an endpoint's start on the node's clock (s); 0: long before.
+        """Returns an endpoint's start on the node's clock (s); 0 stands for long ago.
 
         Args:
             name: the endpoint.
-            listed_at: its start as the list gives it (s of Unix time); 0: none given.
-            now: the node's clock (s) as the update came.
-            wall_time: the wall clock (s of Unix time) as the update came.
+            listed_at: its start as the list gives it (s of Unix time); 0 if it gives none.
+            now: the node's clock (s) when the update arrived.
+            wall_time: the wall clock (s of Unix time) when the update arrived.
         """
         known = self._starts.get(name)
         if known is not None and abs(known.listed_at - listed_at) < LISTED_TIME_TOLERANCE_S:
@@ -64,9 +64,9 @@
         return started_at
 
     def ages(self, now: float) -> Mapping[str, EndpointAge]:
-        """Returns the starts whose age a clock step may hide, by endpoint.
+        """Returns the starts whose age could not be told from wall-clock time after a step, by endpoint.
 
-        For another process of this node, which has no other way to know how old they are.
+        They are handed over to another process of this node, which has no other way to know their age.
         """
         return {
             name: EndpointAge(start.listed_at, now - start.started_at)
@@ -86,20 +86,21 @@
             self._starts.popitem(last=False)
 
     def list_received(self, now: float) -> None:
-        """Notes that an update has been taken in whole: what it did not list had not started by then."""
+        """Records that a complete update was applied: endpoints that it did not list had not started yet."""
         self._list_received_at = now
 
     def _estimate_age(self, listed_at: float, now: float, wall_time: float) -> float:
-        """Returns the smallest age (s) that a start which was not known can have."""
+        """Returns the minimum age (s) of a start that was not known before."""
         wall_age = wall_time - listed_at
         if self._list_received_at is None:
-            # In the first update it may lie before this process: then it is as old as the wall clock says,
-            # less any step of that clock since. One taken for older would be overloaded as it warms up.
+            # In the first update the start may be before that of this process. Then it is as old as the wall
+            # clock says, less any step of that clock since. An endpoint whose age is overestimated would be
+            # overloaded during its warm-up.
             if wall_age > now - self._process_started_at:
                 return max(0.0, wall_age - MAX_CLOCK_STEP_S)
         elif wall_age > now - self._list_received_at + MAX_LISTING_DELAY_S:
             return 0.0
-        # The node's own clock was set by the wall clock once, and never stepped: a step of the wall clock in
-        # either direction makes one of the two ages too great.
+        # The node's own clock was set from the wall clock once and is never stepped. So a step of the wall
+        # clock in either direction makes one of the two ages too large.
         own_age = now - listed_at
         return max(0.0, min(wall_age, own_age) if own_age >= 0 else wall_age)
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -340,7 +340,7 @@
         world, wait = self.world, inf
         self._call += 1
         if self._following is not None:
-            wait = self._following.next_wait(known=True)
+            wait = self._following.next_wait(has_version=True)
             world.after(self._following.poll_started(world.now, wait), partial(self._silent, self._call))
         heard = partial(self._heard, self._call)
         world.after(world.hop(), partial(ask, self.tier, self.number, self._version, heard, wait))
--- a/notchjunction/errors.py
+++ b/notchjunction/errors.py
@@ -1,15 +1,15 @@
-"""Errors between processes, each with what an operator can do about it.
-
-Logs and the admin API print all three parts of each.
-"""
+"""Errors that an on-call operator can act on; logs and the admin API show all of their parts."""
 
 from __future__ import annotations
 
 
 class NotchjunctionError(Exception):
-    """An error that an operator can act on.
+    """An error that an on-call operator can act on.
 
-    `what` happened, `where` (a place in the file, a node, a limit), and `remedy`, what to do about it.
+    Args:
+        what: What happened.
+        where: Where it happened: a key of the configuration, a node or a quota.
+        remedy: What the operator can do about it.
     """
 
     def __init__(self, what: str, where: str, remedy: str) -> None:
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -157,7 +157,7 @@
     async def _poll(self) -> EndpointList:
         """Polls once; raises ListUnavailableError with how the poll ended, and closes the connection then."""
         target = protocol.LIST_PATH
-        wait = self.watch.next_wait(known=self.version is not None)
+        wait = self.watch.next_wait(has_version=self.version is not None)
         if self.version is not None:
             target += f"?after={self.version}&wait_ms={int(wait * 1000)}"
         self._last_poll = _Poll(self._clock(), wait)
--- a/notchjunction/state_table.py
+++ b/notchjunction/state_table.py
@@ -13,7 +13,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Transition(Generic[State, Event, Action]):
-    """What one event leads to in one state: the next state, and an action."""
+    """A row of the table: the next state and the action for one event in one state."""
 
     state: State
     event: Event
@@ -25,7 +25,7 @@
     """A state machine's transitions, at most one for each state and event."""
 
     def __init__(self, rows: Iterable[Transition[State, Event, Action]]) -> None:
-        """Takes the transitions in order; raises ValueError for two with one state and event."""
+        """Stores the transitions in order; raises ValueError if two have the same state and event."""
         transitions: dict[tuple[State, Event], Transition[State, Event, Action]] = {}
         for row in rows:
             if (row.state, row.event) in transitions:
--- a/tests/test_watch_state.py
+++ b/tests/test_watch_state.py
@@ -11,8 +11,8 @@
     ADDRESS_CHANGE_SPREAD_S,
     AGENT_BACKOFF_S,
     AGENT_INITIAL_WAIT_S,
+    AMBIGUOUS_RATE_LIMITS,
     BACKOFF_STEP_S,
-    DOUBTED_RATE_LIMITS,
     MAX_OVERLOAD_BACKOFF_S,
     MIN_BACKOFF_S,
     OVERLOAD_BACKOFF_S,
@@ -49,7 +49,7 @@
     """A watch whose polls start a second apart, and end half a second later with `events` in turn."""
     watch = ListWatch(poll_interval, pushed)
     for number, event in enumerate(events):
-        watch.poll_started(at + number, watch.next_wait(known=True))
+        watch.poll_started(at + number, watch.next_wait(has_version=True))
         watch.poll_ended(event, at + number + 0.5)
     return watch
 
@@ -119,18 +119,18 @@
     for seed in range(50):
         watch = ListWatch(poll_interval, seed=seed)
         watch.poll_ended(WatchEvent.ANSWERED, 0.0)
-        wait = watch.next_wait(known=True)
+        wait = watch.next_wait(has_version=True)
         silent_at = 100.0 + watch.poll_started(100.0, wait)
         watch.poll_ended(WatchEvent.TIMED_OUT, silent_at)
         assert silent_at - 100.0 == pytest.approx(wait + RESPONSE_GRACE_S)
         assert watch.notified_by() - silent_at >= 1.49
-        assert watch.next_wait(known=True) == 0.0  # an answer is due at once
+        assert watch.next_wait(has_version=True) == 0.0  # an answer is due at once
 
 
 def test_watches_of_many_nodes_do_not_end_together_and_an_agent_is_polled_soon() -> None:
-    waits = [ListWatch(10.0, seed=seed).next_wait(known=True) for seed in range(40)]
+    waits = [ListWatch(10.0, seed=seed).next_wait(has_version=True) for seed in range(40)]
     assert max(waits) - min(waits) > 1.0 and max(waits) <= 4.0
-    assert ListWatch(0.0).next_wait(known=True) <= 4.0
+    assert ListWatch(0.0).next_wait(has_version=True) <= 4.0
     agent, remote = ListWatch(0.0, pushed=True), ListWatch(10.0)
     assert AGENT_BACKOFF_S <= agent.backoff() <= 2 * AGENT_BACKOFF_S
     assert MIN_BACKOFF_S <= remote.backoff() <= MIN_BACKOFF_S + BACKOFF_STEP_S
@@ -143,16 +143,16 @@
         watch = ListWatch(10.0, seed=seed)
         for _ in range(rejections):
             watch.poll_ended(WatchEvent.REJECTED, 100.0)
-        assert 2.8 <= watch.next_wait(known=True) <= 4.0
+        assert 2.8 <= watch.next_wait(has_version=True) <= 4.0
 
 
 def test_a_new_address_is_polled_without_a_wait_until_it_answers() -> None:
     watch = watch_after(10.0, (WatchEvent.ANSWERED, WatchEvent.ADDRESS_CHANGED))
-    assert watch.next_wait(known=True) == 0.0
+    assert watch.next_wait(has_version=True) == 0.0
     watch.poll_ended(WatchEvent.REJECTED, 103.0)
-    assert watch.next_wait(known=True) == 0.0  # it has not answered yet
+    assert watch.next_wait(has_version=True) == 0.0  # it has not answered yet
     watch.poll_ended(WatchEvent.ANSWERED, 104.0)
-    assert watch.next_wait(known=True) > 0.0
+    assert watch.next_wait(has_version=True) > 0.0
 
 
 @pytest.mark.parametrize(
@@ -198,7 +198,7 @@
         watch = ListWatch(10.0, seed=seed, nodes=200)
         watch.poll_ended(WatchEvent.ANSWERED, 0.0)
         watch.poll_ended(WatchEvent.REJECTED, 3.0)  # its watch ends: no poll was rejected at once
-        for number in range(DOUBTED_RATE_LIMITS):
+        for number in range(AMBIGUOUS_RATE_LIMITS):
             watch.poll_started(10.0 * number, 0.0)
             watch.poll_ended(WatchEvent.RATE_LIMITED, 10.0 * number + 2.0)
             assert MIN_BACKOFF_S <= watch.backoff() <= MIN_BACKOFF_S + 3 * BACKOFF_STEP_S
@@ -227,7 +227,7 @@
     watch.poll_ended(WatchEvent.ANSWERED, 0.0)
     for longest in (1.5, 3.0, 6.0, 6.0):
         watch.poll_ended(WatchEvent.TIMED_OUT, 10.0)
-        assert 0.7 * longest <= watch.poll_started(10.0, watch.next_wait(known=True)) <= longest
+        assert 0.7 * longest <= watch.poll_started(10.0, watch.next_wait(has_version=True)) <= longest
 
 
 class OverloadedDiscovery:
@@ -263,7 +263,7 @@
 
     def _poll(self, now: float, number: int) -> None:
         watch, poll = self._watches[number], self._polls[number]
-        timeout = watch.poll_started(now, watch.next_wait(known=True))
+        timeout = watch.poll_started(now, watch.next_wait(has_version=True))
         if now < self._down and not self._slow:
             self._ended(now, number, WatchEvent.REJECTED)
             return
