--- a/notchjunction/discovery/watch_state.py
+++ b/notchjunction/discovery/watch_state.py
@@ -56,7 +56,7 @@
 MIN_QUEUED_S = 0.25
 # A poll that is rejected after more than this had left the queue, and was waiting for a change.
 MAX_QUEUED_S = 2.5
-# So many consecutive rejections from the queue may also come from a discovery that is down but slow.
+# So many consecutive rejections from the queue may also come from a discovery that is down.
 AMBIGUOUS_RATE_LIMITS = 6
 # Backoff after a rejection from the queue; it doubles with each further one.
 OVERLOAD_BACKOFF_S = 2.0
--- a/notchjunction/safety/__init__.py
+++ b/notchjunction/safety/__init__.py
@@ -1,1 +1,1 @@
-"""What may be written, closed or started at this moment, and what must never happen. No I/O and no clock."""
+"""Preconditions of writes, closes and starts, and run-time invariants of requests. No I/O and no clock."""
--- a/notchjunction/safety/invariants.py
+++ b/notchjunction/safety/invariants.py
@@ -1,7 +1,7 @@
-"""Run-time invariants of one request, checked on what was done to it, whichever code decided so.
+"""Run-time invariants of one request, checked against what was done, independently of the code that decided.
 
-The checks share no code with the decisions: each act is recorded here after it was done, and the invariants
-that it violates are returned, to be counted and logged. Pure: no I/O and no clock.
+The checks share no code with the decisions. Each action is recorded here after it was done, and the
+invariants that it violates are returned, to be counted and logged. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -11,10 +11,10 @@
 
 from notchjunction.balancing.interface import AttemptResult, Idempotency
 
-# The deadline sent to an endpoint may exceed the time left by this much; set by the operators, for a process
-# that is delayed between its clock and its act.
+# The deadline sent to an endpoint may exceed the time left by this much, as a process may be delayed between
+# reading the clock and the write; set by the on-call operators.
 SENT_DEADLINE_TOLERANCE_S = 0.15
-# A response this long past its request's deadline counts as lost; set by the operators.
+# A response this long past its request's deadline counts as lost; set by the on-call operators.
 MAX_RESPONSE_DELAY_S = 0.5
 # Results of attempts that the endpoint did not run.
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
@@ -35,14 +35,13 @@
 
 @dataclass(slots=True)
 class RequestLedger:
-    """What was done to one request; moments are seconds on the node's clock."""
+    """The actions on one request; moments are seconds on the node's clock."""
 
     idempotency: Idempotency
-    deadline_at: float  # the earliest possible, as it is not known when its bytes arrived
+    deadline_at: float  # the earliest possible one, as it is not known when the request's bytes arrived
     arrived_at: float = 0.0
-    may_have_run: dict[int, bool] = field(
-        default_factory=dict
-    )  # by the number of each attempt that was written
+    # For each attempt that was written, by its number.
+    may_have_run: dict[int, bool] = field(default_factory=dict)
     answered: bool = False
     client_gone: bool = False
 
@@ -55,7 +54,7 @@
             attempt: its number.
             now: the node's clock (s) at the write.
             sent_deadline: the deadline (s from now) sent with it.
-            listed: the list had its endpoint as active, at the address written to.
+            listed: whether the list had its endpoint as active, with the address written to.
         """
         violations = []
         if self.answered or self.client_gone:
@@ -79,12 +78,12 @@
 
         Args:
             now: the node's clock (s).
-            rejected: the response says that nothing was done.
+            rejected: whether the response says that nothing was done.
         """
         violations = []
         if self.answered:
             violations.append(Violation.ANSWERED_TWICE)
-        # A request that was past its deadline as it was read is answered at once.
+        # A request that is read after its deadline is answered at once.
         if now > max(self.deadline_at, self.arrived_at) + MAX_RESPONSE_DELAY_S:
             violations.append(Violation.ANSWERED_LATE)
         if rejected and self.idempotency is Idempotency.NON_IDEMPOTENT and any(self.may_have_run.values()):
--- a/notchjunction/safety/preconditions.py
+++ b/notchjunction/safety/preconditions.py
@@ -1,9 +1,9 @@
-"""Preconditions of writing an attempt, closing a connection and starting a request, checked as it is done.
+"""Preconditions of writing an attempt, closing a connection and starting a request, checked at that moment.
 
-A decision rests on facts: the endpoint list, the time left, whether the client is connected, what earlier
+A decision is based on facts: the endpoint list, the time left, whether the client is connected, what earlier
 attempts may have done. Between a decision and its execution a connection is opened, a peer reads its bytes,
-or the process is delayed, and the facts change. So the code that acts gathers the facts anew at that
-moment, and checks them here. Nothing may run between the check and the act. Pure: no I/O and no clock.
+or the process is delayed, and the facts change. So the code that executes a decision gathers the facts again
+and checks them here. No other code may run between the check and the execution. Pure: no I/O and no clock.
 """
 
 from __future__ import annotations
@@ -12,41 +12,41 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# A process may be delayed by this much between its clock and its act; set by the operators.
+# A process may be delayed by this much between reading the clock and a write; set by the on-call operators.
 MAX_PROCESS_DELAY_S = 0.15
-# Kept of the time left for the network from the client and to the endpoint, which nobody measures.
+# Subtracted from the time left for the network from the client and to the endpoint, which is not measured.
 MAX_NETWORK_MARGIN_S = 0.02
-# Share of the time left that is kept for it at most: a request with little time needs the rest.
+# Share of the time left that is subtracted at most, as a request with little time needs the rest.
 NETWORK_MARGIN_SHARE = 0.1
-# The smallest deadline that can be sent; the protocol counts whole milliseconds.
+# The shortest deadline that can be sent; the protocol has a resolution of 1 ms.
 MIN_SENT_DEADLINE_S = 0.001
 
 
 class Refusal(Enum):
-    """Why something may not be done now; the values name counters."""
+    """Why an action may not be done now; the values name counters."""
 
     REQUEST_ENDED = "request ended"  # it has its final response, or the attempt was cancelled
     CLIENT_GONE = "client gone"
-    NOT_LISTED = "not listed"  # the endpoint drains, was removed, is banned, or has another address
+    NOT_LISTED = "not listed"  # the endpoint is draining, removed or banned, or has another address
     DEADLINE_PASSED = "deadline passed"
     MAY_HAVE_RUN = "an earlier attempt may have run"
-    DUPLICATE_REQUEST = "duplicate request"  # another request with that id is in flight here
-    NO_QUOTA = "no quota"  # under a limit of the whole fleet
-    CONNECTION_CLOSING = "connection closing"  # its sending side is closed: no response could be sent
-    REQUEST_PENDING = "request pending"  # one has been read, or part of it, and has no response
-    BYTES_UNREAD = "bytes unread"  # closing over them resets the connection, and they may be a request
+    DUPLICATE_REQUEST = "duplicate request"  # another request with the same id is in flight at this node
+    NO_QUOTA = "no quota"  # a quota of the whole fleet has no free unit
+    CONNECTION_CLOSING = "connection closing"  # its sending side is closed, so no response could be sent
+    REQUEST_PENDING = "request pending"  # a request, or part of one, has been read and has no response
+    BYTES_UNREAD = "bytes unread"  # closing would reset the connection, and the bytes may be a request
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptFacts:
-    """What decides whether an attempt may be written, gathered at the moment of the write."""
+    """The facts that decide whether an attempt may be written, gathered at the moment of the write."""
 
     now: float  # s on the node's clock
     expires_at: float  # s on the same clock; the attempt's deadline
     is_wanted: bool  # its request has no response, and the attempt was not cancelled
     client_connected: bool
-    listed: bool  # the list has the endpoint as active, and at this connection's address
-    repeatable_until: float = math.inf  # s; until when it cannot run twice; -inf: never
+    listed: bool  # the list has the endpoint as active, with this connection's address
+    repeatable_until: float = math.inf  # s; a retry until then cannot run twice; -inf: never
 
 
 def may_write(facts: AttemptFacts) -> Refusal | None:
@@ -78,11 +78,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ConnectionFacts:
-    """What decides whether a client's connection may be closed, gathered at that moment."""
+    """The facts that decide whether a client's connection may be closed, gathered at that moment."""
 
     response_pending: bool  # a request on it was accepted and has no complete response yet
     request_started: bool  # part of a next request has been read
-    has_unread_bytes: bool  # bytes, or the end of the stream, have arrived unread
+    has_unread_bytes: bool  # bytes, or the end of the stream, have arrived and not been read
     closing: bool = False  # its sending side is closed
 
 
@@ -99,10 +99,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AdmissionFacts:
-    """What decides whether a request that has been read is accepted."""
+    """The facts that decide whether a request that has been read is accepted."""
 
     closing: bool  # the connection's sending side is closed
-    is_duplicate: bool  # one with the same id is in flight
+    is_duplicate: bool  # a request with the same id is in flight
 
 
 def may_start(facts: AdmissionFacts) -> Refusal | None:
