--- a/notchjunction/fleet/membership/anti_entropy.py
+++ b/notchjunction/fleet/membership/anti_entropy.py
@@ -60,11 +60,15 @@
 
         Without these probes the sides of a partition would not find each other once it has ended.
         """
-        gone = [record for record in self._table.ordered().values() if not record.live]
-        gone.sort(key=lambda record: record.since, reverse=True)
-        for rank, record in enumerate(gone):
+        not_live = [record for record in self._table.ordered().values() if not record.live]
+        not_live.sort(key=lambda record: record.since, reverse=True)
+        for rank, record in enumerate(not_live):
             if rank >= DEAD_KEPT_MAX or now - record.since > DEAD_KEPT_S:
                 self._table.apply(now, RecordEvent.RETENTION_ENDED, record)
-        known = self._table.records
-        dead = [record.name for record in gone if record.state is MemberState.DEAD and record.name in known]
+        remaining = self._table.records
+        dead = [
+            record.name
+            for record in not_live
+            if record.state is MemberState.DEAD and record.name in remaining
+        ]
         return [self._detector.ping(now, name) for name in self._local.sample(dead, 1)]
--- a/notchjunction/fleet/membership/dissemination.py
+++ b/notchjunction/fleet/membership/dissemination.py
@@ -59,13 +59,13 @@
         They are ordered by part, so that at least some parts agree if not all records fit.
         """
         records = self._table.records
-        known = {
+        unchanged = {
             update.name
             for update in received
             if update.name in records and update == records[update.name].to_update(now)
         }
         self._local.random.shuffle(parts)
-        names = [name for part in parts for name in self._table.names_in(part) if name not in known]
+        names = [name for part in parts for name in self._table.names_in(part) if name not in unchanged]
         return self._select_fitting(now, names)
 
     def _select_fitting(
--- a/notchjunction/fleet/membership/joining.py
+++ b/notchjunction/fleet/membership/joining.py
@@ -38,8 +38,8 @@
         local, live = self._local, self._table.live()
         if live and local.recovery is None:
             # Guards against sides of a long partition that have forgotten each other.
-            known = {self._table.records[name].address for name in live}
-            addresses = local.sample([seed for seed in self._seeds if seed not in known], 1)
+            known_addresses = {self._table.records[name].address for name in live}
+            addresses = local.sample([seed for seed in self._seeds if seed not in known_addresses], 1)
             self._interval, wait = JOIN_INTERVAL_MIN_S, JOIN_INTERVAL_MAX_S
         else:
             addresses = local.sample(self._seeds, JOIN_SEEDS)
--- a/notchjunction/fleet/membership/member_table.py
+++ b/notchjunction/fleet/membership/member_table.py
@@ -79,37 +79,37 @@
         return list(self._checksums[part])
 
     def receive(self, now: float, update: Member) -> bool:
-        """Apply a received record; return whether this changed the known one."""
+        """Apply a received record; return whether this changed the current one."""
         return self.apply(now, RECEIVED[update.state], update)
 
     def apply(self, now: float, event: RecordEvent, update: Member) -> bool:
         """Apply an event to the record of a name; return whether this changed it."""
-        known = self.records.get(update.name)
-        occurrence = Occurrence(event, self._relation(now, event, known, update))
-        transition = RECORD_TABLE.find(known.state if known else None, occurrence)
+        current = self.records.get(update.name)
+        occurrence = Occurrence(event, self._relation(now, event, current, update))
+        transition = RECORD_TABLE.find(current.state if current else None, occurrence)
         if transition is None:
             return False
-        after = self._changed(now, transition.action, known, update)
+        after = self._changed(now, transition.action, current, update)
         state = transition.next_state
         return self.put(update.name, None if state is None else replace(after, state=state))
 
-    def _relation(self, now: float, event: RecordEvent, known: Member | None, update: Member) -> Relation:
+    def _relation(self, now: float, event: RecordEvent, current: Member | None, update: Member) -> Relation:
         if event not in RECEIVED.values():
             return Relation.TRUSTED if self._local.may_accuse(now) else Relation.UNTRUSTED
-        if known is None:
+        if current is None:
             is_stale = not update.live and now - update.since > DEATH_NEWS_S
             return Relation.STALE if is_stale else Relation.NEWER
         if (update.name, update.start) == self._local.me:
-            is_old = self._local.is_replaced or update.version < known.version
+            is_old = self._local.is_replaced or update.version < current.version
             return Relation.OLDER if is_old else Relation.OWN
-        if update.version == known.version:
+        if update.version == current.version:
             return Relation.EQUAL
-        return Relation.NEWER if update.version > known.version else Relation.OLDER
+        return Relation.NEWER if update.version > current.version else Relation.OLDER
 
-    def _changed(self, now: float, action: RecordAction, known: Member | None, update: Member) -> Member:
+    def _changed(self, now: float, action: RecordAction, current: Member | None, update: Member) -> Member:
         match action:
             case RecordAction.MERGE:
-                return merge(known, update) if known else update
+                return merge(current, update) if current else update
             case RecordAction.SUSPECT | RecordAction.DECLARE_DEAD:
                 return replace(update, since=now, accusers=())
             case RecordAction.ACCUSE:
--- a/notchjunction/fleet/quotas/plan.py
+++ b/notchjunction/fleet/quotas/plan.py
@@ -52,43 +52,43 @@
     before: Split | None = None  # the previous split, until the new one has settled at all owners
 
 
-def check_follows(known: Plan, phase: Phase, plan: Plan) -> None:
-    """Check that a configured plan may replace the known one, which this node has in the given phase.
+def check_follows(current: Plan, phase: Phase, plan: Plan) -> None:
+    """Check that a configured plan may replace the current one, of which this node is in phase `phase`.
 
     Raises:
-        SplitMismatchError: The split is not the known one, nor the one after it.
-        UnsettledSplitError: The known split, or the one before it, may still be in use elsewhere.
+        SplitMismatchError: The split is neither the current one nor the one after it.
+        UnsettledSplitError: The current split, or the one before it, may still be in use elsewhere.
     """
     where = f"fleet.limits {plan.name}"
-    if plan.split.revision == known.split.revision:
-        _check_same_revision(known, phase, plan, where)
+    if plan.split.revision == current.split.revision:
+        _check_same_revision(current, phase, plan, where)
         return
-    follows = plan.before is not None and plan.split.revision == known.split.revision + 1
-    if not follows or plan.before is None or plan.before.owners != known.split.owners:
+    follows = plan.before is not None and plan.split.revision == current.split.revision + 1
+    if not follows or plan.before is None or plan.before.owners != current.split.owners:
         raise SplitMismatchError(
-            f"revision {plan.split.revision} does not follow {known.split.revision}",
+            f"revision {plan.split.revision} does not follow {current.split.revision}",
             where,
             "put the split in force under `before`, and set `revision` to its revision plus one",
         )
     if phase is not Phase.GROWN:
         raise UnsettledSplitError(
-            f"revision {known.split.revision} has not settled",
+            f"revision {current.split.revision} has not settled",
             where,
             "wait until every owner shows it as settled, or list owners stopped for good under `ended`",
         )
 
 
-def _check_same_revision(known: Plan, phase: Phase, plan: Plan, where: str) -> None:
-    differs = plan.split.owners != known.split.owners
-    if plan.before is not None and known.before is not None:
-        differs = differs or plan.before.owners != known.before.owners
+def _check_same_revision(current: Plan, phase: Phase, plan: Plan, where: str) -> None:
+    differs = plan.split.owners != current.split.owners
+    if plan.before is not None and current.before is not None:
+        differs = differs or plan.before.owners != current.before.owners
     if differs:
         raise SplitMismatchError(
             f"revision {plan.split.revision} has other owners",
             where,
             "give the changed split the next revision",
         )
-    if plan.before is None and known.before is not None and phase is not Phase.GROWN:
+    if plan.before is None and current.before is not None and phase is not Phase.GROWN:
         raise UnsettledSplitError(
             "`before` was removed too early",
             where,
--- a/notchjunction/safety/invariants.py
+++ b/notchjunction/safety/invariants.py
@@ -12,9 +12,9 @@
 from notchjunction.balancing.interface import AttemptResult, Idempotency
 
 # The deadline sent to an endpoint may exceed the time left by this much, as a process may be delayed between
-# reading the clock and the write; set by the on-call operators.
+# reading the clock and the write; set by the operators.
 SENT_DEADLINE_TOLERANCE_S = 0.15
-# A response this long past its request's deadline counts as lost; set by the on-call operators.
+# A response this long past its request's deadline counts as lost; set by the operators.
 MAX_RESPONSE_DELAY_S = 0.5
 # Results of attempts that the endpoint did not run.
 NEVER_RAN = (AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT)
--- a/notchjunction/safety/preconditions.py
+++ b/notchjunction/safety/preconditions.py
@@ -12,7 +12,7 @@
 from dataclasses import dataclass
 from enum import Enum
 
-# A process may be delayed by this much between reading the clock and a write; set by the on-call operators.
+# A process may be delayed by this much between reading the clock and a write; set by the operators.
 MAX_PROCESS_DELAY_S = 0.15
 # Subtracted from the time left for the network from the client and to the endpoint, which is not measured.
 MAX_NETWORK_MARGIN_S = 0.02
