--- a/notchjunction/fleet/quotas/lender.py
+++ b/notchjunction/fleet/quotas/lender.py
@@ -6,7 +6,7 @@
 from collections import Counter, deque
 from collections.abc import Callable
 
-from notchjunction.fleet.envelope import Out, Sender
+from notchjunction.fleet.envelope import OutgoingMessage, Sender
 from notchjunction.fleet.quotas.loan import (
     Loan,
     LoanAction,
@@ -25,10 +25,10 @@
 )
 from notchjunction.fleet.quotas.state import RETRY_AFTER_MAX_S, QuotaState
 
-QUEUE_MAX = 1024  # requests that wait at an owner; more nodes than are promised
-LOANS_MAX = 16384  # loans an owner remembers, most of them closed; past that new requests are denied
-RECALL_INTERVAL_S = 0.05  # between recalls to one borrower
-RESERVATION_S = 0.1  # that a unit stays reserved for the owner's own waiting request
+QUEUE_MAX = 1024  # lease requests queued at an owner; more than the supported number of nodes
+LOANS_MAX = 16384  # loans kept at an owner, most of them closed; further requests are denied
+RECALL_INTERVAL_S = 0.05  # between recalls of one loan
+RESERVATION_S = 0.1  # a unit stays reserved for so long for a waiting request of the owner itself
 
 
 class Lender:
@@ -44,10 +44,12 @@
         self._clock_stretch = clock_stretch
 
     def loan_end(self, now: float) -> float:
-        """When units that are lent now are surely free again, whatever the borrower's clock shows."""
+        """Return when units lent now are certainly free again, whatever the borrower's clock shows."""
         return now + self.lease_term * self._clock_stretch
 
-    def on_request(self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest) -> list[Out]:
+    def on_request(
+        self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest
+    ) -> list[OutgoingMessage]:
         """Grant, renew, queue or deny a borrower's request."""
         loan = state.loans.get(LoanKey(sender.name, sender.start, request.serial))
         is_repeat = request.round == 0 if loan is None else request.round <= loan.round
@@ -57,14 +59,16 @@
             return self._grant_or_queue(state, now, sender, request)
         if loan is None or action is LoanAction.DENY:
             denial = LeaseDenial(state.plan.name, request.serial, state.own_retry_after())
-            return [Out(sender.name, denial)]
+            return [OutgoingMessage(sender.name, denial)]
         if action is LoanAction.RENEW:
-            # The end moves before the borrower can know of it.
+            # The loan is extended before the borrower can receive the grant.
             loan.round, loan.ends = request.round, self.loan_end(now)
         return [self._grant(state, loan)]
 
-    def on_return(self, state: QuotaState, now: float, sender: Sender, returned: LeaseReturn) -> list[Out]:
-        """Free what a borrower returns, and lend it to those who wait."""
+    def on_return(
+        self, state: QuotaState, now: float, sender: Sender, returned: LeaseReturn
+    ) -> list[OutgoingMessage]:
+        """Free the units that a borrower returns, and lend them to queued requests."""
         key = LoanKey(sender.name, sender.start, returned.serial)
         loan = state.loans.get(key)
         event = LoanEvent.PARTLY_RETURNED if returned.kept > 0 else LoanEvent.RETURNED
@@ -88,21 +92,23 @@
 
     def _grant_or_queue(
         self, state: QuotaState, now: float, sender: Sender, request: LeaseRequest
-    ) -> list[Out]:
-        # Guards against memory without bound, whoever sends requests how often.
+    ) -> list[OutgoingMessage]:
+        # Guards against unbounded memory, whatever the rate of requests.
         if len(state.queue) >= QUEUE_MAX or len(state.loans) >= LOANS_MAX:
-            return [Out(sender.name, LeaseDenial(state.plan.name, request.serial, RETRY_AFTER_MAX_S))]
+            return [
+                OutgoingMessage(sender.name, LeaseDenial(state.plan.name, request.serial, RETRY_AFTER_MAX_S))
+            ]
         if not any((queued.borrower, queued.serial) == (sender, request.serial) for queued in state.queue):
             state.queue.append(QueuedLeaseRequest(sender, request.serial, max(1, request.count), now))
         return self.serve_queue(state, now)
 
-    def _grant(self, state: QuotaState, loan: Loan) -> Out:
+    def _grant(self, state: QuotaState, loan: Loan) -> OutgoingMessage:
         grant = LeaseGrant(state.plan.name, loan.serial, loan.round, loan.count, self.lease_term)
-        return Out(loan.borrower.name, grant)
+        return OutgoingMessage(loan.borrower.name, grant)
 
-    def serve_queue(self, state: QuotaState, now: float) -> list[Out]:
-        """Give what is free to those who wait; recall lent units where it is not enough."""
-        outs: list[Out] = []
+    def serve_queue(self, state: QuotaState, now: float) -> list[OutgoingMessage]:
+        """Grant free units to queued requests; recall lent units if there are not enough."""
+        outgoing: list[OutgoingMessage] = []
         while (free := state.free()) > 0:
             queued = _next_in_queue(state)
             if queued is None and state.waiting <= len(state.reserved):
@@ -115,33 +121,33 @@
             state.use_own(count, lend=True)
             loan = Loan(queued.borrower, queued.serial, count, 0, self.loan_end(now))
             state.add_loan(loan)
-            outs.append(self._grant(state, loan))
+            outgoing.append(self._grant(state, loan))
         if state.usable() <= 0:
-            outs += _deny_queued(state, lambda queued: True)
+            outgoing += _deny_queued(state, lambda queued: True)
         is_short = bool(state.queue) or state.waiting > len(state.reserved)
-        return outs + (_recall(state, now) if is_short else [])
+        return outgoing + (_recall(state, now) if is_short else [])
 
-    def deny_overdue(self, state: QuotaState, now: float, queued_max: float) -> list[Out]:
+    def deny_overdue(self, state: QuotaState, now: float, queued_max: float) -> list[OutgoingMessage]:
         """Deny the requests that have been queued for more than `queued_max` seconds."""
         return _deny_queued(state, lambda queued: now - queued.queued_at > queued_max)
 
 
-def _deny_queued(state: QuotaState, is_denied: Callable[[QueuedLeaseRequest], bool]) -> list[Out]:
+def _deny_queued(state: QuotaState, is_denied: Callable[[QueuedLeaseRequest], bool]) -> list[OutgoingMessage]:
     denied = [queued for queued in state.queue if is_denied(queued)]
     state.queue = deque(queued for queued in state.queue if not is_denied(queued))
     retry_after = state.own_retry_after()
     return [
-        Out(queued.borrower.name, LeaseDenial(state.plan.name, queued.serial, retry_after))
+        OutgoingMessage(queued.borrower.name, LeaseDenial(state.plan.name, queued.serial, retry_after))
         for queued in denied
     ]
 
 
 def _next_in_queue(state: QuotaState) -> QueuedLeaseRequest | None:
-    """The request that gets the next unit: the oldest, or none while own requests come first."""
+    """Return the request that gets the next unit: the oldest, or none while own requests come first."""
     if state.waiting <= len(state.reserved):
         return next(iter(state.queue), None)
-    # Guards against owners that lend one another what each needs itself: a partition would leave it to
-    # nobody.
+    # Guards against owners that lend each other units which they need themselves: in a partition neither
+    # could use them.
     from_ownerless = [queued for queued in state.queue if _owns_nothing(state, queued.borrower.name)]
     own_share = math.ceil(state.usable() / (1 + len(_ownerless_borrowers(state))))
     has_own_share = state.own_in_use + len(state.reserved) >= own_share
@@ -153,26 +159,28 @@
 
 
 def _ownerless_borrowers(state: QuotaState) -> set[str]:
-    """Nodes that own no unit, and have borrowed or requested one here."""
+    """Return the nodes that own no unit, and have borrowed or requested one here."""
     names = {queued.borrower.name for queued in state.queue}
     names |= {loan.borrower.name for loan in state.loans.values() if loan.count > 0}
     return {name for name in names if _owns_nothing(state, name)}
 
 
-def _recall(state: QuotaState, now: float) -> list[Out]:
-    """Recall from all borrowers what is idle, and what comes free where it exceeds their share."""
+def _recall(state: QuotaState, now: float) -> list[OutgoingMessage]:
+    """Recall idle units from all borrowers, and units above a borrower's share as they come free."""
     lent = [loan for loan in state.loans.values() if loan.count > 0]
     borrowed = Counter(loan.borrower.name for loan in lent for _ in range(loan.count))
     is_short = state.waiting > len(state.reserved)
     ownerless = _ownerless_borrowers(state)
     share = max(1, state.usable() // max(1, len(ownerless) + is_short))
     others_need = is_short or any(_owns_nothing(state, queued.borrower.name) for queued in state.queue)
-    outs: list[Out] = []
+    outgoing: list[OutgoingMessage] = []
     for loan in lent:
         if now - loan.recalled_at >= RECALL_INTERVAL_S:
             loan.recalled_at = now
             name = loan.borrower.name
             may_keep = borrowed[name] <= share if name in ownerless else not others_need
             keep = loan.count if may_keep else 0
-            outs.append(Out(name, LeaseRecall(state.plan.name, loan.serial, loan.count, keep)))
-    return outs
+            outgoing.append(
+                OutgoingMessage(name, LeaseRecall(state.plan.name, loan.serial, loan.count, keep))
+            )
+    return outgoing
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -392,7 +392,7 @@
 
     def fleet_figures(self) -> Mapping[str, Any] | None:
         """Returns the state of the fleet as JSON; None for a node without a fleet."""
-        return self._fleet.figures() if self._fleet is not None else None
+        return self._fleet.status() if self._fleet is not None else None
 
     def _change_serving_state(self, event: ServingEvent) -> bool:
         action = self._serving_state.handle(event)
@@ -434,7 +434,7 @@
         self.counters.add("reloads")
         if self._fleet is not None and config.fleet is not None:
             try:
-                self._fleet.renew(config.fleet, _max_request_deadline(config))
+                self._fleet.apply_config(config.fleet, _max_request_deadline(config))
             except NotchjunctionError as error:
                 # Guards against applying half of a file: nothing is applied if the fleet rejects its part.
                 self.counters.add("reloads_failed")
