--- a/notchjunction/http1/encoder.py
+++ b/notchjunction/http1/encoder.py
@@ -5,7 +5,7 @@
 from collections.abc import Mapping
 from http import HTTPStatus
 
-from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.messages import Request, Response
 
 CHUNKED = "chunked"
 FRAMING = ("content-length", "transfer-encoding")
@@ -13,24 +13,24 @@
 
 def encode_request(request: Request) -> bytes:
     headers = {name: value for name, value in request.headers.items() if name not in FRAMING}
-    if request.more:
+    if request.more_body:
         headers |= _framing(request.length, chunks=True)
     elif request.body or request.method not in ("GET", "HEAD", "DELETE"):
         headers["content-length"] = str(len(request.body))
-    body = encode_piece(request.body, request.length) if request.more else request.body
+    body = encode_piece(request.body, request.length) if request.more_body else request.body
     return _encode(f"{request.method} {request.target} HTTP/1.1", headers, body)
 
 
-def encode_answer(answer: Answer, chunks: bool = True) -> bytes:
+def encode_response(answer: Response, chunks: bool = True) -> bytes:
     """`chunks` says whether the caller reads them; else a body of unknown length ends with the connection."""
     headers = {name: value for name, value in answer.headers.items() if name not in FRAMING}
-    if answer.more:
+    if answer.more_body:
         headers |= _framing(answer.length, chunks)
     else:
         headers["content-length"] = str(len(answer.body))
-    if not answer.keep:
+    if not answer.keep_alive:
         headers["connection"] = "close"
-    body = encode_piece(answer.body, answer.length, chunks) if answer.more else answer.body
+    body = encode_piece(answer.body, answer.length, chunks) if answer.more_body else answer.body
     return _encode(f"HTTP/1.1 {answer.status} {reason(answer.status)}", headers, body)
 
 
--- a/notchjunction/http1/parser.py
+++ b/notchjunction/http1/parser.py
@@ -9,12 +9,12 @@
 from typing import Any
 
 from notchjunction.http1.messages import (
-    BODY_MOST,
-    HEAD_MOST,
-    LARGE_MOST,
-    Answer,
-    Malformed,
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MAX_HEAD_BYTES,
+    MalformedMessageError,
     Request,
+    Response,
     connection_options,
 )
 
@@ -33,15 +33,17 @@
     TO_THE_END = auto()
 
 
-class Reader:
+class MessageReader:
     """What both kinds of message share: the head's lines, the length rules and the body."""
 
     VALUE = SOUND
 
-    def __init__(self, body_most: int = BODY_MOST, large_most: int = LARGE_MOST) -> None:
+    def __init__(
+        self, max_buffered_body: int = MAX_BUFFERED_BODY_BYTES, max_body: int = MAX_BODY_BYTES
+    ) -> None:
         self._bytes = bytearray()
-        self._body_most = body_most
-        self._large_most = max(body_most, large_most)
+        self._body_most = max_buffered_body
+        self._large_most = max(max_buffered_body, max_body)
         self._searched = 0
         self._blank = 0
         self._interim = 0
@@ -58,7 +60,7 @@
         self._chunk_left = -1
 
     @property
-    def begun(self) -> bool:
+    def started(self) -> bool:
         """Whether part of a message has come."""
         return self._start is not None or len(self._bytes) > 0
 
@@ -73,12 +75,12 @@
         return self._framed
 
     @property
-    def body_come(self) -> int:
+    def body_received(self) -> int:
         """Bytes of a body under way that have come."""
         return self._come + len(self._bytes)
 
     @property
-    def going(self) -> bool:
+    def streaming(self) -> bool:
         """Whether a body goes on: its beginning was given out, and `piece` gives the rest."""
         return self._going
 
@@ -87,7 +89,7 @@
         """The body's length, where the head tells it."""
         return self._wanted if self._framing is Framing.LENGTH else None
 
-    def piece(self) -> tuple[bytes, bool]:
+    def take_piece(self) -> tuple[bytes, bool]:
         """What has come of a body that goes on, and whether that was its end."""
         ended = self._body_read()
         found = self._take_body()
@@ -107,7 +109,7 @@
             "chunk_left": self._chunk_left,
         }
 
-    def go_on(self, state: Mapping[str, Any]) -> None:
+    def restore(self, state: Mapping[str, Any]) -> None:
         self._bytes = bytearray(b64decode(state["unread"]))
         self._framing = Framing[state["framing"]]
         self._wanted, self._come = int(state["wanted"]), int(state["come"])
@@ -126,9 +128,9 @@
             del self._bytes[:2]
             self._blank += 1
         end = self._bytes.find(b"\r\n\r\n", self._searched)
-        if end < 0 or end > HEAD_MOST:
-            if len(self._bytes) > HEAD_MOST:
-                raise Malformed(431, "head too large")
+        if end < 0 or end > MAX_HEAD_BYTES:
+            if len(self._bytes) > MAX_HEAD_BYTES:
+                raise MalformedMessageError(431, "head too large")
             self._searched = max(0, len(self._bytes) - 3)
             return False
         lines = self._bytes[:end].decode("latin-1").split("\r\n")
@@ -136,15 +138,15 @@
         self._searched = 0
         start = lines[0].split(" ", 2)
         if len(start) < 2:
-            raise Malformed(400, "no start line")
+            raise MalformedMessageError(400, "no start line")
         self._headers = {}
         for line in lines[1:]:
             name, colon, value = line.partition(":")
             if not colon or not TOKEN.fullmatch(name) or not self.VALUE.fullmatch(value):
-                raise Malformed(400, "malformed header")
+                raise MalformedMessageError(400, "malformed header")
             name, value = name.lower(), value.strip(" \t")
             if name in self._headers and name in ("content-length", "transfer-encoding", "host"):
-                raise Malformed(400, f"two headers {name}")
+                raise MalformedMessageError(400, f"two headers {name}")
             self._headers[name] = f"{self._headers[name]}, {value}" if name in self._headers else value
         self._start = (start[0], start[1], start[2] if len(start) > 2 else "")
         self._blank = 0
@@ -163,15 +165,15 @@
         if coding is not None:
             if length is not None:
                 # Guards against two ends of one message: what the next one begins with would be in doubt.
-                raise Malformed(400, "both length and chunks")
+                raise MalformedMessageError(400, "both length and chunks")
             if coding.lower() != "chunked":
-                raise Malformed(501, "unknown transfer coding")
+                raise MalformedMessageError(501, "unknown transfer coding")
             self._framing = Framing.CHUNKS
         elif length is not None:
             if not (length.isascii() and length.isdigit()):
-                raise Malformed(400, "malformed length")
+                raise MalformedMessageError(400, "malformed length")
             if len(length) > 9 or int(length) > self._large_most:
-                raise Malformed(413, "body too large")
+                raise MalformedMessageError(413, "body too large")
             self._framing = Framing.LENGTH
             self._wanted = int(length)
         else:
@@ -198,7 +200,7 @@
 
     def _add(self, count: int) -> None:
         if self._come + count > self._large_most:
-            raise Malformed(413, "body too large")
+            raise MalformedMessageError(413, "body too large")
         self._come += count
         if count == len(self._bytes) and not self._body:
             # The usual case of a body that goes on: nothing is copied.
@@ -211,7 +213,7 @@
         end = self._bytes.find(b"\r\n")
         if end < 0 or end > CHUNK_LINE_MOST:
             if len(self._bytes) > CHUNK_LINE_MOST:
-                raise Malformed(400, "malformed chunk")
+                raise MalformedMessageError(400, "malformed chunk")
             return None
         line = self._bytes[:end].decode("latin-1")
         del self._bytes[: end + 2]
@@ -227,21 +229,21 @@
                     return True
                 self._trailers += 1
                 if self._trailers > TRAILERS_MOST:
-                    raise Malformed(431, "trailer too large")
+                    raise MalformedMessageError(431, "trailer too large")
             elif self._chunk_left < 0:
                 line = self._line()
                 if line is None:
                     return False
                 size = line.partition(";")[0].strip(" \t")
                 if not re.fullmatch(r"[0-9A-Fa-f]{1,8}", size):
-                    raise Malformed(400, "malformed chunk")
+                    raise MalformedMessageError(400, "malformed chunk")
                 self._chunk_left = int(size, 16)
                 self._in_trailer = self._chunk_left == 0
                 if self._in_trailer:
                     self._chunk_left = -1
             elif self._chunk_left > 0:
                 if self._come + self._chunk_left > self._large_most:
-                    raise Malformed(413, "body too large")
+                    raise MalformedMessageError(413, "body too large")
                 count = min(self._chunk_left, len(self._bytes))
                 self._add(count)
                 self._chunk_left -= count
@@ -251,7 +253,7 @@
                 if len(self._bytes) < 2 and b"\r\n".startswith(self._bytes):
                     return False
                 if self._bytes[:2] != b"\r\n":
-                    raise Malformed(400, "malformed chunk")
+                    raise MalformedMessageError(400, "malformed chunk")
                 del self._bytes[:2]
                 self._chunk_left = -1
 
@@ -260,8 +262,8 @@
         return "close" not in options and (version == "HTTP/1.1" or "keep-alive" in options)
 
 
-class RequestReader(Reader):
-    def awaits_go_ahead(self) -> bool:
+class RequestReader(MessageReader):
+    def expects_continue(self) -> bool:
         """Once for a request whose caller holds the body back until told to go on (RFC 9110, 10.1.1)."""
         awaited = self._framed and self._headers.get("expect", "").lower() == "100-continue"
         if awaited:
@@ -276,9 +278,9 @@
         method, target, version = self._start
         if not self._framed:
             if version not in ("HTTP/1.1", "HTTP/1.0"):
-                raise Malformed(505 if version.startswith("HTTP/") else 400, "unknown version")
+                raise MalformedMessageError(505 if version.startswith("HTTP/") else 400, "unknown version")
             if not TOKEN.fullmatch(method) or not TARGET.fullmatch(target):
-                raise Malformed(400, "malformed request line")
+                raise MalformedMessageError(400, "malformed request line")
             self._frame(without=Framing.LENGTH)
         more = not self._body_read()
         if more and len(self._body) <= self._body_most:
@@ -292,11 +294,11 @@
         return request
 
 
-class AnswerReader(Reader):
+class ResponseReader(MessageReader):
     _keep = False
     VALUE = re.compile(r"[^\r\n]*")  # an odd header spoils no answer: none but the named ones is looked at
 
-    def next(self) -> Answer | None:
+    def next(self) -> Response | None:
         """The answer, whole or, where it is large, its beginning; interim ones (1xx) are passed over."""
         if self._going:
             return None
@@ -305,51 +307,51 @@
             version, status, _ = self._start
             if not self._framed:
                 if version not in ("HTTP/1.1", "HTTP/1.0") or not re.fullmatch(r"[1-9][0-9]{2}", status):
-                    raise Malformed(502, "malformed status line")
+                    raise MalformedMessageError(502, "malformed status line")
                 if status[0] == "1":
                     self._interim += 1
                     # Nothing here asked for another protocol, and more than a few never end.
                     if status == "101" or self._interim > INTERIM_MOST:
-                        raise Malformed(502, "unexpected interim answer")
+                        raise MalformedMessageError(502, "unexpected interim answer")
                     self._end_message()
                     continue
                 self._keep = self._keeps(version)
                 self._frame(without=Framing.LENGTH if status in ("204", "304") else Framing.TO_THE_END)
             if self._body_read():
                 return self._whole(keep=True)
-            return self.open() if len(self._body) > self._body_most else None
+            return self.start_streaming() if len(self._body) > self._body_most else None
         return None
 
-    def may_open(self) -> bool:
+    def can_stream_early(self) -> bool:
         """Whether what has come may be a large answer's beginning."""
         if not self._framed or not self._body or self._large_most <= self._body_most:
             return False
         return self.length is None or self.length > self._body_most
 
-    def open(self) -> Answer:
+    def start_streaming(self) -> Response:
         """Its beginning, as it stands; the rest goes on in pieces."""
         assert self._start is not None
         self._going = True
         # Whether the connection is kept is seen at the end.
-        return Answer(int(self._start[1]), self._headers, self._take_body(), False, True, self.length)
+        return Response(int(self._start[1]), self._headers, self._take_body(), False, True, self.length)
 
-    def sound_end(self) -> bool:
+    def ends_with_connection(self) -> bool:
         """Whether the end of the connection is that of the body under way."""
         return self._framed and self._framing is Framing.TO_THE_END
 
-    def kept(self) -> bool:
+    def connection_reusable(self) -> bool:
         """After a large answer's end: whether the connection can be used again."""
         # Guards against an end that belongs to the answer passing for an idle connection's.
-        return self._keep and not self._bytes and not self.sound_end()
+        return self._keep and not self._bytes and not self.ends_with_connection()
 
-    def end(self) -> Answer | None:
+    def finish(self) -> Response | None:
         """The connection has ended: the answer, if its end was to be the end of the connection."""
-        return self._whole(keep=False) if self.sound_end() else None
+        return self._whole(keep=False) if self.ends_with_connection() else None
 
-    def _whole(self, keep: bool) -> Answer:
+    def _whole(self, keep: bool) -> Response:
         assert self._start is not None
         status = self._start[1]
         # Guards against reading a leftover as the next answer: with bytes to spare the connection is unfit.
-        keep = keep and self.kept()
+        keep = keep and self.connection_reusable()
         self._end_message()
-        return Answer(int(status), self._headers, self._take_body(), keep)
+        return Response(int(status), self._headers, self._take_body(), keep)
--- a/notchjunction/net/admin.py
+++ b/notchjunction/net/admin.py
@@ -16,8 +16,8 @@
 from tornado.netutil import bind_sockets
 
 from notchjunction.addresses import Address
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer, Malformed, Request
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
 from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, give_up
@@ -170,17 +170,17 @@
             try:
                 async with asyncio.timeout(CALL_WITHIN):
                     request = await self._read(stream)
-            except Malformed as error:
-                answer = Answer(error.status, keep=False)
+            except MalformedMessageError as error:
+                answer = Response(error.status, keep_alive=False)
             except TimeoutError:
-                answer = Answer(408, keep=False)
+                answer = Response(408, keep_alive=False)
             else:
                 self._unread.pop(stream, None)
                 answer = await self._answer(request)
             self._unread.setdefault(stream)  # answered: the first to go where there is no room
             with suppress(TimeoutError):
                 async with asyncio.timeout(LINGER_WITHIN):
-                    await stream.write(encode_answer(answer))
+                    await stream.write(encode_response(answer))
                     if not stream.closed():
                         end_sending(stream.socket)
                     while True:
@@ -192,14 +192,14 @@
             requests.feed(await read_piece(stream))
         return request
 
-    async def _answer(self, request: Request) -> Answer:
+    async def _answer(self, request: Request) -> Response:
         self._counters.add("admin_calls")
         found = [(call, match) for call in CALLS if (match := call.path.fullmatch(request.path))]
         if not found:
-            return Answer(404, keep=False)
+            return Response(404, keep_alive=False)
         fitting = [(call, match) for call, match in found if call.method == request.method]
         if not fitting:
-            return Answer(405, {"allow": ", ".join(call.method for call, _ in found)}, keep=False)
+            return Response(405, {"allow": ", ".join(call.method for call, _ in found)}, keep_alive=False)
         call, match = fitting[0]
         try:
             async with asyncio.timeout(ANSWERED_WITHIN):
@@ -208,12 +208,12 @@
             done = False
         except Exception as error:
             self._counters.add_failure("admin call failed", error)
-            return Answer(500, keep=False)
+            return Response(500, keep_alive=False)
         if call.method == "PUT":
             log.info("admin call", extra=pairs(path=request.path, done=done))
         if isinstance(done, bytes):
-            return Answer(200, {"content-type": "application/json"}, done, keep=False)
-        return Answer(200 if done else call.refusal, keep=False)
+            return Response(200, {"content-type": "application/json"}, done, keep_alive=False)
+        return Response(200 if done else call.refusal, keep_alive=False)
 
 
 def _is_silent(stream: CallStream) -> bool:
--- a/notchjunction/net/body_streaming.py
+++ b/notchjunction/net/body_streaming.py
@@ -7,8 +7,8 @@
 from collections import deque
 from typing import Any
 
-from notchjunction.http1.messages import Answer, Malformed
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MalformedMessageError, Response
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.upstream_connection import (
     PIECE,
     STALL_MOST,
@@ -96,7 +96,11 @@
     """An answer that has begun to come and goes on; whoever passes it on pulls its pieces."""
 
     def __init__(
-        self, streams: StreamBuffers, connection: UpstreamConnection, answers: AnswerReader, beginning: Answer
+        self,
+        streams: StreamBuffers,
+        connection: UpstreamConnection,
+        answers: ResponseReader,
+        beginning: Response,
     ) -> None:
         self.beginning = beginning
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
@@ -109,10 +113,10 @@
         streams.open += 1
 
     def ready_piece(self) -> bytes:
-        """What has come and can be passed on; Malformed where it can't be read."""
+        """What has come and can be passed on; MalformedMessageError where it can't be read."""
         if self.over:
             return b""
-        piece, self.over = self._answers.piece()
+        piece, self.over = self._answers.take_piece()
         return piece
 
     @property
@@ -150,7 +154,7 @@
         try:
             self._answers.feed(await self._connection.read(self._streams.piece()))
         except ConnectionLost as error:
-            if not error.clean or not self._answers.sound_end():
+            if not error.clean or not self._answers.ends_with_connection():
                 raise
             self.over = True
 
@@ -160,7 +164,7 @@
         # At once: an event that is already due would read here what the other process waits for.
         self._connection.close()
 
-    def close(self, error: ConnectionLost | Malformed | None = None) -> None:
+    def close(self, error: ConnectionLost | MalformedMessageError | None = None) -> None:
         """Nothing more will be pulled: the answer is over, or was given up for this error."""
         if self._open:
             self._open = False
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -11,15 +11,15 @@
 
 from notchjunction import protocol
 from notchjunction.balancing.engine import RequestSpec
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer, Malformed, Request
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.net.body_streaming import Download, Upload
 from notchjunction.net.client_closing import ConnectionCloser
 from notchjunction.net.client_context import ClientContext
 from notchjunction.net.client_migration import ConnectionMigrator
 from notchjunction.net.client_state import ConnectionState
 from notchjunction.net.client_stream import ClientStream
-from notchjunction.net.open_request import OpenRequest, Response, client_error
+from notchjunction.net.open_request import FinalResponse, OpenRequest, client_error
 from notchjunction.net.request_handler import (
     QuotaPermits,
     RequestHandler,
@@ -42,7 +42,7 @@
     """What became of a request."""
 
     handler: RequestHandler | None  # None where the request was answered without the balancer
-    response: Response | None  # None once the client has gone
+    response: FinalResponse | None  # None once the client has gone
 
 
 class ClientConnection:
@@ -71,8 +71,8 @@
         while keep:
             try:
                 request = await self._intake.next_request(self._send_continue)
-            except Malformed as error:
-                await self._writer.write(encode_answer(self._client_error(error.status)))
+            except MalformedMessageError as error:
+                await self._writer.write(encode_response(self._client_error(error.status)))
                 await self._closer.linger()
                 return
             if request is None:
@@ -81,12 +81,12 @@
             keep = await self._respond(request)
             # Also where the connection ends after it: a close would destroy the response on its way to a
             # client that reads it only once all of its body is sent.
-            rest = self._intake.parser.going and not (self._state.bad_request or self._state.over_limit)
+            rest = self._intake.parser.streaming and not (self._state.bad_request or self._state.over_limit)
             if rest and await self._discard_body(keep):
                 return
             self._state.request_open = False
             self._intake.start_idle()
-            if self._intake.parser.begun:
+            if self._intake.parser.started:
                 await asyncio.sleep(0)  # guards against a client of many requests at once taking all turns
         await self._closer.linger()
 
@@ -95,23 +95,25 @@
 
     async def _respond(self, request: Request) -> bool:
         """Serves one request; whether the connection can be used again."""
-        response: Response | None = self._answer_directly(request)
+        response: FinalResponse | None = self._answer_directly(request)
         handler: RequestHandler | None = None
         if response is None:
             handler, response = await self._handle_request(request)
         if response is None:
             return False
         self._record_response(request, handler, response)
-        closes = self._context.parting and (self._intake.parser.going or not self._intake.has_more())
-        keep = request.keep and not self._state.over_limit and not closes
+        closes = self._context.parting and (self._intake.parser.streaming or not self._intake.has_more())
+        keep = request.keep_alive and not self._state.over_limit and not closes
         if isinstance(response, Download):
             assert handler is not None
             return await self._stream_response(request, handler, response, keep)
-        keep = keep and response.keep
-        await self._writer.write(encode_answer(replace(response, keep=keep)))
+        keep = keep and response.keep_alive
+        await self._writer.write(encode_response(replace(response, keep_alive=keep)))
         return keep
 
-    def _record_response(self, request: Request, handler: RequestHandler | None, response: Response) -> None:
+    def _record_response(
+        self, request: Request, handler: RequestHandler | None, response: FinalResponse
+    ) -> None:
         status = response.beginning.status if isinstance(response, Download) else response.status
         recorder = self._context.counters.recorder
         recorder.note(
@@ -153,7 +155,7 @@
     def turn_away_in_head(self) -> None:
         """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
         if self._closer.is_idle_in_head():
-            self._stream.write(encode_answer(self._client_error(408)))
+            self._stream.write(encode_response(self._client_error(408)))
             self._closer.end_sending_and_close_later()
 
     def close_if_idle(self) -> bool:
@@ -165,17 +167,17 @@
 
     # One request, from its head to its response.
 
-    def _answer_directly(self, request: Request) -> Answer | None:
+    def _answer_directly(self, request: Request) -> Response | None:
         """The answer to a readiness check, or to a request of no use; None for one to be balanced."""
         if request.path == protocol.READY_PATH and request.method == "GET":
-            return Answer(200 if self._context.ready() and not self._context.draining else 503)
+            return Response(200 if self._context.ready() and not self._context.draining else 503)
         if request.path != protocol.REQUEST_PATH and not request.path.startswith(protocol.REQUEST_PATH + "/"):
             return self._client_error(404)
         return self._client_error(405) if request.method not in ("GET", "POST") else None
 
     async def _handle_request(self, request: Request) -> Handled:
         """Has a request balanced, if it is sound and may start."""
-        waited = 0.0 if request.more else self._context.clock() - self._intake.arrived_at
+        waited = 0.0 if request.more_body else self._context.clock() - self._intake.arrived_at
         spec = request_spec_of(request, waited, self._context.profiles)
         if spec is None:
             return Handled(None, self._client_error(400))
@@ -193,7 +195,7 @@
         )
         if self._state.over_limit:
             self._context.counters.add("responses_rejected")
-            return Handled(None, Answer(503))
+            return Handled(None, Response(503))
         self._context.ids.add(request_id)
         try:
             return await self._balance(request, spec)
@@ -202,12 +204,12 @@
 
     async def _balance(self, request: Request, spec: RequestSpec) -> Handled:
         """Takes a request through the quotas of the fleet and the balancer to its response."""
-        upload = Upload(self._context.streams) if request.more else None
+        upload = Upload(self._context.streams) if request.more_body else None
         permits: QuotaPermits | None = None
         try:
             if self._context.admit is not None:
                 admitted = await self._context.admit(spec)
-                if isinstance(admitted, Answer):
+                if isinstance(admitted, Response):
                     self._context.counters.add("responses_rejected")
                     return Handled(None, admitted)
                 permits, spec = admitted
@@ -231,7 +233,7 @@
             if upload is not None:
                 upload.close()
 
-    def _client_error(self, status: int) -> Answer:
+    def _client_error(self, status: int) -> Response:
         return client_error(self._context, self._state, status)
 
     # Bodies past the response's head, of either side.
@@ -241,12 +243,12 @@
     ) -> bool:
         """Passes a large response on as it comes and as the client reads; whether the connection is kept."""
         head = forwarded_response(download.beginning)
-        keep = keep and (head.length is not None or request.chunks)
-        framing = ResponseFraming(head.length, request.chunks, keep)
+        keep = keep and (head.length is not None or request.accepts_chunked)
+        framing = ResponseFraming(head.length, request.accepts_chunked, keep)
         try:
-            await self._writer.write(encode_answer(replace(head, keep=keep), request.chunks))
+            await self._writer.write(encode_response(replace(head, keep_alive=keep), request.accepts_chunked))
             return await self._writer.write_body(download, framing)
-        except (ConnectionLost, Malformed) as error:
+        except (ConnectionLost, MalformedMessageError) as error:
             download.close(error)
             raise self._writer.truncate(framing) from error
         except BaseException:
@@ -285,8 +287,8 @@
     def _is_body_over(self) -> bool:
         """Throws away what has come of a body; whether its end has. Where it is none, the sending ends."""
         try:
-            return self._intake.parser.piece()[1]
-        except Malformed:
+            return self._intake.parser.take_piece()[1]
+        except MalformedMessageError:
             self._closer.end_sending()
             return False
 
@@ -321,7 +323,7 @@
             if migrated.unsent:
                 await self._writer.write(migrated.unsent)
             return await self._writer.write_body(download, migrated.framing)
-        except (ConnectionLost, Malformed) as error:
+        except (ConnectionLost, MalformedMessageError) as error:
             self._context.counters.add("streams_truncated")
             raise self._writer.truncate(migrated.framing) from error
 
@@ -334,7 +336,7 @@
         self._state.request_open = True
         self._context.phases.leave(self)
         migrated = MigratedUpload.from_wire(wire)
-        self._intake.parser.go_on(migrated.parser)
+        self._intake.parser.restore(migrated.parser)
         if await self._discard_body(migrated.keep):
             return
         await self._go_on(migrated.keep)
--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -8,7 +8,7 @@
 from typing import Any, Protocol
 
 from notchjunction.balancing.engine import RequestSpec
-from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.messages import Request, Response
 from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.client_state import ConnectionPhases
 from notchjunction.net.descriptors import Descriptors
@@ -16,7 +16,7 @@
 from notchjunction.telemetry.counters import Counters
 
 # Admission under quotas of the whole fleet, ahead of the balancer: a rejection, or permits and request.
-Admit = Callable[[RequestSpec], Awaitable[Answer | tuple[QuotaPermits | None, RequestSpec]]]
+Admit = Callable[[RequestSpec], Awaitable[Response | tuple[QuotaPermits | None, RequestSpec]]]
 StartRequest = Callable[[RequestSpec, Request, Upload | None, QuotaPermits | None], RequestHandler]
 
 
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -13,8 +13,8 @@
 from tornado.netutil import bind_sockets
 
 from notchjunction.addresses import Address
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import Response
 from notchjunction.net.client_registry import ClientRegistry
 from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
@@ -38,7 +38,7 @@
     0.01  # between looks for room past the margin, while clients wait; rejections take less
 )
 ROOM_TIMEOUT_S = 0.3  # that they wait for it, then they are rejected; most deadlines are longer
-REJECTION = encode_answer(Answer(503, keep=False))
+REJECTION = encode_response(Response(503, keep_alive=False))
 SHORTAGE_LOG_INTERVAL_S = 10.0  # in which one line says that the system has no descriptor for a client
 
 
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -19,8 +19,8 @@
     PollAction,
     WatchEvent,
 )
-from notchjunction.http1.messages import Answer, Malformed, Request
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.upstream_connection import (
     ConnectionLost,
     RequestNotSent,
@@ -181,7 +181,7 @@
         except TimeoutError as error:
             self.close()
             raise ListUnavailableError("silent", WatchEvent.TIMED_OUT) from error
-        except (RequestNotSent, ConnectionLost, Malformed) as error:
+        except (RequestNotSent, ConnectionLost, MalformedMessageError) as error:
             self.close()
             raise ListUnavailableError(str(error) or type(error).__name__, self._event_of(error)) from error
         except BaseException:
@@ -201,7 +201,7 @@
             self._connection.close()
             self._connection = None
 
-    async def _fetch(self, target: str, bytes_received: Callable[[], None]) -> Answer:
+    async def _fetch(self, target: str, bytes_received: Callable[[], None]) -> Response:
         connection = self._connection
         if connection is None or not connection.fit():
             self.close()
@@ -209,9 +209,9 @@
             await connection.open()
         request = Request("GET", target, {"host": text_of(self._address)})
         answer = await connection.exchange(
-            request, AnswerReader(MAX_LIST_BYTES, MAX_LIST_BYTES), heard=bytes_received
+            request, ResponseReader(MAX_LIST_BYTES, MAX_LIST_BYTES), heard=bytes_received
         )
-        if answer.keep:
+        if answer.keep_alive:
             connection.rest(0.0)
         else:
             self.close()
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -21,7 +21,7 @@
 from notchjunction.fleet.agent import Datagram, FleetAgent, read_section
 from notchjunction.fleet.quotas.borrower import REQUEST_TIMEOUT_S
 from notchjunction.fleet.quotas.state import Permit
-from notchjunction.http1.messages import Answer
+from notchjunction.http1.messages import Response
 from notchjunction.net.request_handler import rejection
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
@@ -227,7 +227,7 @@
 
     # Rights.
 
-    async def admit(self, ask: RequestSpec) -> Answer | tuple[RequestPermits | None, RequestSpec]:
+    async def admit(self, ask: RequestSpec) -> Response | tuple[RequestPermits | None, RequestSpec]:
         """Rights for a job under all limits that are about it, and its ask; or the answer of a refusal."""
         names = tuple(
             name for name, scope in self._scopes.items() if scope.covers(ask.request_class, ask.tenant)
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -6,7 +6,7 @@
 
 from tornado.iostream import StreamClosedError
 
-from notchjunction.http1.messages import Answer, Malformed
+from notchjunction.http1.messages import MalformedMessageError, Response
 from notchjunction.net.body_streaming import Download, Upload
 from notchjunction.net.client_context import ClientContext
 from notchjunction.net.client_state import ConnectionState
@@ -16,14 +16,14 @@
 from notchjunction.net.upstream_connection import LOOK_EVERY
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-Response = Answer | Download
+FinalResponse = Response | Download
 
 
-def client_error(context: ClientContext, state: ConnectionState, status: int) -> Answer:
+def client_error(context: ClientContext, state: ConnectionState, status: int) -> Response:
     """An error that the client made: reported once, and the connection is not used further."""
     context.counters.add("bad_requests")
     state.bad_request = True
-    return Answer(status, keep=False)
+    return Response(status, keep_alive=False)
 
 
 class OpenRequest:
@@ -44,19 +44,19 @@
         self._state = intake.state
         self._intake = intake
 
-    async def response(self) -> Response | None:
+    async def response(self) -> FinalResponse | None:
         """The response; None once the client has gone.
 
         Raises:
             StreamClosedError: The client's end was met before a read began. The handler still runs.
         """
         work = asyncio.create_task(self.handler.answer(self._stream.is_peer_connected))
-        error: Answer | None = None
+        error: Response | None = None
         while not work.done():
             upload = self.upload
             if upload is None or upload.ended:
                 # However much was sent ahead: the end stands behind it.
-                waiting: set[asyncio.Future[Response | None] | asyncio.Future[bytes]]
+                waiting: set[asyncio.Future[FinalResponse | None] | asyncio.Future[bytes]]
                 waiting = {work, self._intake.read()}
                 await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
             elif upload.wants_more():
@@ -75,15 +75,15 @@
                 break
         return self._final_response(await work, error)
 
-    def _final_response(self, response: Response | None, error: Answer | None) -> Response | None:
+    def _final_response(self, response: FinalResponse | None, error: Response | None) -> FinalResponse | None:
         if response is None:
             self._context.counters.add("requests_cancelled")
-            error = error or (Answer(503, keep=False) if self._state.upload_rejected else None)
+            error = error or (Response(503, keep_alive=False) if self._state.upload_rejected else None)
         if error is not None and isinstance(response, Download):
             response.close()
         return response if error is None else error
 
-    async def _wait_upload(self, work: asyncio.Task[Response | None]) -> Answer | None:
+    async def _wait_upload(self, work: asyncio.Task[FinalResponse | None]) -> Response | None:
         """Waits for the response or more of the body; the error that ends the request where that is late."""
         late = await self._intake.wait(work, self._intake.read(self._context.streams.piece()))
         # Guards against a late loop's delay undoing a response that is there.
@@ -91,7 +91,7 @@
             return client_error(self._context, self._state, 408)
         return None
 
-    async def _wait_upload_room(self, work: asyncio.Task[Response | None], upload: Upload) -> bool:
+    async def _wait_upload_room(self, work: asyncio.Task[FinalResponse | None], upload: Upload) -> bool:
         """Waits for the response, or until the endpoint takes more; False where the client has gone.
 
         Guards against a client that goes unnoticed while its endpoint takes nothing.
@@ -102,7 +102,7 @@
         room.cancel()
         return not full or work.done() or self._stream.is_peer_connected()
 
-    def _feed(self) -> Answer | None:
+    def _feed(self) -> Response | None:
         """Feeds what was read beside the request; the error that ends the request where there is one.
 
         Raises:
@@ -111,10 +111,10 @@
         try:
             self._intake.feed()
             if self.upload is not None and not self.upload.ended:
-                self.upload.put(*self._intake.parser.piece())
+                self.upload.put(*self._intake.parser.take_piece())
                 if self.upload.ended:
                     self.handler.whole()
-        except Malformed as malformed:
+        except MalformedMessageError as malformed:
             return client_error(self._context, self._state, malformed.status)
         if self._intake.is_over_discard_limit():
             return client_error(self._context, self._state, 413)
--- a/notchjunction/net/request_handler.py
+++ b/notchjunction/net/request_handler.py
@@ -24,7 +24,7 @@
     StartResponse,
 )
 from notchjunction.balancing.interface import AttemptResult, Idempotency
-from notchjunction.http1.messages import Answer, Request
+from notchjunction.http1.messages import Request, Response
 from notchjunction.net.body_streaming import Download, Upload
 from notchjunction.net.upstream import AttemptSpec, ExchangeResult, UpstreamPool
 from notchjunction.net.upstream_connection import ConnectionLost
@@ -40,26 +40,26 @@
 # that a process may be held up: its last order may be due in the same late turn of the loop.
 LOST_AFTER = MAX_PROCESS_DELAY_S + 0.05
 UNANSWERED = (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED, AttemptResult.UNKNOWN)
-WRITTEN_OFF = Answer(502)
-OWN_FAILURE = Answer(500)
+WRITTEN_OFF = Response(502)
+OWN_FAILURE = Response(500)
 
 
-def internal_error(counters: Counters) -> Answer:
+def internal_error(counters: Counters) -> Response:
     """The node itself failed at the job, which is answered all the same."""
     counters.add("responses_internal_error")
     return OWN_FAILURE
 
 
-def forwarded_response(answer: Answer) -> Answer:
+def forwarded_response(answer: Response) -> Response:
     """Guards against a server's oddities: its body and what that is are the caller's alone."""
     back = {
         name: value for name, value in answer.headers.items() if name in protocol.FORWARDED_RESPONSE_HEADERS
     }
-    return replace(answer, headers=back, keep=True)
+    return replace(answer, headers=back, keep_alive=True)
 
 
-def rejection(come_back_in: float) -> Answer:
-    return Answer(503, {"retry-after": f"{come_back_in:.3f}"} if come_back_in > 0 else {})
+def rejection(come_back_in: float) -> Response:
+    return Response(503, {"retry-after": f"{come_back_in:.3f}"} if come_back_in > 0 else {})
 
 
 class QuotaPermits(Protocol):
@@ -99,7 +99,7 @@
         self._after: asyncio.Task[None] | None = None
         self._limit: asyncio.Timeout | None = None
         self._tasks: dict[int, asyncio.Task[ExchangeResult]] = {}
-        self._answers: dict[int, Answer] = {}
+        self._answers: dict[int, Response] = {}
         self._broken = False
         self._answer_within = max(0.0, ask.time_left) + LOST_AFTER
         self.name = request.headers.get(protocol.REQUEST_ID, "")
@@ -108,7 +108,7 @@
         self.ledger = RequestLedger(ask.idempotency, deadline, decider.now())
         self._ticket = decider.submit(ask)
 
-    async def answer(self, there: Callable[[], bool] = lambda: True) -> Answer | Download | None:
+    async def answer(self, there: Callable[[], bool] = lambda: True) -> Response | Download | None:
         """The final answer, whole or as it comes; None once the caller has gone.
 
         `there` looks whether the caller is, whatever was heard of it so far.
@@ -138,7 +138,7 @@
         except Exception as error:
             self._fail(error)
 
-    async def _follow_orders(self) -> Answer | Download | None:
+    async def _follow_orders(self) -> Response | Download | None:
         while True:
             match await self._decider.next_command(self._ticket):
                 case SendAttempt() as order:
@@ -281,7 +281,7 @@
     return RequestSpec(
         request_class=headers.get(protocol.REQUEST_CLASS, ""),
         time_left=left / 1000 - waited,
-        complete=not request.more,
+        complete=not request.more_body,
         idempotency=idempotency_of(request.method, protocol.IDEMPOTENCY_KEY in headers),
         tenant=headers.get(protocol.TENANT, ""),
         is_client_retry=headers.get(protocol.CLIENT_RETRY) == "1",
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -8,7 +8,7 @@
 from collections.abc import Awaitable, Callable
 from typing import Any
 
-from notchjunction.http1.messages import Malformed, Request
+from notchjunction.http1.messages import MalformedMessageError, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net.client_context import ClientContext
 from notchjunction.net.client_state import ConnectionState, ManagedConnection
@@ -73,20 +73,20 @@
         """What decides at this moment whether the connection may be closed."""
         closing = self.state.closing or self._stream.closed()
         unread = self.has_read() or self._stream.has_unread()
-        return ConnectionFacts(self.state.request_open, self.parser.begun, unread, closing)
+        return ConnectionFacts(self.state.request_open, self.parser.started, unread, closing)
 
     def has_more(self) -> bool:
         """Whether a further request has come, read or not.
 
         Guards against closing over a request that came with this one, drain or not.
         """
-        return self.parser.begun or self.has_read() or self._stream.has_unread()
+        return self.parser.started or self.has_read() or self._stream.has_unread()
 
     def start_idle(self) -> None:
         """Between two requests from now on, unless the next one has begun to come."""
         now = self._context.clock()
         self._body_waited = 0.0
-        if self.parser.begun:
+        if self.parser.started:
             self._due = now + HEAD_TIMEOUT_S
         else:
             self._due = now + IDLE_TIMEOUT_S
@@ -99,7 +99,7 @@
             send_continue: Called where the client waits for 100 Continue before it sends its body.
 
         Raises:
-            Malformed: What came is no request, or came too slowly or too far ahead.
+            MalformedMessageError: What came is no request, or came too slowly or too far ahead.
             StreamClosedError: The client has gone.
         """
         try:
@@ -111,14 +111,14 @@
         late = False
         while (request := self.parser.next()) is None:
             if self.bytes_discarded:
-                raise Malformed(413, "too much sent ahead")
-            if late and self.parser.begun:
-                raise Malformed(408, "request too slow")
+                raise MalformedMessageError(413, "too much sent ahead")
+            if late and self.parser.started:
+                raise MalformedMessageError(408, "request too slow")
             if late:
                 return None
             self._note_head()
             reading = self.read()
-            if self.parser.awaits_go_ahead():
+            if self.parser.expects_continue():
                 await send_continue()
             late = await self.wait(reading)
             if self.state.closing:
@@ -126,7 +126,7 @@
             if reading.done():
                 self.feed()
                 late = late and self._context.clock() >= self._due
-            elif late and not self.parser.begun:
+            elif late and not self.parser.started:
                 # Guards against ending a connection over a request that came as its time was over.
                 late = may_close(self.closing_facts()) is None
         return request
@@ -134,7 +134,7 @@
     def _note_head(self) -> None:
         if self.parser.in_body:
             self._context.phases.heads.pop(self._connection, None)
-        elif self.parser.begun:
+        elif self.parser.started:
             self._context.phases.heads.setdefault(self._connection, self._context.clock())
 
     async def wait(self, *waiting: asyncio.Future[Any]) -> bool:
@@ -146,7 +146,7 @@
         started = self._context.clock()
         in_body = self.parser.in_body and not self.state.over_limit
         if in_body:
-            self._due = started + BODY_GRACE_S + self.parser.body_come / BODY_MIN_RATE - self._body_waited
+            self._due = started + BODY_GRACE_S + self.parser.body_received / BODY_MIN_RATE - self._body_waited
         await asyncio.wait(
             waiting, timeout=max(0.0, self._due - started), return_when=asyncio.FIRST_COMPLETED
         )
@@ -177,12 +177,12 @@
         piece = reading.result()
         now = self._context.clock()
         # A request's time counts from its last byte; of one that came ahead only the first is known for sure.
-        if not self.state.request_open or not self.parser.begun:
+        if not self.state.request_open or not self.parser.started:
             # Guards against a late loop's delay passing for time that the client still has.
             self.arrived_at = now - max(0.0, time.monotonic() - self._stream.arrived_at)
         if self._queued_since is not None:
             self.arrived_at, self._queued_since = min(self.arrived_at, self._queued_since), None
-        if not self.parser.begun:
+        if not self.parser.started:
             if self._connection in self._context.phases.idle:
                 self._due = now + HEAD_TIMEOUT_S
             self._context.phases.leave(self._connection)
--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -51,7 +51,8 @@
         """Writes a body piece by piece as it comes, and its end; whether the connection can be used again.
 
         Raises:
-            ConnectionLost, Malformed: The endpoint's side of the response ended or is no response.
+            ConnectionLost, MalformedMessageError: The endpoint's side of the response ended or is no
+                response.
             StreamClosedError: The client has gone or does not read.
         """
         while True:
--- a/notchjunction/net/upstream.py
+++ b/notchjunction/net/upstream.py
@@ -18,8 +18,14 @@
 from notchjunction.balancing.engine import ExchangeOutcome
 from notchjunction.balancing.interface import AttemptResult, LoadReport
 from notchjunction.config.settings import read_load_report
-from notchjunction.http1.messages import BODY_MOST, LARGE_MOST, Answer, Malformed, Request
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import (
+    MAX_BODY_BYTES,
+    MAX_BUFFERED_BODY_BYTES,
+    MalformedMessageError,
+    Request,
+    Response,
+)
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.body_streaming import Download, StreamBuffers, Upload
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.net.upstream_connection import (
@@ -53,7 +59,7 @@
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
     outcome: ExchangeOutcome
-    response: Answer | None = None
+    response: Response | None = None
 
 
 @dataclass(frozen=True, slots=True)
@@ -92,7 +98,7 @@
     return read_load_report(report) if isinstance(report, Mapping) else None
 
 
-def read_result(answer: Answer) -> AttemptResult:
+def read_result(answer: Response) -> AttemptResult:
     """The protocol's table; a status that it does not name is an unknown outcome."""
     if answer.status == 200:
         return AttemptResult.SUCCEEDED
@@ -194,8 +200,8 @@
         within = attempt.expires_at - began
         connection: UpstreamConnection | None = None
         writing = written = keep = False
-        answer: Answer | None = None
-        answers = AnswerReader(large_most=BODY_MOST if begun is None else LARGE_MOST)
+        answer: Response | None = None
+        answers = ResponseReader(max_body=MAX_BUFFERED_BODY_BYTES if begun is None else MAX_BODY_BYTES)
         first_after: float | None = None
         loop = asyncio.get_running_loop()
 
@@ -213,17 +219,17 @@
                 request = self._permitted(attempt, request, connection, within)
                 writing = True
                 answer = await connection.exchange(request, answers, rest, all_written, wanted=attempt.wanted)
-            if answers.unread and not answer.more:
+            if answers.unread and not answer.more_body:
                 self._strayed()
             result = read_result(answer)
-            keep = answer.keep
-            if answer.more and result is AttemptResult.SUCCEEDED and begun is not None:
+            keep = answer.keep_alive
+            if answer.more_body and result is AttemptResult.SUCCEEDED and begun is not None:
                 first_after = self._clock() - began
                 download = Download(self._streams, connection, answers, answer)
                 begun(download)
                 await download.ended
                 # Guards against the rest of an answer whose caller went: it would pass for the next one's.
-                keep = download.over and answers.kept() and not download.moved
+                keep = download.over and answers.connection_reusable() and not download.moved
         except AttemptWithheld:
             result, keep = AttemptResult.NOT_SENT, not writing
         except NoDescriptorLeft:
@@ -234,7 +240,7 @@
             result = AttemptResult.RESET
             if connection is not None and connection.kept:
                 self._reset_at = self._clock()
-        except Malformed:
+        except MalformedMessageError:
             # The called server's own doing: what a deeper one spoils comes up as a plain error.
             result = AttemptResult.MALFORMED
         except TimeoutError:
@@ -306,11 +312,11 @@
 
     def adopt(self, state: Mapping[str, Any], opened: socket.socket) -> Download:
         """The rest of an answer that another process of this node asked for; its connection ends with it."""
-        answers = AnswerReader()
-        answers.go_on(state)
+        answers = ResponseReader()
+        answers.restore(state)
         connection = UpstreamConnection(("", 0), opened)
         self._descriptors.take()
-        download = Download(self._streams, connection, answers, Answer(200, more=True))
+        download = Download(self._streams, connection, answers, Response(200, more_body=True))
         download.ended.add_done_callback(lambda _: self._close(connection))
         return download
 
--- a/notchjunction/net/upstream_connection.py
+++ b/notchjunction/net/upstream_connection.py
@@ -15,15 +15,17 @@
 
 from notchjunction.addresses import Address
 from notchjunction.http1.encoder import encode_end, encode_piece, encode_request
-from notchjunction.http1.messages import BODY_MOST, HEAD_MOST, Answer, Request
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MAX_BUFFERED_BODY_BYTES, MAX_HEAD_BYTES, Request, Response
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.socket_stream import NodeStream, Unread
 
 PIECE = 64 * 1024  # bytes read at once
 STALL_MOST = 10.0  # s in which the other side gives or takes nothing; over any pause of a slow one
 LOOK_EVERY = 0.05  # s after which it is looked whether a caller is there whose bytes have no room
 HOLD_SPAN = 0.3  # s after its head that an answer which may be large is held; it may be short, or spoilt
-BUFFER_MOST = 2 * (BODY_MOST + HEAD_MOST)  # bytes kept of either direction; a message and some of the next
+BUFFER_MOST = 2 * (
+    MAX_BUFFERED_BODY_BYTES + MAX_HEAD_BYTES
+)  # bytes kept of either direction; a message and some of the next
 
 
 def read_piece(stream: IOStream, most: int = PIECE) -> asyncio.Future[bytes]:
@@ -110,12 +112,12 @@
     async def exchange(
         self,
         request: Request,
-        answers: AnswerReader,
+        answers: ResponseReader,
         rest: Body | None = None,
         written: Callable[[], None] = lambda: None,
         heard: Callable[[], None] = lambda: None,
         wanted: Callable[[], bool] = lambda: True,
-    ) -> Answer:
+    ) -> Response:
         """Writes the request and waits for its answer, whole or, where it is large, its beginning.
 
         `written` is called once the last byte is written; the rest of a body is taken in pieces until then.
@@ -143,23 +145,23 @@
         while (answer := answers.next()) is None:
             # What still comes a while after its head is large, and its first bytes go on.
             now = asyncio.get_running_loop().time()
-            if opened is not None and now - opened >= HOLD_SPAN and answers.may_open():
-                return answers.open()
+            if opened is not None and now - opened >= HOLD_SPAN and answers.can_stream_early():
+                return answers.start_streaming()
             if opened is None and answers.in_body:
                 opened = now
             try:
                 answers.feed(await self.read())
                 heard()
             except ConnectionLost as cut:
-                last = answers.end() if cut.clean else None
+                last = answers.finish() if cut.clean else None
                 if last is None:
                     raise
                 return last
         return answer
 
     async def _write_rest(
-        self, request: Request, rest: Body, answers: AnswerReader, wanted: Callable[[], bool]
-    ) -> Answer | None:
+        self, request: Request, rest: Body, answers: ResponseReader, wanted: Callable[[], bool]
+    ) -> Response | None:
         """The body's pieces; the answer, if one comes before the body's end, which ends the writing."""
         reading = self.start_reading()
         step: asyncio.Task[bool] | None = None
@@ -177,7 +179,7 @@
                 answers.feed(await self.read())
                 early = answers.next()
                 if early is not None:
-                    return replace(early, keep=False)
+                    return replace(early, keep_alive=False)
                 reading = self.start_reading()
         except ConnectionLost as error:
             if self._last is not None and self._last.done() and self._last.exception() is None:
--- a/notchjunction/soak/backend.py
+++ b/notchjunction/soak/backend.py
@@ -15,7 +15,7 @@
 
 from notchjunction import protocol
 from notchjunction.addresses import Address
-from notchjunction.http1.messages import Malformed, Request
+from notchjunction.http1.messages import MalformedMessageError, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.soak.events import Attempt, ColdStart, Disposition, Journal
 
@@ -171,7 +171,7 @@
 
     def __init__(self, backend: Backend) -> None:
         self._backend = backend
-        self._requests = RequestReader(body_most=1 << 26)
+        self._requests = RequestReader(max_buffered_body=1 << 26)
         self._first_byte_at: float | None = None
         self._transport: asyncio.Transport | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
@@ -202,7 +202,7 @@
         try:
             while (request := self._requests.next()) is not None:
                 self._on_request(request, now)
-        except Malformed:
+        except MalformedMessageError:
             self.abort()
 
     def abort(self) -> None:
--- a/notchjunction/soak/client.py
+++ b/notchjunction/soak/client.py
@@ -13,8 +13,8 @@
 from random import Random
 from typing import Any
 
-from notchjunction.http1.messages import Malformed
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MalformedMessageError
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.soak.events import Effect, Exchange, Journal
 from notchjunction.soak.node import SoakNode
 
@@ -88,7 +88,7 @@
     except asyncio.CancelledError:
         exchange.client_left_at = loop.time()
         raise
-    except (OSError, Malformed):
+    except (OSError, MalformedMessageError):
         exchange.closed_at = loop.time()
 
 
@@ -201,7 +201,7 @@
             return
         loop = asyncio.get_running_loop()
         # One parser: several responses may come at once.
-        responses = AnswerReader(body_most=1 << 26)
+        responses = ResponseReader(max_buffered_body=1 << 26)
         waiting = [self._new_exchange(connection, effect, deadline) for _ in range(PIPELINE_DEPTH)]
         for exchange in waiting:
             connection.writer.write(self._encode(exchange, WritingStyle.PLAIN, f"k{exchange.request}"))
@@ -336,10 +336,10 @@
         return "\r\n".join([*lines, "", ""]).encode() + body
 
     async def _read_response(
-        self, connection: ClientConnection, exchange: Exchange, responses: AnswerReader | None = None
+        self, connection: ClientConnection, exchange: Exchange, responses: ResponseReader | None = None
     ) -> bool:
         """Reads the response; whether the connection can be reused. OSError where it ends first."""
-        responses = responses or AnswerReader(body_most=1 << 26)
+        responses = responses or ResponseReader(max_buffered_body=1 << 26)
         while (response := responses.next()) is None:
             chunk = await connection.reader.read(65536)
             if not chunk:
@@ -349,4 +349,4 @@
         exchange.ended_at = asyncio.get_running_loop().time()
         exchange.status, exchange.body = response.status, response.body
         exchange.closing = "close" in response.headers.get("connection", "").lower()
-        return response.keep
+        return response.keep_alive
--- a/notchjunction/soak/discovery.py
+++ b/notchjunction/soak/discovery.py
@@ -10,7 +10,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from notchjunction.addresses import Address
-from notchjunction.http1.messages import Malformed, Request
+from notchjunction.http1.messages import MalformedMessageError, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.soak.backend import HOST, Backend
 from notchjunction.soak.events import Journal, Notified, Published, Reachable
@@ -297,7 +297,7 @@
         try:
             while (request := self._requests.next()) is not None:
                 self._poll(request)
-        except Malformed:
+        except MalformedMessageError:
             self.abort()
 
     def _poll(self, request: Request) -> None:
--- a/notchjunction/testbed/client.py
+++ b/notchjunction/testbed/client.py
@@ -7,8 +7,8 @@
 
 from notchjunction.addresses import Address
 from notchjunction.http1.encoder import encode_request
-from notchjunction.http1.messages import Malformed, Request
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MalformedMessageError, Request
+from notchjunction.http1.parser import ResponseReader
 
 MAX_IDLE_CONNECTIONS = 64  # to one address; a connection beyond these is closed after its response
 READ_SIZE = 65536  # bytes read at once
@@ -29,7 +29,7 @@
         try:
             async with asyncio.timeout(timeout):
                 return await self.exchange(address, request)
-        except (TimeoutError, OSError, Malformed):
+        except (TimeoutError, OSError, MalformedMessageError):
             return None
 
     async def exchange(self, address: Address, request: Request) -> int:
@@ -37,7 +37,7 @@
 
         Raises:
             OSError: The connection failed or ended before the whole response.
-            Malformed: What came is no response.
+            MalformedMessageError: What came is no response.
         """
         idle = self._idle.setdefault(address, deque())
         while idle and not _is_reusable(idle[-1]):
@@ -46,13 +46,13 @@
         reusable = False
         try:
             writer.write(encode_request(request))
-            responses = AnswerReader()
-            while (response := responses.next()) is None or response.more:
+            responses = ResponseReader()
+            while (response := responses.next()) is None or response.more_body:
                 data = await reader.read(READ_SIZE)
                 if not data:
                     raise ConnectionResetError
                 responses.feed(data)
-            reusable = response.keep and len(idle) < MAX_IDLE_CONNECTIONS
+            reusable = response.keep_alive and len(idle) < MAX_IDLE_CONNECTIONS
         finally:
             if reusable:
                 idle.append((reader, writer))
--- a/notchjunction/testbed/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -14,8 +14,8 @@
 from notchjunction.discovery.endpoints import ListedEndpoint
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.discovery import Discovery
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer, Malformed, Request
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import RequestReader
 from notchjunction.testbed.client import READ_SIZE
 from notchjunction.testbed.server import HOST
@@ -93,7 +93,7 @@
                 requests.feed(data)
                 while (request := requests.next()) is not None:
                     self._poll(request, writer)
-        except (ConnectionError, Malformed):
+        except (ConnectionError, MalformedMessageError):
             pass
         finally:
             self._writers.discard(writer)
@@ -111,11 +111,11 @@
                 return
             self._responded_at = self._clock.now
             if entries is None:
-                writer.write(encode_answer(Answer(503)))
+                writer.write(encode_response(Response(503)))
                 return
             view.on_notified(view.node, entries)
             body = encode_list(entries, at_version, version < 0, view.address_of)
-            writer.write(encode_answer(Answer(200, body=body)))
+            writer.write(encode_response(Response(200, body=body)))
 
         if version < 0:
             # A snapshot: the call costs discovery its work like any other.
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -17,8 +17,8 @@
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.servers import Call, Server
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer, Malformed, Request
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import RequestReader
 from notchjunction.testbed.client import READ_SIZE
 
@@ -31,9 +31,9 @@
     if field in ("in_flight", "queued", "utilization")
 }
 RESPONSES = {
-    AttemptResult.SUCCEEDED: Answer(200, body=b"done"),
-    AttemptResult.ERROR: Answer(500),
-    AttemptResult.REJECTED: Answer(503, {protocol.DECLINED: "1"}),
+    AttemptResult.SUCCEEDED: Response(200, body=b"done"),
+    AttemptResult.ERROR: Response(500),
+    AttemptResult.REJECTED: Response(503, {protocol.DECLINED: "1"}),
 }
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on with no time: a close resets the connection
 
@@ -88,7 +88,7 @@
                 while (request := requests.next()) is not None:
                     if not self.partitioned:
                         call = self._handle(request, writer, accepted) or call
-        except (ConnectionError, Malformed):
+        except (ConnectionError, MalformedMessageError):
             pass
         finally:
             if call is not None:
@@ -111,10 +111,10 @@
         self._server.server.reach(call)
         return call
 
-    def send(self, writer: asyncio.StreamWriter, response: Answer) -> None:
+    def send(self, writer: asyncio.StreamWriter, response: Response) -> None:
         """Writes a response, unless the port is partitioned or the connection closing."""
         if not self.partitioned and not writer.is_closing():
-            writer.write(encode_answer(response))
+            writer.write(encode_response(response))
 
     def finish_call(self, writer: asyncio.StreamWriter, call: Call, result: AttemptResult) -> None:
         """Shows the node how a call ended: by a response, or by a reset where the result has none."""
@@ -223,5 +223,5 @@
         load = self.server.report()
         report = {word: getattr(load, field) for field, word in REPORTED_FIELDS.items()}
         body = json.dumps(report).encode() if request.path == protocol.LOAD_PATH else b""
-        response = Answer(200 if healthy else 503, body=body)
+        response = Response(200 if healthy else 503, body=body)
         self._clock.after(seconds, lambda: port.send(writer, response))
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -35,8 +35,8 @@
 from notchjunction.config.node_config import NodeConfig
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.http1.messages import Answer, Request
-from notchjunction.http1.parser import AnswerReader, RequestReader
+from notchjunction.http1.messages import Request, Response
+from notchjunction.http1.parser import RequestReader, ResponseReader
 from notchjunction.node.node import Node
 
 PLAIN = RequestClass(
@@ -285,7 +285,7 @@
         Client.opened += 1
         self.job_id = 1000 * Client.opened
         self._reader, self.writer = await asyncio.open_connection(*address)
-        self._answers = AnswerReader()
+        self._answers = ResponseReader()
         return self
 
     def send(self, text: bytes) -> None:
@@ -297,7 +297,7 @@
         head = f"{method} /api?x=1 HTTP/1.1\r\nHost: app\r\nReq-Id: {self.job_id}\r\nReq-Kind: plain\r\n"
         self.send(f"{head}Req-Deadline-Ms: {left}\r\n{extra}{length}\r\n".encode() + body)
 
-    async def answer(self) -> Answer:
+    async def answer(self) -> Response:
         async with asyncio.timeout(5):
             while (answer := self._answers.next()) is None:
                 piece = await self._reader.read(65536)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -131,7 +131,7 @@
             crowd, late = await crowded(node, address)
             for client in late:
                 found = await client.answer()
-                assert (found.status, found.keep) == (503, False) and await client.closed()
+                assert (found.status, found.keep_alive) == (503, False) and await client.closed()
             assert ("client_connections_dropped" in node.counters.read()) is not let_in
             assert node._descriptors.callers <= 8
             for client in crowd:
@@ -154,7 +154,7 @@
             began = asyncio.get_running_loop().time()
             for client in late:
                 found = await client.answer()
-                assert (found.status, found.keep) == (503, False) and await client.closed()
+                assert (found.status, found.keep_alive) == (503, False) and await client.closed()
             assert asyncio.get_running_loop().time() < began + SHORT_DEADLINE
             assert node._descriptors.callers == 8 and not peer.requests
             for client in crowd:
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -321,7 +321,7 @@
         async with Peer() as peer, running(peer) as (node, address):
             caller = connect(address)
             caller.sendall(wire[:1])
-            while not any(one._intake.parser.begun for one in node._clients.connections):
+            while not any(one._intake.parser.started for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
             while not node._clients.parting:
@@ -402,7 +402,7 @@
             stays = connect(address)
             wire = wire_of(1, left=60_000).replace(b"plain", b"other")
             stays.sendall(wire[:1])
-            while not any(one._intake.parser.begun for one in node._clients.connections):
+            while not any(one._intake.parser.started for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
             end_at = node._end_at
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -16,7 +16,7 @@
 from notchjunction.addresses import Address
 from notchjunction.balancing.engine import CancelAttempt, FailRequest, RejectRequest, RequestSpec
 from notchjunction.balancing.interface import AttemptResult
-from notchjunction.http1.messages import BODY_MOST
+from notchjunction.http1.messages import MAX_BUFFERED_BODY_BYTES
 from notchjunction.net import request_intake
 from notchjunction.net.client_connection import ClientConnection
 from notchjunction.net.request_intake import RequestIntake
@@ -29,7 +29,7 @@
 from tests.test_large_bodies import Talk, served
 from tests.test_net import JOB, Dispatches, hanging, run
 
-BODY = b"x" * (BODY_MOST + 10_000)  # more than is whole before it goes on
+BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is whole before it goes on
 
 GOING = ["close", "reset", "half"]
 
@@ -203,7 +203,7 @@
             while not peer.connections:
                 await asyncio.sleep(0.001)
             (caller,) = node._clients.connections
-            while caller._intake.parser.body_come < len(BODY):
+            while caller._intake.parser.body_received < len(BODY):
                 await asyncio.sleep(0.001)
             # Its last bytes and its end come side by side.
             client.more(b"y" * 10)
@@ -324,9 +324,9 @@
                 or request.upload is None
                 or request.upload.wants_more()
             ):
-                seen = caller._intake.parser.body_come
+                seen = caller._intake.parser.body_received
                 client.more(BODY[:8000])
-                while caller._intake.parser.body_come == seen:
+                while caller._intake.parser.body_received == seen:
                     await asyncio.sleep(0.001)
             client.more(BODY[:8000])  # for which there is no room
             client.go("close")
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -24,8 +24,8 @@
 from notchjunction.balancing.engine import BalancerEngine, CancelAttempt, RequestHandle, StartResponse
 from notchjunction.balancing.interface import AttemptOutcome, AttemptResult, ListUpdate, NewRequest
 from notchjunction.discovery.endpoint_list import read_list
-from notchjunction.http1.messages import Answer, Malformed, Request
-from notchjunction.http1.parser import AnswerReader, Reader, RequestReader
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
+from notchjunction.http1.parser import MessageReader, RequestReader, ResponseReader
 from notchjunction.net import body_streaming, request_intake, response_writer, upstream, upstream_connection
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.socket_stream import NodeStream
@@ -55,7 +55,7 @@
 }
 
 
-def fed(reader: Reader, *pieces: bytes) -> Any:
+def fed(reader: MessageReader, *pieces: bytes) -> Any:
     for piece in pieces:
         reader.feed(piece)
         found = reader.next()  # type: ignore[attr-defined]
@@ -68,19 +68,21 @@
 def test_a_request_is_the_same_cut_at_any_byte(form: str) -> None:
     wire = FORMS[form]
     whole = fed(RequestReader(), wire)
-    assert whole.path == "/api" and whole.body == (b"" if form == "no body" else b"abcde") and whole.keep
+    assert (
+        whole.path == "/api" and whole.body == (b"" if form == "no body" else b"abcde") and whole.keep_alive
+    )
     for at in range(1, len(wire)):
         reader = RequestReader()
-        assert fed(reader, wire[:at], wire[at:]) == whole and not reader.begun
+        assert fed(reader, wire[:at], wire[at:]) == whole and not reader.started
 
 
 @pytest.mark.parametrize("form", ANSWERS)
 def test_an_answer_is_the_same_cut_at_any_byte(form: str) -> None:
     wire = ANSWERS[form]
-    whole = fed(AnswerReader(), wire)
-    assert (whole.status, whole.body, whole.keep) == (200, b"abcde", True)
+    whole = fed(ResponseReader(), wire)
+    assert (whole.status, whole.body, whole.keep_alive) == (200, b"abcde", True)
     for at in range(1, len(wire)):
-        assert fed(AnswerReader(), wire[:at], wire[at:]) == whole
+        assert fed(ResponseReader(), wire[:at], wire[at:]) == whole
 
 
 @pytest.mark.parametrize("step", [1000, 4096, 65536, MB])
@@ -101,23 +103,23 @@
         if beginning is not None:
             found += beginning.body
             assert beginning.length == (None if chunk else len(body))
-            ended = not beginning.more
-        elif reader.going:
-            piece, ended = reader.piece()
+            ended = not beginning.more_body
+        elif reader.streaming:
+            piece, ended = reader.take_piece()
             found += piece
             most = max(most, reader.unread)
-    assert bytes(found) == body and ended and not reader.begun
+    assert bytes(found) == body and ended and not reader.started
     assert most <= 256 + 2  # the line of a chunk's size
 
 
 def test_a_large_body_that_never_ends_is_refused() -> None:
-    reader = RequestReader(large_most=MB)
+    reader = RequestReader(max_body=MB)
     reader.feed(POST + b"Transfer-Encoding: chunked\r\n\r\n")
-    with pytest.raises(Malformed) as refused:
+    with pytest.raises(MalformedMessageError) as refused:
         for _ in range(20):
             reader.feed(b"%x\r\n%b\r\n" % (MB // 10, BODY[: MB // 10]))
-            if reader.going:
-                reader.piece()
+            if reader.streaming:
+                reader.take_piece()
             else:
                 reader.next()
     assert refused.value.status == 413
@@ -146,9 +148,9 @@
                 request = requests.next()
                 if request is not None:
                     body += request.body
-                    ended = not request.more
-            elif requests.going:
-                more, ended = requests.piece()
+                    ended = not request.more_body
+            elif requests.streaming:
+                more, ended = requests.take_piece()
                 body += more
         assert request is not None
         return request, bytes(body)
@@ -202,7 +204,7 @@
 
     async def whole(self) -> tuple[int, bytes, bool]:
         """Status, body and whether it came to its end."""
-        answers, body = AnswerReader(), bytearray()
+        answers, body = ResponseReader(), bytearray()
         status, ended, going = 0, False, False
         async with asyncio.timeout(15):
             while not ended:
@@ -211,16 +213,16 @@
                 except ConnectionError:
                     return status, bytes(body), False
                 if not piece:
-                    return status, bytes(body), going and answers.sound_end()
+                    return status, bytes(body), going and answers.ends_with_connection()
                 answers.feed(piece)
                 if not going:
                     answer = answers.next()
                     if answer is None:
                         continue
-                    status, going, ended = answer.status, answer.more, not answer.more
+                    status, going, ended = answer.status, answer.more_body, not answer.more_body
                     body += answer.body
                 else:
-                    more, ended = answers.piece()
+                    more, ended = answers.take_piece()
                     body += more
         return status, bytes(body), True
 
@@ -473,7 +475,7 @@
     async def story() -> None:
         async def breaks(talk: Talk) -> None:
             request, _ = await talk.request(most=200_000)
-            if request.more:
+            if request.more_body:
                 talk.reset()
             else:
                 await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -485,7 +487,7 @@
                 caller.send(BODY)
                 await asyncio.sleep(0.02)
             answer = await caller.answer()
-            assert answer.status == 503 and answer.keep  # told at once, while it still sends
+            assert answer.status == 503 and answer.keep_alive  # told at once, while it still sends
             caller.send(BODY * 4)
             caller.begin()
             assert (await caller.answer()).status == 200
@@ -974,7 +976,7 @@
                 await asyncio.sleep(0.002)
             node.stop()
             answer = await caller.answer()
-            assert answer.status == 503 and not answer.keep
+            assert answer.status == 503 and not answer.keep_alive
             assert not ran
 
     run(story())
@@ -1036,7 +1038,7 @@
             caller.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
             caller.send(b"%x\r\n%b" % (MB, BODY[:100_000]))
             answer = await caller.answer()
-            assert (answer.status, answer.keep) == (503, False)
+            assert (answer.status, answer.keep_alive) == (503, False)
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.1):
                     await caller._reader.read(1)
@@ -1101,7 +1103,7 @@
         kept = ours.dup()
         connection = upstream_connection.UpstreamConnection(("", 0), ours)
         download = body_streaming.Download(
-            StreamBuffers(), connection, AnswerReader(), Answer(200, more=True)
+            StreamBuffers(), connection, ResponseReader(), Response(200, more_body=True)
         )
         assert download.take_held()
         theirs.send(b"more")
@@ -1155,7 +1157,7 @@
                     await asyncio.sleep(0.002)
                 caller.send(BODY[200_000:] + b"\r\n0\r\n\r\n")
                 answer = await caller.answer()
-                assert (answer.status, answer.keep) == ((502, True) if early else (503, False))
+                assert (answer.status, answer.keep_alive) == ((502, True) if early else (503, False))
                 if early:  # it goes on as any caller, with the process that has it now
                     assert await ask_ready_on(caller) == 200
                 else:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -28,7 +28,7 @@
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import MIN_BACKOFF_S, ListWatch
 from notchjunction.http1.messages import Request
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net import (
     client_listener,
     descriptor_pressure,
@@ -141,7 +141,7 @@
             await connection.open()
             connection.close()
             with pytest.raises(RequestNotSent):
-                await connection.exchange(JOB, AnswerReader())
+                await connection.exchange(JOB, ResponseReader())
             sent = Dispatches(peer)
             monkeypatch.setattr(UpstreamConnection, "open", hanging)
             assert (await sent.send(0.05)).outcome.result is AttemptResult.NO_CONNECTION
@@ -405,7 +405,7 @@
             for _ in range(2):
                 client.ask()
                 found = await client.answer()
-                assert (found.status, found.body, found.keep) == (200, b"ok", True)
+                assert (found.status, found.body, found.keep_alive) == (200, b"ok", True)
                 await asyncio.sleep(2 * SETTLED)
             assert peer.connections == 1 and peer.requests[0].target == "/api?x=1"
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= 2000
@@ -656,7 +656,7 @@
             client = await Client().open(address)
             client.send(wire)
             found = await client.answer()
-            assert (found.status, found.keep) == (status, False) and await client.closed()
+            assert (found.status, found.keep_alive) == (status, False) and await client.closed()
             assert peer.requests == [] and node.counters.read()["bad_requests"] == 1
 
     run(story())
@@ -1067,7 +1067,7 @@
             late = await Client().open(address)
             late.ask()
             found = await late.answer()
-            assert (found.status, found.keep) == (503, False) and len(peer.requests) == 1
+            assert (found.status, found.keep_alive) == (503, False) and len(peer.requests) == 1
             figures = node.counters.read()
             assert figures["attempts_first"] == 1
             again = await Client().open(address)
@@ -1079,7 +1079,7 @@
                 last.ask()
             for last in asking:
                 found = await last.answer()
-                assert (found.status, found.keep) == (503, False) and await last.closed()
+                assert (found.status, found.keep_alive) == (503, False) and await last.closed()
             assert all([await last.closed() for last in silent]) and len(peer.requests) == 1
             assert [record.getMessage() for record in caplog.records].count("descriptor limit reached") == 1
             assert "client_connections_dropped" not in node.counters.read()
@@ -1205,14 +1205,14 @@
             await peer.asked.wait()
             client.ask()
             (caller,) = node._clients.connections
-            while not caller._intake.parser.begun:
+            while not caller._intake.parser.started:
                 await asyncio.sleep(0.001)
             node.stop()
             while not node._clients.parting:
                 await asyncio.sleep(0.001)
             peer.go_on.set()
             found = [await client.answer() for _ in range(2)]
-            assert [(one.status, one.keep) for one in found] == [(200, True), (200, False)]
+            assert [(one.status, one.keep_alive) for one in found] == [(200, True), (200, False)]
 
     run(story())
 
@@ -1242,7 +1242,7 @@
             assert await idle.closed()
             peer.go_on.set()
             found = await busy.answer()
-            assert (found.status, found.keep) == (200, False)
+            assert (found.status, found.keep_alive) == (200, False)
         figures = node.counters.read()
         assert (
             figures["requests_received"] == figures["responses_succeeded"] == 2
@@ -1269,7 +1269,7 @@
             for _ in range(2):
                 client.ask(left="60000")
                 found = await client.answer()
-                assert (found.status, found.keep) == (200, True)
+                assert (found.status, found.keep_alive) == (200, True)
             assert all(int(request.headers["req-deadline-ms"]) < 2400 for request in peer.requests)
             assert await client.closed()
 
@@ -1405,7 +1405,7 @@
                 monkeypatch.setattr(UpstreamConnection, "_write_piece", crossed if length else write_piece)
                 upload.put(b"12345", False)
                 upload.put(b"67890", True)
-                begun = replace(JOB, body=b"", more=True, length=length)
+                begun = replace(JOB, body=b"", more_body=True, length=length)
                 exchanged = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, upload), begun)
                 assert [request.body for request in peer.requests] == [b"1234567890"]
                 assert exchanged.outcome.result is AttemptResult.RESET
@@ -1425,7 +1425,7 @@
     async def story() -> None:
         async with Peer() as peer:
             sent = Dispatches(peer)
-            begun = replace(JOB, body=b"", more=True, length=10)
+            begun = replace(JOB, body=b"", more_body=True, length=10)
             whole, part = Upload(StreamBuffers()), Waits(StreamBuffers())
             whole.put(b"1234567890", True)
             first = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, whole), begun)
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -393,7 +393,7 @@
                 late = await Client().open(listen)
                 late.ask()
                 answer = await late.answer()
-                assert answer.status == 200 and not answer.keep and await late.closed()
+                assert answer.status == 200 and not answer.keep_alive and await late.closed()
                 assert await call(mgmt, "GET", "/control/ready") == 200
                 assert await call(mgmt, "PUT", "/control/in-service") == 200
                 assert await call(mgmt, "PUT", "/control/in-service") == 200
@@ -401,7 +401,7 @@
                 again = await Client().open(listen)
                 for _ in range(2):
                     again.ask()
-                    assert (await again.answer()).keep
+                    assert (await again.answer()).keep_alive
 
     run(story())
 
@@ -419,7 +419,7 @@
                     await asyncio.sleep(0.01)
                 peer.go_on.set()
                 answer = await client.answer()
-                assert answer.status == 200 and not answer.keep
+                assert answer.status == 200 and not answer.keep_alive
                 node.stop()
                 assert not await node.in_service()  # nothing leads back from the end
 
@@ -478,7 +478,7 @@
                         keep = True
                         while keep and going:
                             client.ask()
-                            keep = (await client.answer()).keep
+                            keep = (await client.answer()).keep_alive
                             await asyncio.sleep(0.005)
                         client.writer.close()
                         led_away.append(time.monotonic())
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -75,7 +75,7 @@
                         answer = await client.answer()
                         assert answer.status in (200, 503)  # one server has not always room
                         answered += 1
-                        if not answer.keep:
+                        if not answer.keep_alive:
                             break
                     client.writer.close()
 
@@ -162,7 +162,7 @@
                 assert await idle.closed()
                 peer.go_on.set()
                 answer = await client.answer()
-                assert answer.status == 200 and not answer.keep
+                assert answer.status == 200 and not answer.keep_alive
                 await ends
                 await served(await Client().open(listen))
 
--- a/tests/test_upgrade_from_start.py
+++ b/tests/test_upgrade_from_start.py
@@ -137,7 +137,7 @@
                 answer = await client.answer()
                 assert answer.status in (200, 503)  # few servers have not always room
                 self.answered += answer.status == 200
-                keep = answer.keep
+                keep = answer.keep_alive
                 await asyncio.sleep(CALLERS_PAUSE)
             client.writer.close()
 
--- a/tests/test_wire_compatibility.py
+++ b/tests/test_wire_compatibility.py
@@ -32,7 +32,7 @@
 from notchjunction.fleet.membership import messages as membership
 from notchjunction.fleet.quotas import messages as quota_messages
 from notchjunction.fleet.quotas.phase import Phase
-from notchjunction.http1.parser import AnswerReader, RequestReader
+from notchjunction.http1.parser import RequestReader, ResponseReader
 from notchjunction.simulator import vocabulary
 from notchjunction.testbed.fleet_stage import ProcessKind
 from notchjunction.testbed.links import Kind as LinkFault
@@ -296,14 +296,14 @@
     position = json.loads(fixture["position"])
     assert position["framing"] == FRAMINGS[number]
     unread = b64decode(position["unread"])
-    reader = AnswerReader() if fixture["of"] == "answer" else RequestReader()
-    reader.go_on(position)
+    reader = ResponseReader() if fixture["of"] == "answer" else RequestReader()
+    reader.restore(position)
     assert json.dumps(reader.state()) == fixture["position"]
     end = fixture["rest"].encode().lstrip(unread[:1])
     reader.feed(unread[:1] * (BODY_LEFT - len(unread)) + end)
     body = bytearray()
     while True:
-        piece, ended = reader.piece()
+        piece, ended = reader.take_piece()
         body += piece
         if ended or not piece:
             break
