--- a/notchjunction/net/admin.py
+++ b/notchjunction/net/admin.py
@@ -19,20 +19,20 @@
 from notchjunction.http1.encoder import encode_response
 from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import RequestReader
-from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, give_up
-from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE, read_piece
+from notchjunction.net.upstream_connection import MAX_BUFFER_BYTES, READ_CHUNK_BYTES, start_read
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
 
-CALLS_MOST = 16  # connections at once; operators and their tools are few, and descriptors are kept back
-CALL_WITHIN = 3.0  # s from connecting until a call is whole; a call is one small piece
-ANSWERED_WITHIN = 0.9  # s for the node to do as it is asked; the answer is due after 1 s
-LINGER_WITHIN = 0.3  # s of reading on after the answer, so that a reset does not destroy it on its way
+MAX_CALLS = 16  # connections at once; operators and their tools are few, and descriptors are kept back
+READ_TIMEOUT_S = 3.0  # s from connecting until a call is whole; a call is one small piece
+HANDLER_TIMEOUT_S = 0.9  # s for the node to do as it is asked; the answer is due after 1 s
+LINGER_TIMEOUT_S = 0.3  # s of reading on after the answer, so that a reset does not destroy it on its way
 BACKLOG = 128  # connections that wait to be accepted; those who say nothing may come in a crowd
-DESCRIPTORS = CALLS_MOST + 2  # what this listener may use: its calls, itself, and one being turned away
+DESCRIPTORS = MAX_CALLS + 2  # what this listener may use: its calls, itself, and one being turned away
 
 
 class AdminTarget(Protocol):
@@ -129,13 +129,13 @@
         try:
             connection, _ = listener.accept()
         except OSError as error:
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 # Guards against a loop that does nothing but fail: the listener stays readable.
                 self._counters.add("accepts_failed")
                 self._loop.remove_reader(listener.fileno())
-                self._loop.call_later(SHORT_PAUSE, self._listen, listener)
+                self._loop.call_later(SHORTAGE_PAUSE_S, self._listen, listener)
             return False
-        if len(self._calls) >= CALLS_MOST:
+        if len(self._calls) >= MAX_CALLS:
             # Guards against callers that say nothing keeping out those who do: the oldest of them goes.
             oldest = next(iter(self._unread), None)
             if oldest is None:
@@ -145,7 +145,7 @@
             self._counters.add("admin_calls_dropped")
             self._close(oldest)
             del self._unread[oldest]
-        stream = CallStream(connection, max_buffer_size=BUFFER_MOST, read_chunk_size=PIECE)
+        stream = CallStream(connection, max_buffer_size=MAX_BUFFER_BYTES, read_chunk_size=READ_CHUNK_BYTES)
         task = self._loop.create_task(self._serve(stream))
         self._calls[task] = stream
         task.add_done_callback(self._done)
@@ -168,7 +168,7 @@
             stream.set_nodelay(True)
             self._unread[stream] = None
             try:
-                async with asyncio.timeout(CALL_WITHIN):
+                async with asyncio.timeout(READ_TIMEOUT_S):
                     request = await self._read(stream)
             except MalformedMessageError as error:
                 answer = Response(error.status, keep_alive=False)
@@ -179,17 +179,17 @@
                 answer = await self._answer(request)
             self._unread.setdefault(stream)  # answered: the first to go where there is no room
             with suppress(TimeoutError):
-                async with asyncio.timeout(LINGER_WITHIN):
+                async with asyncio.timeout(LINGER_TIMEOUT_S):
                     await stream.write(encode_response(answer))
                     if not stream.closed():
                         end_sending(stream.socket)
                     while True:
-                        await read_piece(stream)
+                        await start_read(stream)
 
     async def _read(self, stream: CallStream) -> Request:
         requests = RequestReader()
         while (request := requests.next()) is None:
-            requests.feed(await read_piece(stream))
+            requests.feed(await start_read(stream))
         return request
 
     async def _answer(self, request: Request) -> Response:
@@ -202,7 +202,7 @@
             return Response(405, {"allow": ", ".join(call.method for call, _ in found)}, keep_alive=False)
         call, match = fitting[0]
         try:
-            async with asyncio.timeout(ANSWERED_WITHIN):
+            async with asyncio.timeout(HANDLER_TIMEOUT_S):
                 done = await call.ask(self._node, unquote(match[1]))
         except TimeoutError:
             done = False
--- a/notchjunction/net/client_closing.py
+++ b/notchjunction/net/client_closing.py
@@ -78,7 +78,7 @@
         if self._stream.closed():
             return
         self.end_sending()
-        if self._context.descriptors.full_of_callers():
+        if self._context.descriptors.full_for_clients():
             discard_unread(self._stream.socket)
             return
         with suppress(OSError, TimeoutError):
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -30,7 +30,7 @@
 from notchjunction.net.request_intake import RequestIntake
 from notchjunction.net.response_writer import ResponseWriter
 from notchjunction.net.stream_state import MigratedResponse, MigratedUpload, ResponseFraming
-from notchjunction.net.upstream_connection import ConnectionLost
+from notchjunction.net.upstream_connection import ConnectionLostError
 from notchjunction.safety.preconditions import AdmissionFacts, Refusal, may_start
 from notchjunction.telemetry.flight_recorder import Occurrence
 
@@ -121,7 +121,9 @@
         )
         if handler is not None:
             rejected = status in REJECTION_STATUSES
-            handler.check(handler.ledger.response_sent(self._context.clock(), rejected), status=status)
+            handler.report_violations(
+                handler.ledger.response_sent(self._context.clock(), rejected), status=status
+            )
 
     # Closing, by the listener and at the end of the connection's task.
 
@@ -134,10 +136,10 @@
             )
             if self._open_request is not None:
                 handler = self._open_request.handler
-                handler.check(handler.ledger.connection_closed())
+                handler.report_violations(handler.ledger.connection_closed())
             self._stream.close()
             self._context.phases.leave(self)
-            self._context.descriptors.give_back_caller()
+            self._context.descriptors.release_for_client()
             self._context.counters.add("client_connections_closed")
 
     def _close_reason(self) -> str:
@@ -219,7 +221,7 @@
                 return Handled(handler, await self._open_request.response())
             except BaseException:
                 # Guards against attempts that go on for a request that nobody waits for.
-                handler.withdraw()
+                handler.cancel()
                 raise
         except StreamClosedError:
             raise
@@ -248,11 +250,11 @@
         try:
             await self._writer.write(encode_response(replace(head, keep_alive=keep), request.accepts_chunked))
             return await self._writer.write_body(download, framing)
-        except (ConnectionLost, MalformedMessageError) as error:
+        except (ConnectionLostError, MalformedMessageError) as error:
             download.close(error)
             raise self._writer.truncate(framing) from error
         except BaseException:
-            handler.withdraw()
+            handler.cancel()
             raise
         finally:
             download.close()
@@ -274,7 +276,7 @@
             if self._state.upload_rejected and self._migrator.stays():
                 break  # the process ends, and nobody can go on with it
             moves = asyncio.ensure_future(self._context.moving.wait())
-            reading = self._intake.read(self._context.streams.piece())
+            reading = self._intake.read(self._context.streams.piece_size())
             late = await self._intake.wait(reading, *([] if self._state.pinned else [moves]))
             moves.cancel()
             if reading.done():
@@ -323,7 +325,7 @@
             if migrated.unsent:
                 await self._writer.write(migrated.unsent)
             return await self._writer.write_body(download, migrated.framing)
-        except (ConnectionLost, MalformedMessageError) as error:
+        except (ConnectionLostError, MalformedMessageError) as error:
             self._context.counters.add("streams_truncated")
             raise self._writer.truncate(migrated.framing) from error
 
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -17,7 +17,7 @@
 from notchjunction.http1.messages import Response
 from notchjunction.net.client_registry import ClientRegistry
 from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
-from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 from notchjunction.net.event_loop import waited_most
 from notchjunction.net.socket_stream import give_up
 from notchjunction.telemetry.logs import pairs
@@ -185,7 +185,7 @@
         Guards against a client gone before it was accepted, and descriptors that others use up.
         """
         self._counters.add("accepts_failed")
-        short = error.errno in SHORT
+        short = error.errno in SHORTAGE_ERRNOS
         if not short or self._clients.clock() > self._shortage_logged_at + SHORTAGE_LOG_INTERVAL_S:
             log.warning("accept failed", extra=pairs(why=error))
             self._shortage_logged_at = self._clients.clock() if short else self._shortage_logged_at
@@ -194,7 +194,7 @@
             return True
         if short:
             # Guards against a loop that does nothing but fail: the listener stays readable.
-            self._hold_off(SHORT_PAUSE)
+            self._hold_off(SHORTAGE_PAUSE_S)
         return False
 
     def _let_in(self, connection: socket.socket) -> None:
--- a/notchjunction/net/client_migration.py
+++ b/notchjunction/net/client_migration.py
@@ -45,7 +45,7 @@
         self._state.pinned = True
         mover = self._context.mover
         ahead = self._intake.parser.started or self._intake.has_read() or self._stream.closed()
-        if mover is None or ahead or download.over or not download.take_held():
+        if mover is None or ahead or download.finished or not download.take_buffered():
             return False
         state = MigratedResponse(framing, download.state, unsent)
         try:
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -17,7 +17,7 @@
 from notchjunction.net.client_state import ConnectionPhases
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.descriptors import Descriptors
-from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE
+from notchjunction.net.upstream_connection import MAX_BUFFER_BYTES, READ_CHUNK_BYTES
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
 
@@ -64,7 +64,7 @@
         self.mover: StreamMigrator | None = None
         self.moving = asyncio.Event()
         self._at_limit = False  # the last client accepted was over the limit
-        self.counters.gauge("client_connections_open", lambda: self.descriptors.callers)
+        self.counters.gauge("client_connections_open", lambda: self.descriptors.clients)
         self.counters.gauge("client_connections_idle", lambda: len(self.phases.idle))
 
     def start(self, sock: socket.socket, over_limit: bool, queued_since: float) -> None:
@@ -75,13 +75,13 @@
             over_limit: Whether its one request is answered with 503.
             queued_since: Since when (s) it may have waited to be accepted.
         """
-        self.descriptors.take_caller()
+        self.descriptors.take_for_client()
         self.counters.add("client_connections_opened")
         if over_limit:
             self.counters.add("client_connections_rejected")
         if over_limit and not self._at_limit:
             log.warning(
-                "descriptor limit reached", extra=pairs(limit="descriptors", in_use=self.descriptors.held)
+                "descriptor limit reached", extra=pairs(limit="descriptors", in_use=self.descriptors.in_use)
             )
         self._at_limit = over_limit
         connection = self._connection(sock, over_limit)
@@ -99,12 +99,12 @@
         self._run(connection, connection.resume_upload(wire))
 
     def _adopt(self, sock: socket.socket, counter: str) -> ClientConnection:
-        self.descriptors.take_caller()
+        self.descriptors.take_for_client()
         self.counters.add(counter)
         return self._connection(sock, over_limit=False)
 
     def _connection(self, sock: socket.socket, over_limit: bool) -> ClientConnection:
-        stream = ClientStream(sock, max_buffer_size=BUFFER_MOST, read_chunk_size=PIECE)
+        stream = ClientStream(sock, max_buffer_size=MAX_BUFFER_BYTES, read_chunk_size=READ_CHUNK_BYTES)
         return ClientConnection(self, stream, over_limit)
 
     def _run(self, connection: ClientConnection, work: Coroutine[Any, Any, None]) -> None:
--- a/notchjunction/net/descriptor_pressure.py
+++ b/notchjunction/net/descriptor_pressure.py
@@ -47,15 +47,15 @@
 
     def judge(self) -> Verdict:
         """The verdict on one new client, after what can be done to make room for it."""
-        if not self._descriptors.full_of_callers() or self._make_room():
+        if not self._descriptors.full_for_clients() or self._make_room():
             return Verdict.SERVE
         # Guards against running out altogether: then not even the endpoint list could be polled.
-        return Verdict.REJECT if not self._descriptors.spent() or self.press() else Verdict.WAIT
+        return Verdict.REJECT if not self._descriptors.exhausted() or self.press() else Verdict.WAIT
 
     def _make_room(self) -> bool:
         """Closes an idle client; else an idle upstream connection, if clients are within their share."""
         return self.close_oldest() or (
-            not self._descriptors.past_callers_share() and self._close_idle_upstream()
+            not self._descriptors.clients_over_share() and self._close_idle_upstream()
         )
 
     def press(self) -> bool:
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -22,10 +22,10 @@
 from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.upstream_connection import (
-    ConnectionLost,
-    RequestNotSent,
+    ConnectionLostError,
+    RequestNotSentError,
     UpstreamConnection,
-    connection_to,
+    create_connection,
 )
 from notchjunction.telemetry.flight_recorder import FlightRecorder, Occurrence
 from notchjunction.telemetry.logs import pairs
@@ -181,7 +181,7 @@
         except TimeoutError as error:
             self.close()
             raise ListUnavailableError("silent", WatchEvent.TIMED_OUT) from error
-        except (RequestNotSent, ConnectionLost, MalformedMessageError) as error:
+        except (RequestNotSentError, ConnectionLostError, MalformedMessageError) as error:
             self.close()
             raise ListUnavailableError(str(error) or type(error).__name__, self._event_of(error)) from error
         except BaseException:
@@ -190,7 +190,7 @@
 
     def _event_of(self, error: Exception) -> WatchEvent:
         """Returns how a poll ended that its connection failed; an overloaded discovery may end one so too."""
-        is_lost = isinstance(error, ConnectionLost)
+        is_lost = isinstance(error, ConnectionLostError)
         if is_lost and self.watch.classify_rejection(self._clock()) is WatchEvent.RATE_LIMITED:
             return WatchEvent.RATE_LIMITED
         return WatchEvent.CONNECTION_LOST
@@ -203,16 +203,16 @@
 
     async def _fetch(self, target: str, bytes_received: Callable[[], None]) -> Response:
         connection = self._connection
-        if connection is None or not connection.fit():
+        if connection is None or not connection.is_reusable():
             self.close()
-            connection = self._connection = connection_to(self._address, self._free_descriptor)
+            connection = self._connection = create_connection(self._address, self._free_descriptor)
             await connection.open()
         request = Request("GET", target, {"host": text_of(self._address)})
         answer = await connection.exchange(
-            request, ResponseReader(MAX_LIST_BYTES, MAX_LIST_BYTES), heard=bytes_received
+            request, ResponseReader(MAX_LIST_BYTES, MAX_LIST_BYTES), on_received=bytes_received
         )
         if answer.keep_alive:
-            connection.rest(0.0)
+            connection.mark_idle(0.0)
         else:
             self.close()
         return answer
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -66,18 +66,18 @@
         self._out: dict[int, tuple[list[Permit], float]] = {}
         self._closed = False
 
-    def write(self, dispatch: int, within: float) -> bool:
-        until = self._talk.until(within)
+    def acquire(self, attempt: int, timeout: float) -> bool:
+        until = self._talk.until(timeout)
         held = self._spare.pop() if self._spare else self._talk.spend(self._names, until)
         if held is None or not self._talk.extend(held, until):
             self._talk.counters.add("fleet_quota_exhausted")
             self._talk.release(held or [])
             return False
-        self._out[dispatch] = held, until
+        self._out[attempt] = held, until
         return True
 
-    def landed(self, dispatch: int, answered: bool) -> None:
-        held, until = self._out.pop(dispatch, (None, 0.0))
+    def attempt_ended(self, attempt: int, answered: bool) -> None:
+        held, until = self._out.pop(attempt, (None, 0.0))
         if held is None:
             return
         if not answered:
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -13,7 +13,7 @@
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.request_handler import RequestHandler
 from notchjunction.net.request_intake import RequestIntake
-from notchjunction.net.upstream_connection import LOOK_EVERY
+from notchjunction.net.upstream_connection import CLIENT_CHECK_INTERVAL_S
 from notchjunction.telemetry.flight_recorder import Occurrence
 
 FinalResponse = Response | Download
@@ -50,16 +50,16 @@
         Raises:
             StreamClosedError: The client's end was met before a read began. The handler still runs.
         """
-        work = asyncio.create_task(self.handler.answer(self._stream.is_peer_connected))
+        work = asyncio.create_task(self.handler.run(self._stream.is_peer_connected))
         error: Response | None = None
         while not work.done():
             upload = self.upload
-            if upload is None or upload.ended:
+            if upload is None or upload.complete:
                 # However much was sent ahead: the end stands behind it.
                 waiting: set[asyncio.Future[FinalResponse | None] | asyncio.Future[bytes]]
                 waiting = {work, self._intake.read()}
                 await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
-            elif upload.wants_more():
+            elif upload.has_room():
                 error = await self._wait_upload(work)
             elif not await self._wait_upload_room(work, upload):
                 self._cancel_for_client()
@@ -71,7 +71,7 @@
                     self._cancel_for_client()
                     break
             if error is not None:
-                self.handler.withdraw()
+                self.handler.cancel()
                 break
         return self._final_response(await work, error)
 
@@ -85,7 +85,7 @@
 
     async def _wait_upload(self, work: asyncio.Task[FinalResponse | None]) -> Response | None:
         """Waits for the response or more of the body; the error that ends the request where that is late."""
-        late = await self._intake.wait(work, self._intake.read(self._context.streams.piece()))
+        late = await self._intake.wait(work, self._intake.read(self._context.streams.piece_size()))
         # Guards against a late loop's delay undoing a response that is there.
         if late and not self._intake.has_read() and not work.done():
             return client_error(self._context, self._state, 408)
@@ -96,8 +96,8 @@
 
         Guards against a client that goes unnoticed while its endpoint takes nothing.
         """
-        room = asyncio.create_task(upload.room())
-        await asyncio.wait({work, room}, timeout=LOOK_EVERY, return_when=asyncio.FIRST_COMPLETED)
+        room = asyncio.create_task(upload.wait_for_room())
+        await asyncio.wait({work, room}, timeout=CLIENT_CHECK_INTERVAL_S, return_when=asyncio.FIRST_COMPLETED)
         full = not room.done()
         room.cancel()
         return not full or work.done() or self._stream.is_peer_connected()
@@ -110,10 +110,10 @@
         """
         try:
             self._intake.feed()
-            if self.upload is not None and not self.upload.ended:
+            if self.upload is not None and not self.upload.complete:
                 self.upload.put(*self._intake.parser.take_piece())
-                if self.upload.ended:
-                    self.handler.whole()
+                if self.upload.complete:
+                    self.handler.report_body_complete()
         except MalformedMessageError as malformed:
             return client_error(self._context, self._state, malformed.status)
         if self._intake.is_over_discard_limit():
@@ -123,11 +123,11 @@
     def _cancel_for_client(self) -> None:
         """The client has gone: no response is due, and nothing more is sent for it."""
         self.handler.ledger.client_gone = True
-        self._context.counters.recorder.note(Occurrence.CLIENT_GONE, self.handler.name)
-        self.handler.withdraw()
+        self._context.counters.recorder.note(Occurrence.CLIENT_GONE, self.handler.request_id)
+        self.handler.cancel()
 
     def reject_upload(self) -> None:
         """The node ends: a request whose body is not whole is rejected, as it never ran."""
-        if self.upload is not None and not self.upload.ended and not self._state.upload_rejected:
+        if self.upload is not None and not self.upload.complete and not self._state.upload_rejected:
             self._state.upload_rejected = True
-            self.handler.withdraw()
+            self.handler.cancel()
--- a/notchjunction/net/request_handler.py
+++ b/notchjunction/net/request_handler.py
@@ -27,7 +27,7 @@
 from notchjunction.http1.messages import Request, Response
 from notchjunction.net.body_streaming import Download, Upload
 from notchjunction.net.upstream import AttemptSpec, ExchangeResult, UpstreamPool
-from notchjunction.net.upstream_connection import ConnectionLost
+from notchjunction.net.upstream_connection import ConnectionLostError
 from notchjunction.safety.invariants import RequestLedger, Violation
 from notchjunction.safety.preconditions import MAX_PROCESS_DELAY_S
 from notchjunction.telemetry.counters import Counters
@@ -65,10 +65,10 @@
 class QuotaPermits(Protocol):
     """What a job may have out under limits of the whole fleet."""
 
-    def write(self, dispatch: int, within: float) -> bool:
+    def acquire(self, attempt: int, timeout: float) -> bool:
         """Whether a dispatch may be written now that its server is told to end within so many seconds."""
 
-    def landed(self, dispatch: int, answered: bool) -> None:
+    def attempt_ended(self, attempt: int, answered: bool) -> None:
         """It ended; without an answer its server may work on it until its time is over."""
 
     def close(self) -> None:
@@ -102,20 +102,20 @@
         self._answers: dict[int, Response] = {}
         self._broken = False
         self._answer_within = max(0.0, ask.time_left) + LOST_AFTER
-        self.name = request.headers.get(protocol.REQUEST_ID, "")
+        self.request_id = request.headers.get(protocol.REQUEST_ID, "")
         deadline = decider.now() + ask.time_left if ask.complete else math.inf
         self._whole_until = math.inf  # s; the end of its time, once the last byte of a large body has come
         self.ledger = RequestLedger(ask.idempotency, deadline, decider.now())
         self._ticket = decider.submit(ask)
 
-    async def answer(self, there: Callable[[], bool] = lambda: True) -> Response | Download | None:
+    async def run(self, there: Callable[[], bool] = lambda: True) -> Response | Download | None:
         """The final answer, whole or as it comes; None once the caller has gone.
 
         `there` looks whether the caller is, whatever was heard of it so far.
         """
         self._there = there
         try:
-            waits = self._upload is not None and not self._upload.ended
+            waits = self._upload is not None and not self._upload.complete
             async with asyncio.timeout(None if waits else self._answer_within) as self._limit:
                 return await self._follow_orders()
         except Exception as error:
@@ -124,10 +124,10 @@
                 self._stop(dispatch)
             for download in self._downloads.values():
                 # Guards against one that nobody closes: it would count among the streams for ever.
-                download.close(ConnectionLost("not passed on"))
+                download.close(ConnectionLostError("not passed on"))
             return internal_error(self._counters)
 
-    def whole(self) -> None:
+    def report_body_complete(self) -> None:
         """Its last byte has come: its time counts from now."""
         self._whole_until = self._decider.now() + self._answer_within - LOST_AFTER
         self.ledger.deadline_at = self._whole_until
@@ -174,7 +174,7 @@
                 case DropRequest():
                     return self._counters.add("requests_cancelled")
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """The caller has gone, or the node failed: no orders but the last will come."""
         try:
             self._decider.cancel(self._ticket)
@@ -186,7 +186,7 @@
         there = self._there()
         if not there:
             self.ledger.client_gone = True
-            self.withdraw()
+            self.cancel()
         return there
 
     def _send(self, order: SendAttempt) -> None:
@@ -194,7 +194,7 @@
         rights, dispatch = self._rights, order.attempt
         self._counters.recorder.note(
             Occurrence.ATTEMPT_ORDERED,
-            self.name,
+            self.request_id,
             endpoint=order.endpoint,
             attempt=dispatch,
             within=round(order.expires_at - self._decider.now(), 3),
@@ -202,14 +202,14 @@
         attempt = AttemptSpec(
             order.endpoint,
             order.expires_at,
-            rest=self._upload,
-            whole_until=lambda: self._whole_until,
-            begun=partial(self._begun, dispatch),
-            may_spend=partial(rights.write, dispatch) if rights is not None else None,
+            upload=self._upload,
+            upload_expires_at=lambda: self._whole_until,
+            on_response_start=partial(self._begun, dispatch),
+            acquire_quota=partial(rights.acquire, dispatch) if rights is not None else None,
             is_wanted=partial(self._decider.is_wanted, self._ticket, dispatch),
             client_connected=self._caller_there,
             repeatable_until=partial(self._decider.repeatable_until, self._ticket, dispatch),
-            written=partial(self._written, dispatch, order.endpoint),
+            on_written=partial(self._written, dispatch, order.endpoint),
         )
         work = self._servers.attempt(attempt, self._request)
         task = asyncio.create_task(work)
@@ -220,18 +220,18 @@
     def _written(self, dispatch: int, server: str, told: float) -> None:
         listed = self._servers.is_listed(server)
         now = self._decider.now()
-        self.check(self.ledger.attempt_written(dispatch, now, told, listed), attempt=dispatch)
+        self.report_violations(self.ledger.attempt_written(dispatch, now, told, listed), attempt=dispatch)
 
-    def check(self, violations: Iterable[Violation], **facts: float | str | None) -> None:
+    def report_violations(self, violations: Iterable[Violation], **facts: float | str | None) -> None:
         """Counts and logs what has been broken."""
         for violation in violations:
             self._counters.add(f"invariant_{violation.value}")
-            self._counters.recorder.report(violation.value, self.name, **facts)
+            self._counters.recorder.report(violation.value, self.request_id, **facts)
 
     def _begun(self, dispatch: int, download: Download) -> None:
         self._downloads[dispatch] = download
         if not self._decider.report_response_started(self._ticket, dispatch):
-            download.close(ConnectionLost("another answer was first"))
+            download.close(ConnectionLostError("another answer was first"))
 
     def _stop(self, dispatch: int) -> None:
         if dispatch in self._tasks:
@@ -251,7 +251,7 @@
                 self._answers[dispatch] = exchanged.response
         self.ledger.attempt_ended(dispatch, ended.result)
         if self._rights is not None:
-            self._rights.landed(dispatch, ended.result not in UNANSWERED)
+            self._rights.attempt_ended(dispatch, ended.result not in UNANSWERED)
         self._counters.add_result("attempts", ended.result)
         try:
             self._decider.report_attempt(self._ticket, dispatch, ended)
@@ -261,7 +261,7 @@
     def _fail(self, error: Exception) -> None:
         self._counters.add_failure("request handler failed", error)
         self._broken = True
-        self.withdraw()
+        self.cancel()
 
 
 def request_spec_of(request: Request, waited: float, profiles: Collection[str]) -> RequestSpec | None:
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -13,7 +13,7 @@
 from notchjunction.net.client_context import ClientContext
 from notchjunction.net.client_state import ConnectionState, ManagedConnection
 from notchjunction.net.client_stream import ClientStream
-from notchjunction.net.upstream_connection import PIECE, read_piece
+from notchjunction.net.upstream_connection import READ_CHUNK_BYTES, start_read
 from notchjunction.safety.preconditions import ConnectionFacts, may_close
 
 HEAD_TIMEOUT_S = 2.6  # from connecting, or a later request's first byte, to a whole head; some take 2 s
@@ -23,7 +23,7 @@
 )
 REJECTED_TIMEOUT_S = 1.0  # that a client over the limit has for the one request that is rejected
 IDLE_TIMEOUT_S = 120.0  # between two requests; longer than pauses in traffic
-READ_AHEAD_MAX = 2 * PIECE  # bytes kept ahead of a response: a whole message and some of the next
+READ_AHEAD_MAX = 2 * READ_CHUNK_BYTES  # bytes kept ahead of a response: a whole message and some of the next
 DISCARD_MAX = 1024 * 1024  # bytes past those that are discarded; a client that sends more ahead only costs
 
 
@@ -156,10 +156,10 @@
         # Guards against a busy loop's delay being put down to the client: what has come is read first.
         return now >= self._due
 
-    def read(self, limit: int = PIECE) -> asyncio.Future[bytes]:
+    def read(self, limit: int = READ_CHUNK_BYTES) -> asyncio.Future[bytes]:
         """The read under way, or a new one of up to `limit` bytes."""
         if self._reading is None:
-            self._reading = read_piece(self._stream, limit)
+            self._reading = start_read(self._stream, limit)
         return self._reading
 
     def has_read(self) -> bool:
--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -60,17 +60,17 @@
                 if self._migrator.move_response(download, framing, b""):
                     return False
                 await self._migrator.pause()
-            piece = download.ready_piece()
+            piece = download.take_piece()
             if piece:
                 if await self._write_piece(piece, download, framing):
                     return False
                 await asyncio.sleep(0)  # guards against one body taking all turns
-            elif download.over:
+            elif download.finished:
                 break
             else:
-                await download.waits(asyncio.Event() if self._state.pinned else self._context.moving)
+                await download.wait_readable(asyncio.Event() if self._state.pinned else self._context.moving)
                 if download.has_more():
-                    await download.more()
+                    await download.read_more()
         if end := encode_end(framing.length, framing.chunks):
             await self.write(end)
         return framing.keep
--- a/notchjunction/net/upstream.py
+++ b/notchjunction/net/upstream.py
@@ -29,31 +29,39 @@
 from notchjunction.net.body_streaming import Download, StreamBuffers, Upload
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.net.upstream_connection import (
-    AttemptWithheld,
-    ConnectionLost,
-    NoDescriptorLeft,
-    RequestNotSent,
+    AttemptWithheldError,
+    ConnectionLostError,
+    NoDescriptorError,
+    RequestNotSentError,
     UpstreamConnection,
-    connection_to,
+    create_connection,
 )
 from notchjunction.safety.preconditions import AttemptFacts, Refusal, deadline_to_send, may_write
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-IDLE_SHARE = (
+IDLE_TIMEOUT_SHARE = (
     0.75  # of the servers' idle time; then a connection is retired, so that no request crosses its end
 )
-LIVES_KEPT = 8  # idle connections that a server ended, by which it is learned how long it keeps them
-LIVES_LEAST = 3  # of them; fewer are chance
-LIVES_SPAN = 60.0  # s that they count; then the settings hold again, as the server may have changed
-DOUBT_SPAN = 10.0  # s after a kept connection was reset in which what may run once only is not put on one
+MAX_IDLE_LIFETIMES = 8  # idle connections that a server ended, by which it is learned how long it keeps them
+MIN_IDLE_LIFETIMES = 3  # of them; fewer are chance
+IDLE_LIFETIME_WINDOW_S = (
+    60.0  # s that they count; then the settings hold again, as the server may have changed
+)
+NO_REUSE_AFTER_RESET_S = (
+    10.0  # s after a kept connection was reset in which what may run once only is not put on one
+)
 # s that a kept connection rests before it is used again; a second answer that is to come has come by then.
 # It costs a node that sends a server r requests a second about r times 0.03 more connections there.
-SETTLED = 0.03
-PROBE_WITHIN = 0.5  # s that a probe may take; a later answer says little of now
-REDIAL_SHARE = 0.3  # of the connect time-out after which a second connection is tried beside one not yet up
-LATE_WITHIN = 2.0  # s after which a connection that nobody waits for any more is given up; past most delays
-LATE_MOST = 2  # such connections of a server; more would be the trouble of one that takes none
+MIN_IDLE_BEFORE_REUSE_S = 0.03
+PROBE_TIMEOUT_S = 0.5  # s that a probe may take; a later answer says little of now
+SECOND_CONNECT_SHARE = (
+    0.3  # of the connect time-out after which a second connection is tried beside one not yet up
+)
+LATE_CONNECT_TIMEOUT_S = (
+    2.0  # s after which a connection that nobody waits for any more is given up; past most delays
+)
+MAX_LATE_CONNECTS = 2  # such connections of a server; more would be the trouble of one that takes none
 
 
 @dataclass(frozen=True, slots=True)
@@ -68,16 +76,20 @@
 
     endpoint: str
     expires_at: float  # s; the end of the time that it was given
-    rest: Upload | None = None  # what follows the request's beginning
-    whole_until: Callable[[], float] = lambda: math.inf  # s; its end, once the last byte of `rest` has come
-    begun: Callable[[Download], None] | None = None  # told of a large answer
-    may_spend: Callable[[float], bool] | None = None  # whether limits let it, told to end within so many s
+    upload: Upload | None = None  # what follows the request's beginning
+    upload_expires_at: Callable[[], float] = lambda: (
+        math.inf
+    )  # s; its end, once the last byte of `rest` has come
+    on_response_start: Callable[[Download], None] | None = None  # told of a large answer
+    acquire_quota: Callable[[float], bool] | None = (
+        None  # whether limits let it, told to end within so many s
+    )
     is_wanted: Callable[[], bool] = lambda: True  # its job has no answer, and it was not recalled
     client_connected: Callable[[], bool] = lambda: True
     repeatable_until: Callable[[], float] = lambda: math.inf  # s; until when it may be a repeat
-    written: Callable[[float], None] = lambda told: None  # told as it is written, with the time told (s)
+    on_written: Callable[[float], None] = lambda told: None  # told as it is written, with the time told (s)
 
-    def wanted(self) -> bool:
+    def is_still_wanted(self) -> bool:
         """Whether it still concerns anybody; asked again and again while its server takes no more."""
         return self.is_wanted() and self.client_connected()
 
@@ -90,7 +102,7 @@
     up: asyncio.Task[None]
 
 
-def read_load(text: str | bytes) -> LoadReport | None:
+def parse_load_report(text: str | bytes) -> LoadReport | None:
     try:
         report = json.loads(text)
     except (ValueError, RecursionError):
@@ -98,7 +110,7 @@
     return read_load_report(report) if isinstance(report, Mapping) else None
 
 
-def read_result(answer: Response) -> AttemptResult:
+def result_of(answer: Response) -> AttemptResult:
     """The protocol's table; a status that it does not name is an unknown outcome."""
     if answer.status == 200:
         return AttemptResult.SUCCEEDED
@@ -121,7 +133,7 @@
     ) -> None:
         self._clock = clock
         self._streams = streams or StreamBuffers()
-        self.retune(connect_within, idle_most, load_path)
+        self.apply_settings(connect_within, idle_most, load_path)
         self._spare_one = spare_one
         self._descriptors = descriptors
         self._counters = counters
@@ -134,13 +146,13 @@
         counters.gauge("connections_idle", lambda: sum(len(kept) for kept in self._idle.values()))
         counters.gauge("endpoints_active", lambda: len(self._addresses))
 
-    def retune(self, connect_within: float, idle_most: float, load_path: str) -> None:
+    def apply_settings(self, connect_within: float, idle_most: float, load_path: str) -> None:
         """What the settings say, from now on."""
         self._connect_within = connect_within
-        self._idle_most = idle_most * IDLE_SHARE
+        self._idle_most = idle_most * IDLE_TIMEOUT_SHARE
         self._load_path = load_path
 
-    def point(self, ready: Mapping[str, Address]) -> None:
+    def set_endpoints(self, ready: Mapping[str, Address]) -> None:
         """The servers that may get new requests, and where; idle connections elsewhere are closed."""
         self._addresses = dict(ready)
         self._lives = {server: lives for server, lives in self._lives.items() if server in ready}
@@ -148,8 +160,8 @@
 
     async def attempt(self, attempt: AttemptSpec, request: Request) -> ExchangeResult:
         """One attempt of a job; whether it may be written is decided as it is written."""
-        rest = attempt.rest
-        if rest is not None and rest.spent:
+        upload = attempt.upload
+        if upload is not None and upload.consumed:
             # Guards against a body without its middle: what was sent on before is not kept.
             return ExchangeResult(ExchangeOutcome(AttemptResult.NOT_SENT, 0.0, unrepeatable=True))
         # Guards against a caller's oddities, on which a server would close the connection.
@@ -160,12 +172,12 @@
         }
         exchanged = await self._exchange(attempt, replace(request, headers=headers))
         return replace(
-            exchanged, outcome=replace(exchanged.outcome, unrepeatable=rest is not None and rest.spent)
+            exchanged, outcome=replace(exchanged.outcome, unrepeatable=upload is not None and upload.consumed)
         )
 
     async def probe(self, server: str) -> ExchangeOutcome:
         request = Request("GET", self._load_path, {"host": "probe"})
-        probe = AttemptSpec(server, self._clock() + PROBE_WITHIN)
+        probe = AttemptSpec(server, self._clock() + PROBE_TIMEOUT_S)
         exchanged = await self._exchange(probe, request)
         answer = exchanged.response
         if (
@@ -173,10 +185,12 @@
             and answer is not None
             and self._load_path == protocol.LOAD_PATH
         ):
-            return ExchangeOutcome(AttemptResult.SUCCEEDED, exchanged.outcome.seconds, read_load(answer.body))
+            return ExchangeOutcome(
+                AttemptResult.SUCCEEDED, exchanged.outcome.seconds, parse_load_report(answer.body)
+            )
         return exchanged.outcome
 
-    def sweep(self) -> None:
+    def close_stale(self) -> None:
         """Retires connections that have stood idle, or were closed by their server."""
         self._retire(lambda server, connection: not self._fit(server, connection))
 
@@ -189,12 +203,12 @@
         return True
 
     def close(self) -> None:
-        self.point({})
+        self.set_endpoints({})
         for dial in [dial for late in self._late.values() for dial in late]:
             dial.up.cancel()
 
     async def _exchange(self, attempt: AttemptSpec, request: Request) -> ExchangeResult:
-        server, rest, begun = attempt.endpoint, attempt.rest, attempt.begun
+        server, upload, begun = attempt.endpoint, attempt.upload, attempt.on_response_start
         began = self._clock()
         # A body under way is bounded by its caller's pace; the wait for the answer counts from its end.
         within = attempt.expires_at - began
@@ -208,20 +222,22 @@
         def all_written() -> None:
             nonlocal began, written
             written = True
-            if rest is not None:
+            if upload is not None:
                 began = self._clock()
                 limit.reschedule(loop.time() + within)
 
         try:
-            async with asyncio.timeout(None if rest is not None else within) as limit:
-                connection = await self._connected(server, kept=self._may_be_kept(request))
+            async with asyncio.timeout(None if upload is not None else within) as limit:
+                connection = await self._acquire(server, kept=self._may_be_kept(request))
                 # From here to the first byte nothing else runs.
                 request = self._permitted(attempt, request, connection, within)
                 writing = True
-                answer = await connection.exchange(request, answers, rest, all_written, wanted=attempt.wanted)
+                answer = await connection.exchange(
+                    request, answers, upload, all_written, is_wanted=attempt.is_still_wanted
+                )
             if answers.unread and not answer.more_body:
                 self._strayed()
-            result = read_result(answer)
+            result = result_of(answer)
             keep = answer.keep_alive
             if answer.more_body and result is AttemptResult.SUCCEEDED and begun is not None:
                 first_after = self._clock() - began
@@ -229,16 +245,16 @@
                 begun(download)
                 await download.ended
                 # Guards against the rest of an answer whose caller went: it would pass for the next one's.
-                keep = download.over and answers.connection_reusable() and not download.moved
-        except AttemptWithheld:
+                keep = download.finished and answers.connection_reusable() and not download.moved
+        except AttemptWithheldError:
             result, keep = AttemptResult.NOT_SENT, not writing
-        except NoDescriptorLeft:
+        except NoDescriptorError:
             result = AttemptResult.NOT_SENT
-        except RequestNotSent:
+        except RequestNotSentError:
             result = AttemptResult.NO_CONNECTION
-        except ConnectionLost:
+        except ConnectionLostError:
             result = AttemptResult.RESET
-            if connection is not None and connection.kept:
+            if connection is not None and connection.has_served:
                 self._reset_at = self._clock()
         except MalformedMessageError:
             # The called server's own doing: what a deeper one spoils comes up as a plain error.
@@ -259,7 +275,7 @@
         )
         # A large answer's time is that of its first bytes.
         seconds = self._clock() - began if first_after is None else first_after
-        ended = ExchangeOutcome(result, seconds, read_load(report) if report else None)
+        ended = ExchangeOutcome(result, seconds, parse_load_report(report) if report else None)
         return ExchangeResult(ended, answer)
 
     def _permitted(
@@ -275,7 +291,7 @@
         facts = AttemptFacts(
             now=now,
             # The time of a request whose body still comes counts from its last byte.
-            expires_at=attempt.expires_at if attempt.rest is None else attempt.whole_until(),
+            expires_at=attempt.expires_at if attempt.upload is None else attempt.upload_expires_at(),
             is_wanted=attempt.is_wanted(),
             client_connected=attempt.client_connected(),
             listed=self._current(attempt.endpoint, connection),
@@ -283,20 +299,20 @@
         )
         refusal = may_write(facts)
         told = min(within, deadline_to_send(now, facts.expires_at))
-        if refusal is None and attempt.may_spend is not None and not attempt.may_spend(told):
+        if refusal is None and attempt.acquire_quota is not None and not attempt.acquire_quota(told):
             refusal = Refusal.NO_QUOTA
         if refusal is not None:
             self._withhold(attempt, request, refusal)
         if is_probe:
             return request
-        attempt.written(told)
+        attempt.on_written(told)
         job_id = request.headers[protocol.REQUEST_ID]
         self._recorder.note(
             Occurrence.ATTEMPT_WRITTEN,
             job_id,
             endpoint=attempt.endpoint,
             told=round(told, 3),
-            kept=str(connection.kept),
+            kept=str(connection.has_served),
         )
         told_ms = str(max(1, int(told * 1000)))
         return replace(request, headers={**request.headers, protocol.DEADLINE_MS: told_ms})
@@ -307,10 +323,10 @@
         job_id = request.headers.get(protocol.REQUEST_ID, "")
         self._recorder.note(Occurrence.ATTEMPT_WITHHELD, job_id, endpoint=attempt.endpoint, why=refusal.value)
         if refusal is Refusal.NOT_LISTED:
-            raise RequestNotSent(refusal.value)
-        raise AttemptWithheld(refusal.value)
+            raise RequestNotSentError(refusal.value)
+        raise AttemptWithheldError(refusal.value)
 
-    def adopt(self, state: Mapping[str, Any], opened: socket.socket) -> Download:
+    def adopt_response(self, state: Mapping[str, Any], opened: socket.socket) -> Download:
         """The rest of an answer that another process of this node asked for; its connection ends with it."""
         answers = ResponseReader()
         answers.restore(state)
@@ -322,15 +338,15 @@
 
     def _may_be_kept(self, request: Request) -> bool:
         """Guards against jobs lost where servers end kept connections unheard: the next request is reset."""
-        return request.method == "GET" or self._clock() - self._reset_at > DOUBT_SPAN
+        return request.method == "GET" or self._clock() - self._reset_at > NO_REUSE_AFTER_RESET_S
 
-    async def _connected(self, server: str, kept: bool) -> UpstreamConnection:
+    async def _acquire(self, server: str, kept: bool) -> UpstreamConnection:
         """The newest idle connection that is fit and has rested, if one may be used; else a new one."""
         address = self._addresses.get(server)
         if address is None:
-            raise RequestNotSent("no longer in the list")
+            raise RequestNotSentError("no longer in the list")
         idle = self._idle.get(server, deque()) if kept else deque()
-        rested_by = self._clock() - SETTLED
+        rested_by = self._clock() - MIN_IDLE_BEFORE_REUSE_S
         unsettled: deque[UpstreamConnection] = deque()
         found: UpstreamConnection | None = None
         while idle and found is None:
@@ -348,7 +364,7 @@
             return found
         if self._descriptors.full() and not self._make_room():
             self._counters.add("descriptors_exhausted")
-            raise NoDescriptorLeft
+            raise NoDescriptorError
         if unsettled:
             self._counters.add("connections_unsettled")
         return await self._dialled(server, address)
@@ -360,14 +376,14 @@
     async def _dialled(self, server: str, address: Address) -> UpstreamConnection:
         """A new connection, or the first of two to come up; the other one may still serve a later request."""
         # Guards against requests lost one by one where many connections come up late, each by itself.
-        dials = [self._dial(connection_to(address, self._make_room))]
+        dials = [self._dial(create_connection(address, self._make_room))]
         loop = asyncio.get_running_loop()
         until = loop.time() + self._connect_within
         first: PendingConnect | None = None
         try:
-            done, _ = await asyncio.wait([dials[0].up], timeout=self._connect_within * REDIAL_SHARE)
+            done, _ = await asyncio.wait([dials[0].up], timeout=self._connect_within * SECOND_CONNECT_SHARE)
             if not done and not self._descriptors.full():
-                with suppress(NoDescriptorLeft):
+                with suppress(NoDescriptorError):
                     dials.append(self._dial(UpstreamConnection(address)))
                     self._counters.add("connections_raced")
             if not done:
@@ -382,7 +398,7 @@
                 if dial is not first:
                     self._leave(server, dial)
         if first is None:
-            raise RequestNotSent("connecting took too long")
+            raise RequestNotSentError("connecting took too long")
         if error := first.up.exception():
             self._close(first.connection)
             raise error
@@ -398,10 +414,10 @@
         late = self._late.setdefault(server, set())
         late.add(dial)
         dial.up.add_done_callback(lambda _: self._came_late(server, dial))
-        if len(late) > LATE_MOST or self._descriptors.full():
+        if len(late) > MAX_LATE_CONNECTS or self._descriptors.full():
             dial.up.cancel()
         else:
-            asyncio.get_running_loop().call_later(LATE_WITHIN, dial.up.cancel)
+            asyncio.get_running_loop().call_later(LATE_CONNECT_TIMEOUT_S, dial.up.cancel)
 
     def _came_late(self, server: str, dial: PendingConnect) -> None:
         self._late[server].discard(dial)
@@ -433,28 +449,32 @@
 
     def _fit(self, server: str, connection: UpstreamConnection) -> bool:
         """Guards against a request that crosses the end of a connection its server is about to close."""
-        return connection.idle_since > self._clock() - self._idle_limit(server) and connection.fit()
+        return connection.idle_since > self._clock() - self._idle_limit(server) and connection.is_reusable()
 
     def _idle_limit(self, server: str) -> float:
         """By the settings, or by what the server did lately: it may keep idle connections for less."""
-        lives = [life for at, life in self._lives.get(server, ()) if at > self._clock() - LIVES_SPAN]
-        if len(lives) < LIVES_LEAST:
+        lives = [
+            life for at, life in self._lives.get(server, ()) if at > self._clock() - IDLE_LIFETIME_WINDOW_S
+        ]
+        if len(lives) < MIN_IDLE_LIFETIMES:
             return self._idle_most
-        return min(self._idle_most, median_high(lives) * IDLE_SHARE)
+        return min(self._idle_most, median_high(lives) * IDLE_TIMEOUT_SHARE)
 
     def _close_idle(self, server: str, connection: UpstreamConnection) -> None:
-        if connection.lived is not None and server in self._addresses:
-            self._lives.setdefault(server, deque(maxlen=LIVES_KEPT)).append((self._clock(), connection.lived))
+        if connection.idle_lifetime is not None and server in self._addresses:
+            self._lives.setdefault(server, deque(maxlen=MAX_IDLE_LIFETIMES)).append(
+                (self._clock(), connection.idle_lifetime)
+            )
         self._close(connection)
 
     def _give_back(self, server: str, connection: UpstreamConnection, keep: bool) -> None:
         if keep and self._current(server, connection):
-            connection.rest(self._clock(), self._strayed)
+            connection.mark_idle(self._clock(), self._strayed)
             self._idle.setdefault(server, deque()).append(connection)
         else:
             self._close(connection)
 
     def _close(self, connection: UpstreamConnection) -> None:
         connection.close()
-        self._descriptors.give_back()
+        self._descriptors.release()
         self._counters.add("connections_closed")
--- a/notchjunction/node/gauges.py
+++ b/notchjunction/node/gauges.py
@@ -19,8 +19,8 @@
     """Has the counters read requests, streams, descriptors, the age of the list and the loop's lag."""
     counters.gauge("requests_in_flight", lambda: engine.in_flight)
     counters.gauge("requests_tracked", lambda: engine.tracked)
-    counters.gauge("streams_open", lambda: streams.open)
-    counters.gauge("descriptors_in_use", lambda: descriptors.held)
+    counters.gauge("streams_open", lambda: streams.active)
+    counters.gauge("descriptors_in_use", lambda: descriptors.in_use)
     counters.gauge("list_polls_timed_out", lambda: discovery.timeouts)
     counters.gauge("list_stale_seconds", lambda: max(0.0, -discovery.notified_in()))
     counters.gauge("loop_lag_max", lambda: max(engine.timer_lags, default=0.0))
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -36,7 +36,7 @@
 from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_registry import LINGER_FINAL_S, ClientRegistry, ClientServices
-from notchjunction.net.descriptors import OWN, Descriptors
+from notchjunction.net.descriptors import BASE_DESCRIPTORS, Descriptors
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.net.upstream import UpstreamPool
@@ -290,7 +290,7 @@
         )
 
     def usage(self) -> ResourceUsage:
-        return ResourceUsage(self._descriptors.held, self._descriptors.callers)
+        return ResourceUsage(self._descriptors.in_use, self._descriptors.clients)
 
     def apply_operator_command(self, word: str, value: Any) -> None:
         """An operator's word to the other process, which is word to the node."""
@@ -309,7 +309,7 @@
 
     def adopt_stream(self, state: Mapping[str, Any], caller: socket.socket, server: socket.socket) -> None:
         """An answer that the process before this one began to pass on."""
-        download = self._servers.adopt(state["answers"], server)
+        download = self._servers.adopt_response(state["answers"], server)
         self._clients.adopt_stream(state, caller, download)
 
     def adopt_upload(self, state: Mapping[str, Any], caller: socket.socket) -> None:
@@ -318,9 +318,9 @@
 
     def peer_usage_changed(self) -> None:
         if self._handover is not None:
-            others = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
-            self._descriptors.elsewhere = self._handover.peer_usage().descriptors + others
-            self._descriptors.callers_elsewhere = self._handover.peer_usage().clients
+            others = self._handover.peer_count * (BASE_DESCRIPTORS + admin.DESCRIPTORS)
+            self._descriptors.other_process = self._handover.peer_usage().descriptors + others
+            self._descriptors.other_process_clients = self._handover.peer_usage().clients
 
     async def _tell_others(self, word: str, value: Any) -> bool:
         return self._handover is None or await self._handover.send_command(word, value)
@@ -402,7 +402,7 @@
         before, self._told = self._told, told
         self._decider.apply_settings(told.balancer, told.setting_names)
         self._clients.profiles = frozenset(told.setting_names.request_classes)
-        self._servers.retune(told.connect_timeout, told.connection_idle_timeout, told.load_path)
+        self._servers.apply_settings(told.connect_timeout, told.connection_idle_timeout, told.load_path)
         found, had = set(told.setting_names.request_classes), set(before.setting_names.request_classes)
         log.info(
             "configuration reloaded",
@@ -609,13 +609,13 @@
     def _point(self) -> int:
         """Shows the connections' owner who may get anything new."""
         ready = self._known.active(self._decider.banned)
-        self._servers.point(ready)
+        self._servers.set_endpoints(ready)
         return len(ready)
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_SPAN)
-            self._servers.sweep()
+            self._servers.close_stale()
 
     def _print_counters(self) -> None:
         log.info("counters", extra=pairs(**self.counters.read()))
--- a/notchjunction/upgrade/handover.py
+++ b/notchjunction/upgrade/handover.py
@@ -17,7 +17,7 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
 from notchjunction.upgrade.channel import Channel
@@ -160,9 +160,9 @@
             if self._listener is not None:
                 self._listener.close()
                 self._listener = None
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 # Guards against a next process that finds nobody, for the one moment in which this failed.
-                self._retry = self._loop.call_later(SHORT_PAUSE, again)
+                self._retry = self._loop.call_later(SHORTAGE_PAUSE_S, again)
         for channel in self._channels:
             channel.send(ReadyMessage())
 
@@ -176,9 +176,9 @@
                 self._succeeded = True
             return
         except OSError as error:
-            if error.errno in (*SHORT, errno.EAGAIN):
+            if error.errno in (*SHORTAGE_ERRNOS, errno.EAGAIN):
                 # Guards against putting a live process out of its place: whether one is there isn't known.
-                self._retry = self._loop.call_later(SHORT_PAUSE, self._retake_place)
+                self._retry = self._loop.call_later(SHORTAGE_PAUSE_S, self._retake_place)
                 return
         # Guards against a next process that finds a dead one's socket, and no bans.
         self._offer(self._retake_place)
@@ -206,14 +206,14 @@
     def _not_accepted(
         self, error: OSError, listener: socket.socket, accept: Callable[[socket.socket], Any]
     ) -> None:
-        if error.errno in SHORT:
+        if error.errno in SHORTAGE_ERRNOS:
             self._put_off(listener, accept)
 
     def _put_off(self, sock: socket.socket, take: Callable[[socket.socket], Any]) -> None:
         # Guards against a loop that does nothing but fail: the socket stays readable.
         self._counters.add("accepts_failed")
         self._loop.remove_reader(sock.fileno())
-        self._loop.call_later(SHORT_PAUSE, self._hear, sock, take)
+        self._loop.call_later(SHORTAGE_PAUSE_S, self._hear, sock, take)
         self.has_queued_streams = self._shut
 
     def _accept_giver(self, listener: socket.socket) -> bool:
@@ -452,7 +452,7 @@
         try:
             sock = self._open()
         except OSError as error:
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 raise BlockingIOError(error.errno, "no descriptor for now") from error
             raise
         self._sock.close()
@@ -469,7 +469,7 @@
         for _ in range(count):
             tried.append(os.dup(sock.fileno()))
     except OSError as error:
-        return error.errno not in SHORT
+        return error.errno not in SHORTAGE_ERRNOS
     finally:
         for each in tried:
             os.close(each)
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -21,7 +21,7 @@
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.net import client_listener, descriptor_pressure, request_intake
 from notchjunction.net.client_connection import ClientConnection
-from notchjunction.net.descriptors import SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_PAUSE_S
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.node.node import Node
 from notchjunction.upgrade import listener_sharing, shared_folder
@@ -109,7 +109,7 @@
 async def crowded(node: Node, address: Address) -> tuple[list[Client], list[Client]]:
     """That crowd, let in, and six callers past the margin who have asked."""
     crowd = await crowd_of_half_heads(address)
-    while node._descriptors.callers < 8:
+    while node._descriptors.clients < 8:
         await asyncio.sleep(0.001)
     late = [await Client().open(address) for _ in range(6)]
     for client in late:
@@ -133,7 +133,7 @@
                 found = await client.answer()
                 assert (found.status, found.keep_alive) == (503, False) and await client.closed()
             assert ("client_connections_dropped" in node.counters.read()) is not let_in
-            assert node._descriptors.callers <= 8
+            assert node._descriptors.clients <= 8
             for client in crowd:
                 client.writer.close()
 
@@ -156,7 +156,7 @@
                 found = await client.answer()
                 assert (found.status, found.keep_alive) == (503, False) and await client.closed()
             assert asyncio.get_running_loop().time() < began + SHORT_DEADLINE
-            assert node._descriptors.callers == 8 and not peer.requests
+            assert node._descriptors.clients == 8 and not peer.requests
             for client in crowd:
                 client.writer.close()
 
@@ -284,14 +284,14 @@
                 assert (await asked.next_update()).version == 4
             asked.close()
             sent.servers.close()
-            assert sent.descriptors.held == 0
+            assert sent.descriptors.in_use == 0
 
     run(story())
 
 
 def tries_since(began: float) -> float:
     """As many as a listener makes with its pauses; without them it makes thousands."""
-    return 2 + (time.monotonic() - began) / SHORT_PAUSE
+    return 2 + (time.monotonic() - began) / SHORTAGE_PAUSE_S
 
 
 KEPT = {"max_dispatches": 5, "cancel": True, "conn_idle": 60_000}  # nothing is retired while a story lasts
@@ -394,7 +394,7 @@
                     while node.counters.read()["accepts_failed"] == failed:
                         await asyncio.sleep(0)
                     node._handover.close()
-                await asyncio.sleep(2 * SHORT_PAUSE)
+                await asyncio.sleep(2 * SHORTAGE_PAUSE_S)
                 assert node.counters.read().get("internal_errors", 0) == 0
 
     run(story())
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -117,7 +117,7 @@
 
 
 async def short_of_descriptors(node: Node) -> None:
-    node._descriptors.callers_elsewhere = 10_000
+    node._descriptors.other_process_clients = 10_000
 
 
 async def nothing(_: Node) -> None:
@@ -277,7 +277,7 @@
             async with asyncio.timeout(5):
                 while node._client_listener.connected:
                     await asyncio.sleep(0.001)
-            assert not node._clients.phases.lingering and not node._descriptors.callers
+            assert not node._clients.phases.lingering and not node._descriptors.clients
 
     run(story())
 
@@ -790,7 +790,7 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """By the time the answer is seen the next piece of the body is overdue, too."""
-    answer = RequestHandler.answer
+    answer = RequestHandler.run
 
     async def story() -> None:
         async with running() as (node, address):
@@ -801,7 +801,7 @@
                 node._clients.clock = lambda: clock() + 60.0
                 return found
 
-            monkeypatch.setattr(RequestHandler, "answer", late)
+            monkeypatch.setattr(RequestHandler, "run", late)
             caller = connect(address)
             caller.sendall(wire_of(1, extra="Transfer-Encoding: chunked\r\n").replace(b"GET", b"POST"))
             caller.sendall(b"%x\r\n%b" % (90_000, b"x" * 70_000))
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -22,8 +22,8 @@
 from notchjunction.net.request_intake import RequestIntake
 from notchjunction.net.response_writer import ResponseWriter
 from notchjunction.net.socket_stream import NodeStream
-from notchjunction.net.upstream import SETTLED, AttemptSpec, UpstreamPool
-from notchjunction.net.upstream_connection import PIECE, UpstreamConnection
+from notchjunction.net.upstream import MIN_IDLE_BEFORE_REUSE_S, AttemptSpec, UpstreamPool
+from notchjunction.net.upstream_connection import READ_CHUNK_BYTES, UpstreamConnection
 from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
 from tests.test_large_bodies import Talk, served
@@ -39,7 +39,7 @@
 
     The loop does not run in between: what it would have told is in the operating system's hands only.
     """
-    found, calls = UpstreamPool._connected, 0
+    found, calls = UpstreamPool._acquire, 0
 
     async def hooked(self: UpstreamPool, *args: Any, **kept: Any) -> UpstreamConnection:
         nonlocal calls
@@ -49,7 +49,7 @@
             happens()
         return connection
 
-    monkeypatch.setattr(UpstreamPool, "_connected", hooked)
+    monkeypatch.setattr(UpstreamPool, "_acquire", hooked)
 
 
 async def withdrawn(node: Node, count: int = 1) -> dict[str, float]:
@@ -71,7 +71,7 @@
         client.ask()
         assert (await client.answer()).status == 200
     client.writer.close()
-    await asyncio.sleep(2 * SETTLED)
+    await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE_S)
 
 
 @pytest.mark.parametrize("ahead", [0, 1])
@@ -145,7 +145,7 @@
             def withdraw() -> None:
                 (caller,) = node._clients.connections
                 assert caller._open_request is not None
-                caller._open_request.handler.withdraw()
+                caller._open_request.handler.cancel()
 
             at_the_writing(monkeypatch, 1, withdraw)
             client.ask()
@@ -181,7 +181,7 @@
             assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
             dispatches.rested()
             refused = await dispatches.servers.attempt(
-                AttemptSpec("s0", dispatches.clock + 2.0, may_spend=lambda _: False), JOB
+                AttemptSpec("s0", dispatches.clock + 2.0, acquire_quota=lambda _: False), JOB
             )
             assert refused.outcome.result is AttemptResult.NOT_SENT
             assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
@@ -257,7 +257,9 @@
     return count
 
 
-@pytest.mark.parametrize("bulk", [PIECE, 6 * PIECE])  # bytes sent ahead while the first request waits
+@pytest.mark.parametrize(
+    "bulk", [READ_CHUNK_BYTES, 6 * READ_CHUNK_BYTES]
+)  # bytes sent ahead while the first request waits
 @pytest.mark.parametrize("how", ["close", "reset"])
 def test_a_caller_that_sends_much_ahead_and_goes_is_seen_to_go(how: str, bulk: int) -> None:
     async def story() -> None:
@@ -265,7 +267,7 @@
             client, caller = await waiting(node, address, peer)
             send_ahead(client, bulk)
             # Whatever the node kept of it so far is in before the end comes.
-            while caller._intake.parser.unread < PIECE:
+            while caller._intake.parser.unread < READ_CHUNK_BYTES:
                 await asyncio.sleep(0.001)
             client.writer.close() if how == "close" else client.writer.transport.abort()
             figures = await withdrawn(node)
@@ -278,18 +280,18 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, caller = await waiting(node, address, peer)
-            count, most = send_ahead(client, 6 * PIECE), 0
+            count, most = send_ahead(client, 6 * READ_CHUNK_BYTES), 0
             while not caller._intake.bytes_discarded:
                 await asyncio.sleep(0)
                 most = max(most, caller._intake.parser.unread)
-            assert PIECE < most <= request_intake.READ_AHEAD_MAX
+            assert READ_CHUNK_BYTES < most <= request_intake.READ_AHEAD_MAX
             peer.reply = OK
             peer.go_on.set()
             statuses = []
             while (status := (await client.answer()).status) == 200:
                 statuses.append(status)
             assert status == 413 and await client.closed()
-            assert PIECE // 9000 < len(statuses) == len(peer.requests) < count
+            assert READ_CHUNK_BYTES // 9000 < len(statuses) == len(peer.requests) < count
 
     run(story())
 
@@ -322,7 +324,7 @@
             while (
                 (request := caller._open_request) is None
                 or request.upload is None
-                or request.upload.wants_more()
+                or request.upload.has_room()
             ):
                 seen = caller._intake.parser.body_received
                 client.more(BODY[:8000])
@@ -452,7 +454,7 @@
             async with asyncio.timeout(5):
                 while not figures().get("responses_unsolicited"):
                     await asyncio.sleep(0)
-            dispatches.clock += SETTLED - 0.001
+            dispatches.clock += MIN_IDLE_BEFORE_REUSE_S - 0.001
             await send()
             assert peer.connections == 3 and figures()["connections_unsettled"] == 2
             dispatches.clock += 0.002
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -30,7 +30,7 @@
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.socket_stream import NodeStream
 from notchjunction.net.upstream import AttemptSpec
-from notchjunction.net.upstream_connection import ConnectionLost
+from notchjunction.net.upstream_connection import ConnectionLostError
 from notchjunction.node.node import Node
 from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
@@ -326,7 +326,7 @@
 def test_an_answer_that_drips_goes_on_before_much_of_it_has_come(
     length: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "HOLD_SPAN", 0.05)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_HOLD_S", 0.05)
 
     async def story() -> None:
         heard = asyncio.Event()
@@ -382,7 +382,7 @@
 def test_an_answer_broken_off_midway_is_told_as_broken_and_sent_nowhere_else(
     end: str, framing: str, version: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(body_streaming, "STALL_MOST", 0.1)
+    monkeypatch.setattr(body_streaming, "STALL_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         requests = 0
@@ -576,8 +576,8 @@
 def test_streams_hold_less_the_more_there_are() -> None:
     streams = StreamBuffers()
     sizes = []
-    for streams.open in (1, 32, 33, 128, 129, 1000):
-        sizes.append(streams.piece())
+    for streams.active in (1, 32, 33, 128, 129, 1000):
+        sizes.append(streams.piece_size())
     assert sizes == [65536, 65536, 16384, 16384, 4096, 4096]
 
 
@@ -785,7 +785,7 @@
                 while new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
                 caller.writer.close()
-                while new._descriptors.held:
+                while new._descriptors.in_use:
                     await asyncio.sleep(0.002)
                 assert not new.counters.read().get("internal_errors") and not old.counters.read().get(
                     "internal_errors"
@@ -816,7 +816,7 @@
                 go_on.set()
                 status, body, whole = await caller.whole()
                 assert status == 200 and not whole and len(body) <= MB
-                while new._descriptors.held or new.counters.read()["streams_open"]:
+                while new._descriptors.in_use or new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
                 assert new.counters.read()["streams_truncated"] == 1
 
@@ -1061,15 +1061,17 @@
             sent = Dispatches(peer)
             begun: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
             work = asyncio.create_task(
-                sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, begun=begun.set_result), JOB)
+                sent.servers.attempt(
+                    AttemptSpec("s0", sent.clock + 2.0, on_response_start=begun.set_result), JOB
+                )
             )
             download = await begun
             work.cancel()
             await asyncio.wait({work})
-            with pytest.raises(ConnectionLost):
-                while not download.over:
-                    await download.more()
-                    download.ready_piece()
+            with pytest.raises(ConnectionLostError):
+                while not download.finished:
+                    await download.read_more()
+                    download.take_piece()
             download.close()
 
     run(story())
@@ -1105,7 +1107,7 @@
         download = body_streaming.Download(
             StreamBuffers(), connection, ResponseReader(), Response(200, more_body=True)
         )
-        assert download.take_held()
+        assert download.take_buffered()
         theirs.send(b"more")
         download.move()
         connection._stream._handle_events(ours.fileno(), 1)  # readable
@@ -1186,7 +1188,7 @@
 def test_a_server_that_takes_nothing_of_a_body_is_given_up(
     goes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.5)
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.5)
 
     async def story() -> None:
         over = asyncio.Event()
@@ -1241,7 +1243,9 @@
                 await asyncio.sleep(0.002)
             left.set()
             await nothing_left(node)
-            await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
+            await asyncio.sleep(
+                2 * upstream.MIN_IDLE_BEFORE_REUSE_S
+            )  # a kept connection may be used again by then
             caller = await Caller().open(address)
             caller.begin()
             assert await caller.whole() == (200, b"ok", True) and peer.connections == 2
@@ -1250,7 +1254,7 @@
 
 
 def test_a_body_does_not_become_whole_at_a_server_that_was_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.2)
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.2)
     given_up, last = False, b"the last of it"
     taken, write = upstream_connection.UpstreamConnection._taken, IOStream.write_to_fd
 
@@ -1258,7 +1262,7 @@
         nonlocal given_up
         try:
             await taken(self, *args)
-        except upstream_connection.RequestNotSent:
+        except upstream_connection.RequestNotSentError:
             given_up = True
             raise
 
@@ -1322,17 +1326,19 @@
 
         async with served(large_to_the_end) as (node, address, (peer,)):
             caller = await Caller().open(address)
-            for _ in range(upstream.LIVES_LEAST + 1):
+            for _ in range(upstream.MIN_IDLE_LIFETIMES + 1):
                 caller.begin(b"")
                 status, body, _ = await caller.whole()
                 assert (status, body) == (200, BODY)
                 await nothing_left(node)
-                await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
+                await asyncio.sleep(
+                    2 * upstream.MIN_IDLE_BEFORE_REUSE_S
+                )  # a kept connection may be used again by then
             before = peer.connections
             for _ in range(3):
                 caller.begin()
                 assert await caller.whole() == (200, b"ok", True)
-                await asyncio.sleep(2 * upstream.SETTLED)
+                await asyncio.sleep(2 * upstream.MIN_IDLE_BEFORE_REUSE_S)
             assert peer.connections == before + 1
 
     run(story())
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -41,8 +41,8 @@
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import request_spec_of
 from notchjunction.net.response_writer import ResponseWriter
-from notchjunction.net.upstream import SETTLED, AttemptSpec, ExchangeResult, UpstreamPool
-from notchjunction.net.upstream_connection import RequestNotSent, UpstreamConnection
+from notchjunction.net.upstream import MIN_IDLE_BEFORE_REUSE_S, AttemptSpec, ExchangeResult, UpstreamPool
+from notchjunction.net.upstream_connection import RequestNotSentError, UpstreamConnection
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import KeyValueFormatter, pairs
 from notchjunction.upgrade import shutdown
@@ -76,11 +76,11 @@
         self.servers = UpstreamPool(
             lambda: self.clock, 0.5, 4.0, "/status/load", lambda: False, self.descriptors, self.counters
         )
-        self.servers.point({"s0": peer.address})
+        self.servers.set_endpoints({"s0": peer.address})
 
     def rested(self) -> None:
         """Kept connections may be used again."""
-        self.clock += 2 * SETTLED
+        self.clock += 2 * MIN_IDLE_BEFORE_REUSE_S
 
     async def send(self, within: float = 2.0, server: str = "s0", request: Request = JOB) -> ExchangeResult:
         return await self.servers.attempt(AttemptSpec(server, self.clock + within), request)
@@ -117,7 +117,7 @@
             exchanged = await sent.send(0.1 if reply is SILENT else 2.0)
             assert exchanged.outcome.result is result and len(peer.requests) == 1
             sent.servers.close()
-            assert sent.descriptors.held == 0
+            assert sent.descriptors.in_use == 0
 
     run(story())
 
@@ -129,7 +129,7 @@
         sent = Dispatches(peer)
         assert (await sent.send()).outcome.result is AttemptResult.NO_CONNECTION
         assert (await sent.send(1.0, "unheard of")).outcome.result is AttemptResult.NO_CONNECTION
-        assert sent.descriptors.held == 0
+        assert sent.descriptors.in_use == 0
 
     run(story())
 
@@ -140,16 +140,16 @@
             connection = UpstreamConnection(peer.address)
             await connection.open()
             connection.close()
-            with pytest.raises(RequestNotSent):
+            with pytest.raises(RequestNotSentError):
                 await connection.exchange(JOB, ResponseReader())
             sent = Dispatches(peer)
             monkeypatch.setattr(UpstreamConnection, "open", hanging)
             assert (await sent.send(0.05)).outcome.result is AttemptResult.NO_CONNECTION
             # One that hangs may still come up for a later request; the end gives it back.
-            assert peer.requests == [] and sent.descriptors.held == 1
+            assert peer.requests == [] and sent.descriptors.in_use == 1
             sent.servers.close()
             async with asyncio.timeout(1):
-                while sent.descriptors.held:
+                while sent.descriptors.in_use:
                     await asyncio.sleep(0)
 
     run(story())
@@ -191,9 +191,9 @@
             await sent.send()
             sent.clock += idle
             if swept:
-                sent.servers.sweep()
+                sent.servers.close_stale()
             await sent.send()
-            assert peer.connections == connections and sent.descriptors.held == 1
+            assert peer.connections == connections and sent.descriptors.in_use == 1
 
     run(story())
 
@@ -247,18 +247,18 @@
                 await asyncio.sleep(0.1)
                 peer.end_all()
                 (connection,) = sent.servers._idle["s0"]
-                while connection.lived is None:
+                while connection.idle_lifetime is None:
                     await asyncio.sleep(0.001)
-                sent.servers.sweep()
+                sent.servers.close_stale()
             limit = sent.servers._idle_limit("s0")
             assert 0.05 < limit < 0.5
             await sent.send()
             sent.clock += limit + 0.01
             await sent.send()
-            assert peer.connections == 5 and sent.descriptors.held == 1
+            assert peer.connections == 5 and sent.descriptors.in_use == 1
             sent.clock += 61.0
             assert sent.servers._idle_limit("s0") == 3.0
-            sent.servers.point({})
+            sent.servers.set_endpoints({})
             assert sent.servers._lives == {}
 
     run(story())
@@ -298,7 +298,7 @@
             monkeypatch.setattr(IOStream, "write_to_fd", late)
             assert (await sent.send(within)).outcome.result is AttemptResult.TIMED_OUT
             await peer.asked.wait()
-            assert len(peer.requests) == 1 and sent.descriptors.held == 0
+            assert len(peer.requests) == 1 and sent.descriptors.in_use == 0
 
     run(story())
 
@@ -309,9 +309,9 @@
             sent = Dispatches(peer)
             task = asyncio.create_task(sent.send())
             await asyncio.sleep(0)
-            sent.servers.point({})
+            sent.servers.set_endpoints({})
             assert (await task).outcome.result is AttemptResult.NO_CONNECTION
-            assert peer.requests == [] and sent.descriptors.held == 0
+            assert peer.requests == [] and sent.descriptors.in_use == 0
 
     run(story())
 
@@ -322,9 +322,9 @@
             sent = Dispatches(peer)
             task = asyncio.create_task(sent.send())
             await peer.asked.wait()
-            sent.servers.point({})
+            sent.servers.set_endpoints({})
             peer.go_on.set()
-            assert (await task).outcome.result is AttemptResult.SUCCEEDED and sent.descriptors.held == 0
+            assert (await task).outcome.result is AttemptResult.SUCCEEDED and sent.descriptors.in_use == 0
 
     run(story())
 
@@ -334,10 +334,10 @@
         async with Peer() as old, Peer() as new:
             sent = Dispatches(old)
             await sent.send()
-            sent.servers.point({"s0": new.address})
+            sent.servers.set_endpoints({"s0": new.address})
             await old.left.wait()
             await sent.send()
-            assert (len(old.requests), len(new.requests), sent.descriptors.held) == (1, 1, 1)
+            assert (len(old.requests), len(new.requests), sent.descriptors.in_use) == (1, 1, 1)
 
     run(story())
 
@@ -347,10 +347,10 @@
         async with Peer() as peer:
             sent = Dispatches(peer)
             await sent.send()
-            sent.servers.point({"s1": peer.address})
+            sent.servers.set_endpoints({"s1": peer.address})
             await peer.left.wait()
             await sent.send(server="s1")
-            assert (len(peer.requests), peer.connections, sent.descriptors.held) == (2, 2, 1)
+            assert (len(peer.requests), peer.connections, sent.descriptors.in_use) == (2, 2, 1)
 
     run(story())
 
@@ -363,7 +363,7 @@
             await peer.asked.wait()
             task.cancel()
             await asyncio.wait({task})
-            assert task.cancelled() and sent.descriptors.held == 0
+            assert task.cancelled() and sent.descriptors.in_use == 0
 
     run(story())
 
@@ -406,7 +406,7 @@
                 client.ask()
                 found = await client.answer()
                 assert (found.status, found.body, found.keep_alive) == (200, b"ok", True)
-                await asyncio.sleep(2 * SETTLED)
+                await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE_S)
             assert peer.connections == 1 and peer.requests[0].target == "/api?x=1"
             assert int(peer.requests[0].headers["req-deadline-ms"]) <= 2000
             assert node.counters.read()["responses_succeeded"] == 2
@@ -575,7 +575,7 @@
             teller = Peer(lambda request: news(2, rows(peer)) if "after=1" in request.target else SILENT)
             async with teller, running(peer, discovery=teller) as (node, _):
                 with monkeypatch.context() as patch:
-                    patch.setattr(node._servers, "point", None)
+                    patch.setattr(node._servers, "set_endpoints", None)
                     while not node.counters.read().get("list_polls_failed"):
                         await asyncio.sleep(0.001)
                 seen = len(teller.requests)
@@ -586,7 +586,7 @@
 
 
 def test_news_that_fails_in_the_node_is_not_lost(monkeypatch: pytest.MonkeyPatch) -> None:
-    point, calls = UpstreamPool.point, 0
+    point, calls = UpstreamPool.set_endpoints, 0
 
     def fails_at_the_news(self: UpstreamPool, ready: Mapping[str, Address]) -> None:
         nonlocal calls
@@ -599,7 +599,7 @@
         async with Peer() as first, Peer() as second:
             drained = news(2, rows(first, second, status="draining")[:1], whole=False)
             teller = Peer(lambda request: drained if "after=1&" in request.target else SILENT)
-            monkeypatch.setattr(UpstreamPool, "point", fails_at_the_news)
+            monkeypatch.setattr(UpstreamPool, "set_endpoints", fails_at_the_news)
             async with teller, running(first, second, discovery=teller) as (node, _):
                 async with asyncio.timeout(5):
                     while (figures := node.counters.read())["endpoints_active"] != 1:
@@ -1394,7 +1394,7 @@
 
     async def crossed(connection: UpstreamConnection, request: Request, rest: Any, *wanted: Any) -> bool:
         more = await write_piece(connection, request, rest, *wanted)
-        while rest.given and not connection.has_read():
+        while rest.drained and not connection.has_read():
             await asyncio.sleep(0.001)
         return more
 
@@ -1429,7 +1429,7 @@
             whole, part = Upload(StreamBuffers()), Waits(StreamBuffers())
             whole.put(b"1234567890", True)
             first = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, whole), begun)
-            sent.clock += 2 * SETTLED
+            sent.clock += 2 * MIN_IDLE_BEFORE_REUSE_S
             second = asyncio.create_task(
                 sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, part), begun)
             )
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -13,7 +13,7 @@
 from notchjunction.discovery.endpoint_list import read_list
 from notchjunction.net import admin
 from notchjunction.net.admin import AdminListener
-from notchjunction.net.descriptors import OWN
+from notchjunction.net.descriptors import BASE_DESCRIPTORS
 from notchjunction.net.upstream import UpstreamPool
 from notchjunction.node import node as node_module
 from notchjunction.node.node import Node
@@ -89,14 +89,14 @@
             mgmt = free_address()
             async with running(peer, mgmt=mgmt) as (node, _):
                 silent = []
-                for _ in range(3 * admin.CALLS_MOST):
+                for _ in range(3 * admin.MAX_CALLS):
                     silent.append(await asyncio.open_connection(*mgmt))
                     silent[-1][1].write(wire)
                 began = time.monotonic()
                 for _ in range(3):
                     assert await call(mgmt, "GET", "/control/ready") == 200
                 assert time.monotonic() - began < 1.0
-                assert len(node._management._calls) <= admin.CALLS_MOST
+                assert len(node._management._calls) <= admin.MAX_CALLS
                 for _, writer in silent:
                     writer.close()
 
@@ -108,9 +108,9 @@
     call_is: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """More of what it sends comes in that moment; while a call is under way, the new one is given up."""
-    monkeypatch.setattr(admin, "CALLS_MOST", 1)
-    monkeypatch.setattr(admin, "LINGER_WITHIN", 60.0)
-    monkeypatch.setattr(admin, "ANSWERED_WITHIN", 60.0)
+    monkeypatch.setattr(admin, "MAX_CALLS", 1)
+    monkeypatch.setattr(admin, "LINGER_TIMEOUT_S", 60.0)
+    monkeypatch.setattr(admin, "HANDLER_TIMEOUT_S", 60.0)
     accept = AdminListener._accept
     crossing: list[socket.socket] = []
 
@@ -217,7 +217,7 @@
 def test_a_call_that_does_not_end_holds_up_the_nodes_end_for_a_moment_only(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(admin, "ANSWERED_WITHIN", 60.0)
+    monkeypatch.setattr(admin, "HANDLER_TIMEOUT_S", 60.0)
 
     async def story() -> None:
         mgmt = free_address()
@@ -260,7 +260,7 @@
 
 
 def test_a_call_that_never_ends_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(admin, "CALL_WITHIN", 0.05)
+    monkeypatch.setattr(admin, "READ_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         async with Peer() as peer:
@@ -329,7 +329,7 @@
         async with Peer() as peer, Peer() as other:
             mgmt = free_address()
             async with running(peer, other, mgmt=mgmt) as (node, listen):
-                opened = UpstreamPool._connected
+                opened = UpstreamPool._acquire
 
                 async def slowly(servers: UpstreamPool, server: str, kept: bool) -> object:
                     found = opened(servers, server, kept)
@@ -337,7 +337,7 @@
                         assert await node.take_offline("s0")
                     return await found
 
-                monkeypatch.setattr(UpstreamPool, "_connected", slowly)
+                monkeypatch.setattr(UpstreamPool, "_acquire", slowly)
                 statuses = []
                 while not other.requests or "s0" not in node._decider.banned:
                     client = await Client().open(listen)
@@ -455,8 +455,8 @@
                     await asyncio.sleep(0.005)
                 assert await call(mgmt, "GET", "/control/ready") == 200
                 assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
-                held = node._descriptors.held + len(node._management._calls)
-                assert held <= 64 - OWN
+                held = node._descriptors.in_use + len(node._management._calls)
+                assert held <= 64 - BASE_DESCRIPTORS
                 for client in clients:
                     client.writer.close()
 
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -8,7 +8,7 @@
 import pytest
 
 from notchjunction.net import upstream
-from notchjunction.net.upstream_connection import RequestNotSent, UpstreamConnection
+from notchjunction.net.upstream_connection import RequestNotSentError, UpstreamConnection
 from tests.helpers import SILENT, Client, Peer, running
 
 
@@ -29,7 +29,7 @@
                     await plain(connection)
                     self.came_up.set()
                 case "refused":
-                    raise RequestNotSent("refused")
+                    raise RequestNotSentError("refused")
                 case _:
                     await plain(connection)
 
@@ -55,7 +55,7 @@
             held.release.set()
             await held.came_up.wait()
             await settle(lambda: node.counters.read()["connections_idle"] == 2)
-            await asyncio.sleep(2 * upstream.SETTLED)
+            await asyncio.sleep(2 * upstream.MIN_IDLE_BEFORE_REUSE_S)
             server.reply = SILENT
             other = await Client().open(listen)
             client.ask()
@@ -73,16 +73,16 @@
 def test_what_never_comes_up_or_is_refused_gives_every_descriptor_back(
     how: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream, "LATE_WITHIN", 0.05)
+    monkeypatch.setattr(upstream, "LATE_CONNECT_TIMEOUT_S", 0.05)
 
     async def story() -> None:
         held = Held(monkeypatch, lambda number: how)
         async with Peer() as server, running(server) as (node, listen):
-            node._servers.retune(0.05, 5.0, "/health")
+            node._servers.apply_settings(0.05, 5.0, "/health")
             client = await Client().open(listen)
             client.ask()
             assert (await client.answer()).status == 503  # it never ran
-            await settle(lambda: node._descriptors.held == 1)  # the caller's
+            await settle(lambda: node._descriptors.in_use == 1)  # the caller's
             assert len(held.opened) >= (2 if how == "late" else 1) and not node._servers._late
             figures = node.counters.read()
             assert figures["connections_opened"] == figures["connections_closed"] == len(held.opened)
@@ -96,18 +96,18 @@
     async def story() -> None:
         held = Held(monkeypatch, lambda number: "late")
         async with Peer() as server, running(server, max_attempts=1) as (node, listen):
-            node._servers.retune(0.05, 5.0, "/health")
+            node._servers.apply_settings(0.05, 5.0, "/health")
             clients = [await Client().open(listen) for _ in range(4)]
             for client in clients:
                 client.ask()
             assert [(await client.answer()).status for client in clients] == [503] * 4
             assert len(held.opened) == 8
-            assert len(node._servers._late["s0"]) <= upstream.LATE_MOST
-            node._servers.point({})
+            assert len(node._servers._late["s0"]) <= upstream.MAX_LATE_CONNECTS
+            node._servers.set_endpoints({})
             held.release.set()
             await settle(lambda: not node._servers._late)
             assert node.counters.read()["connections_idle"] == 0
-            await settle(lambda: node._descriptors.held == 4)
+            await settle(lambda: node._descriptors.in_use == 4)
 
     asyncio.run(story())
 
@@ -140,7 +140,7 @@
         opened += 1
         if opened == 1:
             await second_up.wait()
-            raise RequestNotSent("refused")
+            raise RequestNotSentError("refused")
         await plain(connection)
         second_up.set()  # the first is over before the loop has told of either
 
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -19,7 +19,7 @@
 import pytest
 
 from notchjunction.addresses import Address
-from notchjunction.net.descriptors import OWN, SHORT_PAUSE
+from notchjunction.net.descriptors import BASE_DESCRIPTORS, SHORTAGE_PAUSE_S
 from notchjunction.node.node import Node
 from notchjunction.upgrade import handover, listener_sharing, shared_folder, shutdown
 from notchjunction.upgrade.channel import Channel
@@ -178,14 +178,14 @@
             for client in clients:
                 await served(client)
             async with running(shared=tmp_path, listen=listen, known=False, sockets=64) as (new, _):
-                held = old._descriptors.held
+                held = old._descriptors.in_use
                 assert held > 10
-                while new._descriptors.elsewhere < held + OWN:
+                while new._descriptors.other_process < held + BASE_DESCRIPTORS:
                     await asyncio.sleep(0.001)
-                assert new._descriptors.callers_elsewhere == 10
+                assert new._descriptors.other_process_clients == 10
                 assert new._decider._settings.process_count == old._decider._settings.process_count == 2
                 await first.aclose()
-                while new._descriptors.elsewhere or new._decider._settings.process_count != 1:
+                while new._descriptors.other_process or new._decider._settings.process_count != 1:
                     await asyncio.sleep(0.001)
 
     run(story())
@@ -532,7 +532,7 @@
                 await asyncio.sleep(0.001)
             assert node._handover is not None and node._handover._retry is not None
             node._handover.close()
-            await asyncio.sleep(2 * SHORT_PAUSE)
+            await asyncio.sleep(2 * SHORTAGE_PAUSE_S)
             assert not os.listdir(tmp_path)
 
     run(story())
