--- a/notchjunction/http1/__init__.py
+++ b/notchjunction/http1/__init__.py
@@ -1,1 +1,1 @@
-"""HTTP/1.1 as typed values: bytes in, values out, and back. It knows no sockets."""
+"""Parses and encodes HTTP/1.1 messages; does no input or output itself."""
