--- a/notchjunction/net/upstream.py
+++ b/notchjunction/net/upstream.py
@@ -1,4 +1,4 @@
-"""The connections to servers, kept by server and address; one dispatch or one probe on them."""
+"""The pool of upstream connections, by endpoint; carries out single attempts and probes on them."""
 
 from __future__ import annotations
 
@@ -40,69 +40,68 @@
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-IDLE_TIMEOUT_SHARE = (
-    0.75  # of the servers' idle time; then a connection is retired, so that no request crosses its end
-)
-MAX_IDLE_LIFETIMES = 8  # idle connections that a server ended, by which it is learned how long it keeps them
-MIN_IDLE_LIFETIMES = 3  # of them; fewer are chance
+# Share of an upstream's idle timeout after which the node closes an idle connection itself, so that no
+# request is sent while the upstream closes it.
+IDLE_TIMEOUT_SHARE = 0.75
+# Per endpoint, the idle times after which it closed connections: the node learns its idle timeout from them.
+MAX_IDLE_LIFETIMES = 8  # kept
+MIN_IDLE_LIFETIMES = 3  # needed for an estimate; fewer may be chance
 IDLE_LIFETIME_WINDOW_S = (
-    60.0  # s that they count; then the settings hold again, as the server may have changed
-)
-NO_REUSE_AFTER_RESET_S = (
-    10.0  # s after a kept connection was reset in which what may run once only is not put on one
+    60.0  # age limit; after it the settings apply again, as the endpoint may have changed
 )
-# s that a kept connection rests before it is used again; a second answer that is to come has come by then.
-# It costs a node that sends a server r requests a second about r times 0.03 more connections there.
+# After the reset of a reused connection, requests other than GET get new connections for so long.
+NO_REUSE_AFTER_RESET_S = 10.0
+# How long a connection is idle before it is reused; a surplus second response has arrived by then. With r
+# requests a second to an endpoint this costs about r times 0.03 more connections to it.
 MIN_IDLE_BEFORE_REUSE_S = 0.03
-PROBE_TIMEOUT_S = 0.5  # s that a probe may take; a later answer says little of now
-SECOND_CONNECT_SHARE = (
-    0.3  # of the connect time-out after which a second connection is tried beside one not yet up
-)
-LATE_CONNECT_TIMEOUT_S = (
-    2.0  # s after which a connection that nobody waits for any more is given up; past most delays
-)
-MAX_LATE_CONNECTS = 2  # such connections of a server; more would be the trouble of one that takes none
+PROBE_TIMEOUT_S = 0.5  # a later response says little about the present load
+SECOND_CONNECT_SHARE = 0.3  # of the connect timeout, after which a second connection is attempted in parallel
+LATE_CONNECT_TIMEOUT_S = 2.0  # until a connection that no request waits for is abandoned; above most delays
+MAX_LATE_CONNECTS = 2  # of those for an endpoint; more would load an endpoint that accepts none
 
 
 @dataclass(frozen=True, slots=True)
 class ExchangeResult:
+    """The outcome of an attempt or a probe, and the response if there was one."""
+
     outcome: ExchangeOutcome
     response: Response | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptSpec:
-    """What an attempt of a job asks of the connections' owner; a probe has none of it."""
+    """An attempt for the pool to carry out; for a probe all but the first two fields have their defaults."""
 
     endpoint: str
-    expires_at: float  # s; the end of the time that it was given
-    upload: Upload | None = None  # what follows the request's beginning
-    upload_expires_at: Callable[[], float] = lambda: (
-        math.inf
-    )  # s; its end, once the last byte of `rest` has come
-    on_response_start: Callable[[Download], None] | None = None  # told of a large answer
-    acquire_quota: Callable[[float], bool] | None = (
-        None  # whether limits let it, told to end within so many s
-    )
-    is_wanted: Callable[[], bool] = lambda: True  # its job has no answer, and it was not recalled
+    expires_at: float  # s on the pool's clock, when its timeout ends
+    upload: Upload | None = None  # the rest of the body, if the request has only its beginning
+    # With an upload: s on the pool's clock when the timeout ends; known once the last byte is received.
+    upload_expires_at: Callable[[], float] = lambda: math.inf
+    on_response_start: Callable[[Download], None] | None = None  # called for a large response
+    # Called with the deadline sent along (s); returns whether the fleet's quotas permit the attempt.
+    acquire_quota: Callable[[float], bool] | None = None
+    is_wanted: Callable[[], bool] = lambda: True  # the request is unanswered and the attempt not cancelled
     client_connected: Callable[[], bool] = lambda: True
-    repeatable_until: Callable[[], float] = lambda: math.inf  # s; until when it may be a repeat
-    on_written: Callable[[float], None] = lambda told: None  # told as it is written, with the time told (s)
+    # s on the pool's clock, until which the attempt can't make an effect happen twice.
+    repeatable_until: Callable[[], float] = lambda: math.inf
+    # Called when it is written, with the deadline sent along (s).
+    on_written: Callable[[float], None] = lambda time_left: None
 
     def is_still_wanted(self) -> bool:
-        """Whether it still concerns anybody; asked again and again while its server takes no more."""
+        """Whether the attempt still has a purpose; polled while the upstream accepts no more bytes."""
         return self.is_wanted() and self.client_connected()
 
 
 @dataclass(frozen=True, slots=True, eq=False)
 class PendingConnect:
-    """A connection that is to come up."""
+    """A connection that is being opened."""
 
     connection: UpstreamConnection
-    up: asyncio.Task[None]
+    opening: asyncio.Task[None]
 
 
 def parse_load_report(text: str | bytes) -> LoadReport | None:
+    """Parses a load report; None if it is not valid."""
     try:
         report = json.loads(text)
     except (ValueError, RecursionError):
@@ -110,61 +109,69 @@
     return read_load_report(report) if isinstance(report, Mapping) else None
 
 
-def result_of(answer: Response) -> AttemptResult:
-    """The protocol's table; a status that it does not name is an unknown outcome."""
-    if answer.status == 200:
+def result_of(response: Response) -> AttemptResult:
+    """Maps the status of a response to a result, as the protocol defines; other statuses to UNKNOWN."""
+    if response.status == 200:
         return AttemptResult.SUCCEEDED
-    if answer.status in (503, 504):
-        return AttemptResult.REJECTED if answer.headers.get(protocol.DECLINED) == "1" else AttemptResult.ERROR
-    return AttemptResult.ERROR if answer.status == 500 else AttemptResult.UNKNOWN
+    if response.status in (503, 504):
+        return (
+            AttemptResult.REJECTED if response.headers.get(protocol.DECLINED) == "1" else AttemptResult.ERROR
+        )
+    return AttemptResult.ERROR if response.status == 500 else AttemptResult.UNKNOWN
 
 
 class UpstreamPool:
+    """Opens, reuses and closes the connections to all endpoints, and sends attempts and probes on them."""
+
     def __init__(
         self,
         clock: Callable[[], float],
-        connect_within: float,
-        idle_most: float,
+        connect_timeout: float,
+        idle_timeout: float,
         load_path: str,
-        spare_one: Callable[[], bool],
+        close_idle_client: Callable[[], bool],
         descriptors: Descriptors,
         counters: Counters,
         streams: StreamBuffers | None = None,
     ) -> None:
         self._clock = clock
         self._streams = streams or StreamBuffers()
-        self.apply_settings(connect_within, idle_most, load_path)
-        self._spare_one = spare_one
+        self.apply_settings(connect_timeout, idle_timeout, load_path)
+        self._close_idle_client = close_idle_client
         self._descriptors = descriptors
         self._counters = counters
         self._recorder = counters.recorder
         self._addresses: dict[str, Address] = {}
         self._idle: dict[str, deque[UpstreamConnection]] = {}
-        self._late: dict[str, set[PendingConnect]] = {}
+        self._late_connects: dict[str, set[PendingConnect]] = {}
         self._reset_at = -math.inf
-        self._lives: dict[str, deque[tuple[float, float]]] = {}
+        self._idle_lifetimes: dict[str, deque[tuple[float, float]]] = {}
         counters.gauge("connections_idle", lambda: sum(len(kept) for kept in self._idle.values()))
         counters.gauge("endpoints_active", lambda: len(self._addresses))
 
-    def apply_settings(self, connect_within: float, idle_most: float, load_path: str) -> None:
-        """What the settings say, from now on."""
-        self._connect_within = connect_within
-        self._idle_most = idle_most * IDLE_TIMEOUT_SHARE
+    def apply_settings(self, connect_timeout: float, idle_timeout: float, load_path: str) -> None:
+        """Applies new settings; the timeouts are in s."""
+        self._connect_timeout = connect_timeout
+        self._idle_timeout = idle_timeout * IDLE_TIMEOUT_SHARE
         self._load_path = load_path
 
-    def set_endpoints(self, ready: Mapping[str, Address]) -> None:
-        """The servers that may get new requests, and where; idle connections elsewhere are closed."""
-        self._addresses = dict(ready)
-        self._lives = {server: lives for server, lives in self._lives.items() if server in ready}
-        self._retire(lambda server, connection: not self._current(server, connection))
+    def set_endpoints(self, addresses: Mapping[str, Address]) -> None:
+        """Sets the endpoints for new requests, with their addresses; idle connections to others are closed."""
+        self._addresses = dict(addresses)
+        self._idle_lifetimes = {
+            endpoint: lifetimes
+            for endpoint, lifetimes in self._idle_lifetimes.items()
+            if endpoint in addresses
+        }
+        self._close_idle_where(lambda endpoint, connection: not self._is_current(endpoint, connection))
 
     async def attempt(self, attempt: AttemptSpec, request: Request) -> ExchangeResult:
-        """One attempt of a job; whether it may be written is decided as it is written."""
+        """Carries out one attempt; whether it may be sent is decided at the moment of writing."""
         upload = attempt.upload
         if upload is not None and upload.consumed:
-            # Guards against a body without its middle: what was sent on before is not kept.
+            # Guards against a body without its middle: what an earlier attempt sent is not kept.
             return ExchangeResult(ExchangeOutcome(AttemptResult.NOT_SENT, 0.0, unrepeatable=True))
-        # Guards against a caller's oddities, on which a server would close the connection.
+        # Guards against unusual headers of a client, which would make an upstream close the connection.
         headers = {
             name: value
             for name, value in request.headers.items()
@@ -175,77 +182,81 @@
             exchanged, outcome=replace(exchanged.outcome, unrepeatable=upload is not None and upload.consumed)
         )
 
-    async def probe(self, server: str) -> ExchangeOutcome:
+    async def probe(self, endpoint: str) -> ExchangeOutcome:
+        """Sends a probe. A successful one yields a load report if it goes to the path of load reports."""
         request = Request("GET", self._load_path, {"host": "probe"})
-        probe = AttemptSpec(server, self._clock() + PROBE_TIMEOUT_S)
+        probe = AttemptSpec(endpoint, self._clock() + PROBE_TIMEOUT_S)
         exchanged = await self._exchange(probe, request)
-        answer = exchanged.response
+        response = exchanged.response
         if (
             exchanged.outcome.result is AttemptResult.SUCCEEDED
-            and answer is not None
+            and response is not None
             and self._load_path == protocol.LOAD_PATH
         ):
             return ExchangeOutcome(
-                AttemptResult.SUCCEEDED, exchanged.outcome.seconds, parse_load_report(answer.body)
+                AttemptResult.SUCCEEDED, exchanged.outcome.seconds, parse_load_report(response.body)
             )
         return exchanged.outcome
 
     def close_stale(self) -> None:
-        """Retires connections that have stood idle, or were closed by their server."""
-        self._retire(lambda server, connection: not self._fit(server, connection))
+        """Closes connections that have been idle for too long or were closed by their upstream."""
+        self._close_idle_where(lambda endpoint, connection: not self._is_reusable(endpoint, connection))
 
     def close_oldest(self) -> bool:
-        """Gives up one idle connection, where descriptors are short."""
-        rows = [(kept[0].idle_since, server) for server, kept in self._idle.items() if kept]
-        if not rows:
+        """Closes the connection that has been idle longest; returns False if none is idle."""
+        oldest = [(kept[0].idle_since, endpoint) for endpoint, kept in self._idle.items() if kept]
+        if not oldest:
             return False
-        self._close(self._idle[min(rows)[1]].popleft())
+        self._close(self._idle[min(oldest)[1]].popleft())
         return True
 
     def close(self) -> None:
+        """Closes idle connections and cancels late ones; attempts in flight are not affected."""
         self.set_endpoints({})
-        for dial in [dial for late in self._late.values() for dial in late]:
-            dial.up.cancel()
+        for pending in [pending for late in self._late_connects.values() for pending in late]:
+            pending.opening.cancel()
 
     async def _exchange(self, attempt: AttemptSpec, request: Request) -> ExchangeResult:
-        server, upload, begun = attempt.endpoint, attempt.upload, attempt.on_response_start
-        began = self._clock()
-        # A body under way is bounded by its caller's pace; the wait for the answer counts from its end.
-        within = attempt.expires_at - began
+        endpoint, upload, on_response_start = attempt.endpoint, attempt.upload, attempt.on_response_start
+        started_at = self._clock()
+        # The client's pace limits an upload; the timeout for the response starts when the upload ends.
+        timeout = attempt.expires_at - started_at
         connection: UpstreamConnection | None = None
         writing = written = keep = False
-        answer: Response | None = None
-        answers = ResponseReader(max_body=MAX_BUFFERED_BODY_BYTES if begun is None else MAX_BODY_BYTES)
-        first_after: float | None = None
+        response: Response | None = None
+        parser = ResponseReader(
+            max_body=MAX_BUFFERED_BODY_BYTES if on_response_start is None else MAX_BODY_BYTES
+        )
+        first_bytes_after: float | None = None
         loop = asyncio.get_running_loop()
 
         def all_written() -> None:
-            nonlocal began, written
+            nonlocal started_at, written
             written = True
             if upload is not None:
-                began = self._clock()
-                limit.reschedule(loop.time() + within)
+                started_at = self._clock()
+                limit.reschedule(loop.time() + timeout)
 
         try:
-            async with asyncio.timeout(None if upload is not None else within) as limit:
-                connection = await self._acquire(server, kept=self._may_be_kept(request))
-                # From here to the first byte nothing else runs.
-                request = self._permitted(attempt, request, connection, within)
+            async with asyncio.timeout(None if upload is not None else timeout) as limit:
+                connection = await self._acquire(endpoint, reuse=self._may_reuse(request))
+                # No other task runs between this check and the first byte written.
+                request = self._prepare(attempt, request, connection, timeout)
                 writing = True
-                answer = await connection.exchange(
-                    request, answers, upload, all_written, is_wanted=attempt.is_still_wanted
+                response = await connection.exchange(
+                    request, parser, upload, all_written, is_wanted=attempt.is_still_wanted
                 )
-            if answers.unread and not answer.more_body:
-                self._strayed()
-            result = result_of(answer)
-            keep = answer.keep_alive
-            if answer.more_body and result is AttemptResult.SUCCEEDED and begun is not None:
-                first_after = self._clock() - began
-                download = Download(self._streams, connection, answers, answer)
-                begun(download)
+            if parser.unread and not response.more_body:
+                self._count_unsolicited()
+            result = result_of(response)
+            keep = response.keep_alive
+            if response.more_body and result is AttemptResult.SUCCEEDED and on_response_start is not None:
+                first_bytes_after = self._clock() - started_at
+                download = Download(self._streams, connection, parser, response)
+                on_response_start(download)
                 await download.ended
-                # Guards against the rest of an answer whose caller went: it would pass for the next one's.
-                keep = download.finished and answers.connection_reusable() and not download.moved
+                # Guards against the rest of a response whose client has gone being read as the next response.
+                keep = download.finished and parser.connection_reusable() and not download.moved
         except AttemptWithheldError:
             result, keep = AttemptResult.NOT_SENT, not writing
         except NoDescriptorError:
@@ -257,220 +268,246 @@
             if connection is not None and connection.has_served:
                 self._reset_at = self._clock()
         except MalformedMessageError:
-            # The called server's own doing: what a deeper one spoils comes up as a plain error.
+            # The endpoint's own fault: a malformed response further down the call chain arrives as an error.
             result = AttemptResult.MALFORMED
         except TimeoutError:
             result = AttemptResult.TIMED_OUT if written else AttemptResult.NO_CONNECTION
         finally:
             if connection is not None:
-                self._give_back(server, connection, keep)
-        report = answer.headers.get(protocol.ENDPOINT_LOAD) if answer is not None else None
+                self._release(endpoint, connection, keep)
+        report = response.headers.get(protocol.ENDPOINT_LOAD) if response is not None else None
         self._recorder.note(
             Occurrence.ATTEMPT_ENDED,
             request.headers.get(protocol.REQUEST_ID, ""),
-            endpoint=server,
+            endpoint=endpoint,
             result=result.value,
-            after=round(self._clock() - began, 4),
+            after=round(self._clock() - started_at, 4),
             kept=str(keep),
         )
-        # A large answer's time is that of its first bytes.
-        seconds = self._clock() - began if first_after is None else first_after
-        ended = ExchangeOutcome(result, seconds, parse_load_report(report) if report else None)
-        return ExchangeResult(ended, answer)
+        # The latency of a large response is that of its first bytes.
+        seconds = self._clock() - started_at if first_bytes_after is None else first_bytes_after
+        outcome = ExchangeOutcome(result, seconds, parse_load_report(report) if report else None)
+        return ExchangeResult(outcome, response)
 
-    def _permitted(
-        self, attempt: AttemptSpec, request: Request, connection: UpstreamConnection, within: float
+    def _prepare(
+        self, attempt: AttemptSpec, request: Request, connection: UpstreamConnection, timeout: float
     ) -> Request:
-        """The request as it may be written at this moment; NotSent or Withheld where it may not.
+        """Returns the request as it may be written at this moment, with the deadline that remains.
 
-        Guards against what has changed while its connection came up: the list, the caller, the time left, and
-        what became of earlier attempts.
+        Guards against what has changed while the connection was opened: the endpoint list, the client, the
+        time left, and the outcomes of earlier attempts.
+
+        Raises:
+            RequestNotSentError: The endpoint is not listed any more.
+            AttemptWithheldError: Another precondition is not met.
         """
         now = self._clock()
         is_probe = protocol.REQUEST_ID not in request.headers
         facts = AttemptFacts(
             now=now,
-            # The time of a request whose body still comes counts from its last byte.
+            # The timeout of a request with an upload starts at the last byte of the body.
             expires_at=attempt.expires_at if attempt.upload is None else attempt.upload_expires_at(),
             is_wanted=attempt.is_wanted(),
             client_connected=attempt.client_connected(),
-            listed=self._current(attempt.endpoint, connection),
+            listed=self._is_current(attempt.endpoint, connection),
             repeatable_until=attempt.repeatable_until(),
         )
         refusal = may_write(facts)
-        told = min(within, deadline_to_send(now, facts.expires_at))
-        if refusal is None and attempt.acquire_quota is not None and not attempt.acquire_quota(told):
+        time_left = min(timeout, deadline_to_send(now, facts.expires_at))
+        if refusal is None and attempt.acquire_quota is not None and not attempt.acquire_quota(time_left):
             refusal = Refusal.NO_QUOTA
         if refusal is not None:
             self._withhold(attempt, request, refusal)
         if is_probe:
             return request
-        attempt.on_written(told)
-        job_id = request.headers[protocol.REQUEST_ID]
+        attempt.on_written(time_left)
+        request_id = request.headers[protocol.REQUEST_ID]
         self._recorder.note(
             Occurrence.ATTEMPT_WRITTEN,
-            job_id,
+            request_id,
             endpoint=attempt.endpoint,
-            told=round(told, 3),
+            told=round(time_left, 3),
             kept=str(connection.has_served),
         )
-        told_ms = str(max(1, int(told * 1000)))
-        return replace(request, headers={**request.headers, protocol.DEADLINE_MS: told_ms})
+        deadline_ms = str(max(1, int(time_left * 1000)))
+        return replace(request, headers={**request.headers, protocol.DEADLINE_MS: deadline_ms})
 
     def _withhold(self, attempt: AttemptSpec, request: Request, refusal: Refusal) -> NoReturn:
-        """What may not be written is not, and it is counted why."""
+        """Counts and records why an attempt is not sent, and raises the error for it."""
         self._counters.add(f"attempts_withheld_{refusal.name.lower()}")
-        job_id = request.headers.get(protocol.REQUEST_ID, "")
-        self._recorder.note(Occurrence.ATTEMPT_WITHHELD, job_id, endpoint=attempt.endpoint, why=refusal.value)
+        request_id = request.headers.get(protocol.REQUEST_ID, "")
+        self._recorder.note(
+            Occurrence.ATTEMPT_WITHHELD, request_id, endpoint=attempt.endpoint, why=refusal.value
+        )
         if refusal is Refusal.NOT_LISTED:
             raise RequestNotSentError(refusal.value)
         raise AttemptWithheldError(refusal.value)
 
-    def adopt_response(self, state: Mapping[str, Any], opened: socket.socket) -> Download:
-        """The rest of an answer that another process of this node asked for; its connection ends with it."""
-        answers = ResponseReader()
-        answers.restore(state)
-        connection = UpstreamConnection(("", 0), opened)
+    def adopt_response(self, state: Mapping[str, Any], sock: socket.socket) -> Download:
+        """Continues a response to a request that another process of this node sent.
+
+        The connection is closed at the end of the response. `state` is the position in the body.
+        """
+        parser = ResponseReader()
+        parser.restore(state)
+        connection = UpstreamConnection(("", 0), sock)
         self._descriptors.take()
-        download = Download(self._streams, connection, answers, Response(200, more_body=True))
+        download = Download(self._streams, connection, parser, Response(200, more_body=True))
         download.ended.add_done_callback(lambda _: self._close(connection))
         return download
 
-    def _may_be_kept(self, request: Request) -> bool:
-        """Guards against jobs lost where servers end kept connections unheard: the next request is reset."""
+    def _may_reuse(self, request: Request) -> bool:
+        """Whether a reused connection is safe enough for the request.
+
+        Guards against lost requests where upstreams drop idle connections without notice: the next request on
+        such a connection is reset.
+        """
         return request.method == "GET" or self._clock() - self._reset_at > NO_REUSE_AFTER_RESET_S
 
-    async def _acquire(self, server: str, kept: bool) -> UpstreamConnection:
-        """The newest idle connection that is fit and has rested, if one may be used; else a new one."""
-        address = self._addresses.get(server)
+    async def _acquire(self, endpoint: str, reuse: bool) -> UpstreamConnection:
+        """Returns the most recently used connection that can be reused, if `reuse` is set; else a new one."""
+        address = self._addresses.get(endpoint)
         if address is None:
             raise RequestNotSentError("no longer in the list")
-        idle = self._idle.get(server, deque()) if kept else deque()
-        rested_by = self._clock() - MIN_IDLE_BEFORE_REUSE_S
-        unsettled: deque[UpstreamConnection] = deque()
-        found: UpstreamConnection | None = None
-        while idle and found is None:
+        idle = self._idle.get(endpoint, deque()) if reuse else deque()
+        idle_before = self._clock() - MIN_IDLE_BEFORE_REUSE_S
+        recently_used: deque[UpstreamConnection] = deque()
+        reusable: UpstreamConnection | None = None
+        while idle and reusable is None:
             connection = idle.pop()
-            if connection.idle_since > rested_by:
-                # Guards against a second answer that comes late: it would pass for the next request's.
-                unsettled.appendleft(connection)
-            elif self._fit(server, connection):
-                found = connection
+            if connection.idle_since > idle_before:
+                # Guards against a late second response: it would be read as that of the next request.
+                recently_used.appendleft(connection)
+            elif self._is_reusable(endpoint, connection):
+                reusable = connection
             else:
                 self._counters.add("connections_stale")
-                self._close_idle(server, connection)
-        idle.extend(unsettled)
-        if found is not None:
-            return found
+                self._close_idle(endpoint, connection)
+        idle.extend(recently_used)
+        if reusable is not None:
+            return reusable
         if self._descriptors.full() and not self._make_room():
             self._counters.add("descriptors_exhausted")
             raise NoDescriptorError
-        if unsettled:
+        if recently_used:
             self._counters.add("connections_unsettled")
-        return await self._dialled(server, address)
+        return await self._connect(endpoint, address)
 
     def _make_room(self) -> bool:
-        """Closes an idle connection, else a caller at rest."""
-        return self.close_oldest() or self._spare_one()
+        """Closes an idle upstream connection, or else an idle client; returns whether there was one."""
+        return self.close_oldest() or self._close_idle_client()
+
+    async def _connect(self, endpoint: str, address: Address) -> UpstreamConnection:
+        """Opens a connection; if that is slow, a second one in parallel, and returns the first that opens.
 
-    async def _dialled(self, server: str, address: Address) -> UpstreamConnection:
-        """A new connection, or the first of two to come up; the other one may still serve a later request."""
-        # Guards against requests lost one by one where many connections come up late, each by itself.
-        dials = [self._dial(create_connection(address, self._make_room))]
+        The other one may still serve a later request.
+        """
+        # Guards against lost requests where many connections independently open late.
+        pending_connects = [self._start_connect(create_connection(address, self._make_room))]
         loop = asyncio.get_running_loop()
-        until = loop.time() + self._connect_within
+        deadline = loop.time() + self._connect_timeout
         first: PendingConnect | None = None
         try:
-            done, _ = await asyncio.wait([dials[0].up], timeout=self._connect_within * SECOND_CONNECT_SHARE)
+            done, _ = await asyncio.wait(
+                [pending_connects[0].opening], timeout=self._connect_timeout * SECOND_CONNECT_SHARE
+            )
             if not done and not self._descriptors.full():
                 with suppress(NoDescriptorError):
-                    dials.append(self._dial(UpstreamConnection(address)))
+                    pending_connects.append(self._start_connect(UpstreamConnection(address)))
                     self._counters.add("connections_raced")
             if not done:
-                ups = [dial.up for dial in dials]
-                left = max(0.0, until - loop.time())
-                done, _ = await asyncio.wait(ups, timeout=left, return_when=asyncio.FIRST_COMPLETED)
-            # Guards against a connection that came up, passed by for one refused in the same turn.
-            over = [dial for dial in dials if dial.up in done]
-            first = min(over, key=lambda dial: dial.up.exception() is not None, default=None)
+                tasks = [pending.opening for pending in pending_connects]
+                remaining = max(0.0, deadline - loop.time())
+                done, _ = await asyncio.wait(tasks, timeout=remaining, return_when=asyncio.FIRST_COMPLETED)
+            # Guards against choosing a refused connection if the other one opened in the same loop iteration.
+            finished = [pending for pending in pending_connects if pending.opening in done]
+            first = min(finished, key=lambda pending: pending.opening.exception() is not None, default=None)
         finally:
-            for dial in dials:
-                if dial is not first:
-                    self._leave(server, dial)
+            for pending in pending_connects:
+                if pending is not first:
+                    self._abandon_connect(endpoint, pending)
         if first is None:
             raise RequestNotSentError("connecting took too long")
-        if error := first.up.exception():
+        if error := first.opening.exception():
             self._close(first.connection)
             raise error
         return first.connection
 
-    def _dial(self, connection: UpstreamConnection) -> PendingConnect:
+    def _start_connect(self, connection: UpstreamConnection) -> PendingConnect:
         self._descriptors.take()
         self._counters.add("connections_opened")
         return PendingConnect(connection, asyncio.create_task(connection.open()))
 
-    def _leave(self, server: str, dial: PendingConnect) -> None:
-        """Nobody waits for it any more: it is kept if it comes up soon, as long as there are few such."""
-        late = self._late.setdefault(server, set())
-        late.add(dial)
-        dial.up.add_done_callback(lambda _: self._came_late(server, dial))
+    def _abandon_connect(self, endpoint: str, pending: PendingConnect) -> None:
+        """Keeps a connection that no request waits for if it opens soon and there are few of its kind."""
+        late = self._late_connects.setdefault(endpoint, set())
+        late.add(pending)
+        pending.opening.add_done_callback(lambda _: self._late_connect_done(endpoint, pending))
         if len(late) > MAX_LATE_CONNECTS or self._descriptors.full():
-            dial.up.cancel()
+            pending.opening.cancel()
         else:
-            asyncio.get_running_loop().call_later(LATE_CONNECT_TIMEOUT_S, dial.up.cancel)
+            asyncio.get_running_loop().call_later(LATE_CONNECT_TIMEOUT_S, pending.opening.cancel)
 
-    def _came_late(self, server: str, dial: PendingConnect) -> None:
-        self._late[server].discard(dial)
-        if not self._late[server]:
-            del self._late[server]
-        up = not dial.up.cancelled() and dial.up.exception() is None
-        self._give_back(server, dial.connection, keep=up)
+    def _late_connect_done(self, endpoint: str, pending: PendingConnect) -> None:
+        self._late_connects[endpoint].discard(pending)
+        if not self._late_connects[endpoint]:
+            del self._late_connects[endpoint]
+        succeeded = not pending.opening.cancelled() and pending.opening.exception() is None
+        self._release(endpoint, pending.connection, keep=succeeded)
 
-    def _strayed(self) -> None:
-        """A server sends what nobody asked for."""
+    def _count_unsolicited(self) -> None:
+        """Counts bytes that an upstream sent without a request."""
         self._counters.add("responses_unsolicited")
 
-    def _retire(self, unwanted: Callable[[str, UpstreamConnection], bool]) -> None:
-        for server, kept in list(self._idle.items()):
+    def _close_idle_where(self, matches: Callable[[str, UpstreamConnection], bool]) -> None:
+        for endpoint, kept in list(self._idle.items()):
             for connection in list(kept):
-                if unwanted(server, connection):
+                if matches(endpoint, connection):
                     kept.remove(connection)
-                    self._close_idle(server, connection)
+                    self._close_idle(endpoint, connection)
             if not kept:
-                del self._idle[server]
+                del self._idle[endpoint]
+
+    def is_listed(self, endpoint: str) -> bool:
+        """Whether the endpoint may get new requests: it is listed as ready and not banned by an operator."""
+        return endpoint in self._addresses
 
-    def is_listed(self, server: str) -> bool:
-        """Whether the list has the server ready, and no operator has it out."""
-        return server in self._addresses
+    def _is_current(self, endpoint: str, connection: UpstreamConnection) -> bool:
+        """Whether the connection leads to the present address of an endpoint that may get new requests."""
+        return self._addresses.get(endpoint) == connection.address
 
-    def _current(self, server: str, connection: UpstreamConnection) -> bool:
-        """Whether the list still has the server ready, and at that address."""
-        return self._addresses.get(server) == connection.address
+    def _is_reusable(self, endpoint: str, connection: UpstreamConnection) -> bool:
+        """Whether an idle connection can carry a request.
 
-    def _fit(self, server: str, connection: UpstreamConnection) -> bool:
-        """Guards against a request that crosses the end of a connection its server is about to close."""
-        return connection.idle_since > self._clock() - self._idle_limit(server) and connection.is_reusable()
+        Guards against sending a request while the upstream closes the connection.
+        """
+        return connection.idle_since > self._clock() - self._idle_limit(endpoint) and connection.is_reusable()
 
-    def _idle_limit(self, server: str) -> float:
-        """By the settings, or by what the server did lately: it may keep idle connections for less."""
-        lives = [
-            life for at, life in self._lives.get(server, ()) if at > self._clock() - IDLE_LIFETIME_WINDOW_S
+    def _idle_limit(self, endpoint: str) -> float:
+        """Returns how long (s) a connection to the endpoint may be idle.
+
+        This is the configured time, or less if the endpoint recently closed idle connections sooner.
+        """
+        lifetimes = [
+            lifetime
+            for at, lifetime in self._idle_lifetimes.get(endpoint, ())
+            if at > self._clock() - IDLE_LIFETIME_WINDOW_S
         ]
-        if len(lives) < MIN_IDLE_LIFETIMES:
-            return self._idle_most
-        return min(self._idle_most, median_high(lives) * IDLE_TIMEOUT_SHARE)
+        if len(lifetimes) < MIN_IDLE_LIFETIMES:
+            return self._idle_timeout
+        return min(self._idle_timeout, median_high(lifetimes) * IDLE_TIMEOUT_SHARE)
 
-    def _close_idle(self, server: str, connection: UpstreamConnection) -> None:
-        if connection.idle_lifetime is not None and server in self._addresses:
-            self._lives.setdefault(server, deque(maxlen=MAX_IDLE_LIFETIMES)).append(
+    def _close_idle(self, endpoint: str, connection: UpstreamConnection) -> None:
+        if connection.idle_lifetime is not None and endpoint in self._addresses:
+            self._idle_lifetimes.setdefault(endpoint, deque(maxlen=MAX_IDLE_LIFETIMES)).append(
                 (self._clock(), connection.idle_lifetime)
             )
         self._close(connection)
 
-    def _give_back(self, server: str, connection: UpstreamConnection, keep: bool) -> None:
-        if keep and self._current(server, connection):
-            connection.mark_idle(self._clock(), self._strayed)
-            self._idle.setdefault(server, deque()).append(connection)
+    def _release(self, endpoint: str, connection: UpstreamConnection, keep: bool) -> None:
+        if keep and self._is_current(endpoint, connection):
+            connection.mark_idle(self._clock(), self._count_unsolicited)
+            self._idle.setdefault(endpoint, deque()).append(connection)
         else:
             self._close(connection)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -271,7 +271,7 @@
         async with Peer() as peer:
             sent = Dispatches(peer)
             asked = DiscoveryClient(peer.address, ListWatch(0.0), time.monotonic, lambda: spare())
-            sent.servers._spare_one = lambda: spare()
+            sent.servers._close_idle_client = lambda: spare()
 
             def spare() -> bool:
                 for _ in range(2):  # one for the node, one for the peer, which is in this process too
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -315,7 +315,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._servers._connect_within = 10.0  # s, over what the story waits
+            node._servers._connect_timeout = 10.0  # s, over what the story waits
             client = RawClient(address)
             client.ask(BODY[:1000], "POST", length=10 * len(BODY))
             while not node._clients.connections:
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -259,7 +259,7 @@
             sent.clock += 61.0
             assert sent.servers._idle_limit("s0") == 3.0
             sent.servers.set_endpoints({})
-            assert sent.servers._lives == {}
+            assert sent.servers._idle_lifetimes == {}
 
     run(story())
 
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -331,8 +331,8 @@
             async with running(peer, other, mgmt=mgmt) as (node, listen):
                 opened = UpstreamPool._acquire
 
-                async def slowly(servers: UpstreamPool, server: str, kept: bool) -> object:
-                    found = opened(servers, server, kept)
+                async def slowly(servers: UpstreamPool, server: str, reuse: bool) -> object:
+                    found = opened(servers, server, reuse)
                     if server == "s0":
                         assert await node.take_offline("s0")
                     return await found
--- a/tests/test_reconnect.py
+++ b/tests/test_reconnect.py
@@ -83,7 +83,7 @@
             client.ask()
             assert (await client.answer()).status == 503  # it never ran
             await settle(lambda: node._descriptors.in_use == 1)  # the caller's
-            assert len(held.opened) >= (2 if how == "late" else 1) and not node._servers._late
+            assert len(held.opened) >= (2 if how == "late" else 1) and not node._servers._late_connects
             figures = node.counters.read()
             assert figures["connections_opened"] == figures["connections_closed"] == len(held.opened)
 
@@ -102,10 +102,10 @@
                 client.ask()
             assert [(await client.answer()).status for client in clients] == [503] * 4
             assert len(held.opened) == 8
-            assert len(node._servers._late["s0"]) <= upstream.MAX_LATE_CONNECTS
+            assert len(node._servers._late_connects["s0"]) <= upstream.MAX_LATE_CONNECTS
             node._servers.set_endpoints({})
             held.release.set()
-            await settle(lambda: not node._servers._late)
+            await settle(lambda: not node._servers._late_connects)
             assert node.counters.read()["connections_idle"] == 0
             await settle(lambda: node._descriptors.in_use == 4)
 
@@ -124,7 +124,7 @@
             client.writer.close()
             await settle(lambda: node.counters.read().get("requests_cancelled", 0) == 1)
             held.release.set()
-            await settle(lambda: not node._servers._late)
+            await settle(lambda: not node._servers._late_connects)
             assert server.requests == []
 
     asyncio.run(story())
