--- a/notchjunction/net/request_handler.py
+++ b/notchjunction/net/request_handler.py
@@ -1,4 +1,4 @@
-"""A job: one coroutine that takes its orders until it has its final answer, and owns its dispatches."""
+"""Handles one request: carries out the engine's commands until the final response, and owns the attempts."""
 
 from __future__ import annotations
 
@@ -33,140 +33,154 @@
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-WORD = re.compile(r"[!-~]{1,128}")  # an id or a number: what is longer or not printable is none
-DIGITS_MOST = 6  # digits of milliseconds: over a quarter of an hour is no time that a caller waits
-HINT_MOST = 8  # digits of microseconds: over a minute and a half is no work of one job
-# s past the abandon time; a job unanswered by then was lost by a failure of the node's own. Over the time
-# that a process may be held up: its last order may be due in the same late turn of the loop.
-LOST_AFTER = MAX_PROCESS_DELAY_S + 0.05
+IDENTIFIER = re.compile(r"[!-~]{1,128}")  # a valid request id or idempotency key
+MAX_MILLISECOND_DIGITS = 6  # no client waits for over a quarter of an hour
+MAX_MICROSECOND_DIGITS = 8  # no request takes over a minute and a half of work
+# How long after its timeout a request may stay unanswered; by then it was lost by a failure of the node.
+# Longer than a process may be delayed: the last command may be due in the same late iteration of the loop.
+RESPONSE_GRACE_S = MAX_PROCESS_DELAY_S + 0.05
 UNANSWERED = (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED, AttemptResult.UNKNOWN)
-WRITTEN_OFF = Response(502)
-OWN_FAILURE = Response(500)
+FAILED_RESPONSE = Response(502)
+INTERNAL_ERROR_RESPONSE = Response(500)
 
 
 def internal_error(counters: Counters) -> Response:
-    """The node itself failed at the job, which is answered all the same."""
+    """Counts a request that the node itself failed, and returns the response for it."""
     counters.add("responses_internal_error")
-    return OWN_FAILURE
+    return INTERNAL_ERROR_RESPONSE
 
 
-def forwarded_response(answer: Response) -> Response:
-    """Guards against a server's oddities: its body and what that is are the caller's alone."""
-    back = {
-        name: value for name, value in answer.headers.items() if name in protocol.FORWARDED_RESPONSE_HEADERS
+def forwarded_response(response: Response) -> Response:
+    """Returns the response as the client gets it: its status, its body and the headers that are forwarded.
+
+    Guards against unusual headers of an endpoint.
+    """
+    headers = {
+        name: value for name, value in response.headers.items() if name in protocol.FORWARDED_RESPONSE_HEADERS
     }
-    return replace(answer, headers=back, keep_alive=True)
+    return replace(response, headers=headers, keep_alive=True)
 
 
-def rejection(come_back_in: float) -> Response:
-    return Response(503, {"retry-after": f"{come_back_in:.3f}"} if come_back_in > 0 else {})
+def rejection(retry_after: float) -> Response:
+    """Returns the response for a rejected request; `retry_after` is in s, and 0 leaves the header out."""
+    return Response(503, {"retry-after": f"{retry_after:.3f}"} if retry_after > 0 else {})
 
 
 class QuotaPermits(Protocol):
-    """What a job may have out under limits of the whole fleet."""
+    """The permits of a request under the fleet's quotas."""
 
     def acquire(self, attempt: int, timeout: float) -> bool:
-        """Whether a dispatch may be written now that its server is told to end within so many seconds."""
+        """Acquires permits for an attempt; returns whether it may be written.
+
+        `timeout` is the time in s that the attempt's endpoint gets as its deadline.
+        """
 
     def attempt_ended(self, attempt: int, answered: bool) -> None:
-        """It ended; without an answer its server may work on it until its time is over."""
+        """Frees the permits of an attempt that has ended.
+
+        Without an answer they stay in use until its deadline, as its endpoint may still be working on it.
+        """
 
     def close(self) -> None:
-        """Nothing more will be written; what is out keeps its rights until it has landed."""
+        """Ends the acquisition of permits; attempts in flight keep theirs until they end."""
 
 
 class RequestHandler:
+    """Handles one request from its submission to the engine to its final response."""
+
     def __init__(
         self,
-        decider: BalancerEngine,
-        servers: UpstreamPool,
+        engine: BalancerEngine,
+        upstreams: UpstreamPool,
         counters: Counters,
-        ask: RequestSpec,
+        spec: RequestSpec,
         request: Request,
         upload: Upload | None = None,
-        left: Callable[[], float] = lambda: math.inf,
-        rights: QuotaPermits | None = None,
+        time_to_shutdown: Callable[[], float] = lambda: math.inf,
+        permits: QuotaPermits | None = None,
     ) -> None:
-        self._decider = decider
-        self._servers = servers
+        self._engine = engine
+        self._upstreams = upstreams
         self._counters = counters
         self._request = request
         self._upload = upload
-        self._left = left  # s until the node itself ends
-        self._rights = rights  # under limits of the whole fleet; whoever took the job gives them back
-        self._there: Callable[[], bool] = lambda: True
+        self._time_to_shutdown = time_to_shutdown  # s until the node shuts down
+        self._permits = permits  # under the fleet's quotas; closed by the code that admitted the request
+        self._client_connected: Callable[[], bool] = lambda: True
         self._downloads: dict[int, Download] = {}
-        self._after: asyncio.Task[None] | None = None
-        self._limit: asyncio.Timeout | None = None
+        self._completion: asyncio.Task[None] | None = None
+        self._timeout: asyncio.Timeout | None = None
         self._tasks: dict[int, asyncio.Task[ExchangeResult]] = {}
-        self._answers: dict[int, Response] = {}
-        self._broken = False
-        self._answer_within = max(0.0, ask.time_left) + LOST_AFTER
+        self._responses: dict[int, Response] = {}
+        self._failed = False
+        self._response_timeout = max(0.0, spec.time_left) + RESPONSE_GRACE_S
         self.request_id = request.headers.get(protocol.REQUEST_ID, "")
-        deadline = decider.now() + ask.time_left if ask.complete else math.inf
-        self._whole_until = math.inf  # s; the end of its time, once the last byte of a large body has come
-        self.ledger = RequestLedger(ask.idempotency, deadline, decider.now())
-        self._ticket = decider.submit(ask)
+        deadline = engine.now() + spec.time_left if spec.complete else math.inf
+        self._upload_expires_at = math.inf  # s; known once the last byte is received
+        self.ledger = RequestLedger(spec.idempotency, deadline, engine.now())
+        self._handle = engine.submit(spec)
 
-    async def run(self, there: Callable[[], bool] = lambda: True) -> Response | Download | None:
-        """The final answer, whole or as it comes; None once the caller has gone.
+    async def run(self, client_connected: Callable[[], bool] = lambda: True) -> Response | Download | None:
+        """Returns the final response, complete or streamed; None if the client has gone.
 
-        `there` looks whether the caller is, whatever was heard of it so far.
+        `client_connected` checks the connection itself, whatever has been read from it so far.
         """
-        self._there = there
+        self._client_connected = client_connected
         try:
-            waits = self._upload is not None and not self._upload.complete
-            async with asyncio.timeout(None if waits else self._answer_within) as self._limit:
-                return await self._follow_orders()
+            upload_in_progress = self._upload is not None and not self._upload.complete
+            async with asyncio.timeout(
+                None if upload_in_progress else self._response_timeout
+            ) as self._timeout:
+                return await self._follow_commands()
         except Exception as error:
             self._fail(error)
-            for dispatch in list(self._tasks):
-                self._stop(dispatch)
+            for attempt in list(self._tasks):
+                self._cancel_attempt(attempt)
             for download in self._downloads.values():
-                # Guards against one that nobody closes: it would count among the streams for ever.
+                # Guards against a download that is never closed: it would count as an open stream forever.
                 download.close(ConnectionLostError("not passed on"))
             return internal_error(self._counters)
 
     def report_body_complete(self) -> None:
-        """Its last byte has come: its time counts from now."""
-        self._whole_until = self._decider.now() + self._answer_within - LOST_AFTER
-        self.ledger.deadline_at = self._whole_until
-        if self._limit is not None:
-            self._limit.reschedule(asyncio.get_running_loop().time() + self._answer_within)
+        """Reports that the last byte of the body has been received; the timeout starts now."""
+        self._upload_expires_at = self._engine.now() + self._response_timeout - RESPONSE_GRACE_S
+        self.ledger.deadline_at = self._upload_expires_at
+        if self._timeout is not None:
+            self._timeout.reschedule(asyncio.get_running_loop().time() + self._response_timeout)
         try:
-            self._decider.report_body_complete(self._ticket, self._left())
+            self._engine.report_body_complete(self._handle, self._time_to_shutdown())
         except Exception as error:
             self._fail(error)
 
-    async def _follow_orders(self) -> Response | Download | None:
+    async def _follow_commands(self) -> Response | Download | None:
         while True:
-            match await self._decider.next_command(self._ticket):
-                case SendAttempt() as order:
-                    self._send(order)
-                case CancelAttempt(dispatch):
-                    self._stop(dispatch)
-                case StartResponse(dispatch):
+            match await self._engine.next_command(self._handle):
+                case SendAttempt() as command:
+                    self._send(command)
+                case CancelAttempt(attempt):
+                    self._cancel_attempt(attempt)
+                case StartResponse(attempt):
                     self._counters.add("responses_streamed")
-                    self._after = asyncio.create_task(self._follow_on())
-                    return self._downloads[dispatch]
-                case ForwardResponse(dispatch):
+                    self._completion = asyncio.create_task(self._follow_streamed())
+                    return self._downloads[attempt]
+                case ForwardResponse(attempt):
                     self._counters.add("responses_succeeded")
-                    return forwarded_response(self._answers[dispatch])
-                case RejectRequest(come_back_in):
+                    return forwarded_response(self._responses[attempt])
+                case RejectRequest(retry_after):
                     self._counters.add("responses_rejected")
-                    return rejection(come_back_in)
+                    return rejection(retry_after)
                 case FailRequest():
                     self._counters.add("responses_failed")
-                    return WRITTEN_OFF
+                    return FAILED_RESPONSE
                 case DropRequest():
-                    return internal_error(self._counters) if self._broken else None
+                    return internal_error(self._counters) if self._failed else None
 
-    async def _follow_on(self) -> None:
-        """What is still ordered once the answer goes on its way; how that ends is the final answer."""
+    async def _follow_streamed(self) -> None:
+        """Carries out commands after a streamed response has started; the last one says how it ended."""
         while True:
-            match await self._decider.next_command(self._ticket):
-                case CancelAttempt(dispatch):
-                    self._stop(dispatch)
+            match await self._engine.next_command(self._handle):
+                case CancelAttempt(attempt):
+                    self._cancel_attempt(attempt)
                 case ForwardResponse():
                     return self._counters.add("responses_succeeded")
                 case RejectRequest() | FailRequest():
@@ -175,127 +189,130 @@
                     return self._counters.add("requests_cancelled")
 
     def cancel(self) -> None:
-        """The caller has gone, or the node failed: no orders but the last will come."""
+        """Drops the request, because the client has gone or the node failed; only a last command follows."""
         try:
-            self._decider.cancel(self._ticket)
+            self._engine.cancel(self._handle)
         except Exception as error:
             self._counters.add_failure("request handler failed", error)
 
-    def _caller_there(self) -> bool:
-        """Asked at the very writing: the caller's end may have come and not be read yet."""
-        there = self._there()
-        if not there:
+    def _is_client_connected(self) -> bool:
+        """Checks at the moment of writing: the client's end may have arrived without having been read."""
+        client_connected = self._client_connected()
+        if not client_connected:
             self.ledger.client_gone = True
             self.cancel()
-        return there
+        return client_connected
 
-    def _send(self, order: SendAttempt) -> None:
-        self._counters.add("attempts_first" if order.attempt == 0 else "attempts_retried")
-        rights, dispatch = self._rights, order.attempt
+    def _send(self, command: SendAttempt) -> None:
+        self._counters.add("attempts_first" if command.attempt == 0 else "attempts_retried")
+        permits, attempt = self._permits, command.attempt
         self._counters.recorder.note(
             Occurrence.ATTEMPT_ORDERED,
             self.request_id,
-            endpoint=order.endpoint,
-            attempt=dispatch,
-            within=round(order.expires_at - self._decider.now(), 3),
+            endpoint=command.endpoint,
+            attempt=attempt,
+            within=round(command.expires_at - self._engine.now(), 3),
         )
-        attempt = AttemptSpec(
-            order.endpoint,
-            order.expires_at,
+        spec = AttemptSpec(
+            command.endpoint,
+            command.expires_at,
             upload=self._upload,
-            upload_expires_at=lambda: self._whole_until,
-            on_response_start=partial(self._begun, dispatch),
-            acquire_quota=partial(rights.acquire, dispatch) if rights is not None else None,
-            is_wanted=partial(self._decider.is_wanted, self._ticket, dispatch),
-            client_connected=self._caller_there,
-            repeatable_until=partial(self._decider.repeatable_until, self._ticket, dispatch),
-            on_written=partial(self._written, dispatch, order.endpoint),
+            upload_expires_at=lambda: self._upload_expires_at,
+            on_response_start=partial(self._response_started, attempt),
+            acquire_quota=partial(permits.acquire, attempt) if permits is not None else None,
+            is_wanted=partial(self._engine.is_wanted, self._handle, attempt),
+            client_connected=self._is_client_connected,
+            repeatable_until=partial(self._engine.repeatable_until, self._handle, attempt),
+            on_written=partial(self._attempt_written, attempt, command.endpoint),
         )
-        work = self._servers.attempt(attempt, self._request)
-        task = asyncio.create_task(work)
-        self._tasks[dispatch] = task
-        # Told here and not inside the task: one that is stopped before its first step runs no code.
-        task.add_done_callback(lambda _: self._ended(dispatch, task))
+        coroutine = self._upstreams.attempt(spec, self._request)
+        task = asyncio.create_task(coroutine)
+        self._tasks[attempt] = task
+        # Reported here and not inside the task: a task that is cancelled before its first step runs no code.
+        task.add_done_callback(lambda _: self._attempt_done(attempt, task))
 
-    def _written(self, dispatch: int, server: str, told: float) -> None:
-        listed = self._servers.is_listed(server)
-        now = self._decider.now()
-        self.report_violations(self.ledger.attempt_written(dispatch, now, told, listed), attempt=dispatch)
+    def _attempt_written(self, attempt: int, endpoint: str, time_left: float) -> None:
+        listed = self._upstreams.is_listed(endpoint)
+        now = self._engine.now()
+        self.report_violations(self.ledger.attempt_written(attempt, now, time_left, listed), attempt=attempt)
 
     def report_violations(self, violations: Iterable[Violation], **facts: float | str | None) -> None:
-        """Counts and logs what has been broken."""
+        """Counts and logs broken invariants."""
         for violation in violations:
             self._counters.add(f"invariant_{violation.value}")
             self._counters.recorder.report(violation.value, self.request_id, **facts)
 
-    def _begun(self, dispatch: int, download: Download) -> None:
-        self._downloads[dispatch] = download
-        if not self._decider.report_response_started(self._ticket, dispatch):
+    def _response_started(self, attempt: int, download: Download) -> None:
+        self._downloads[attempt] = download
+        if not self._engine.report_response_started(self._handle, attempt):
             download.close(ConnectionLostError("another answer was first"))
 
-    def _stop(self, dispatch: int) -> None:
-        if dispatch in self._tasks:
-            self._tasks[dispatch].cancel()
+    def _cancel_attempt(self, attempt: int) -> None:
+        if attempt in self._tasks:
+            self._tasks[attempt].cancel()
 
-    def _ended(self, dispatch: int, task: asyncio.Task[ExchangeResult]) -> None:
-        ended = ExchangeOutcome(AttemptResult.UNKNOWN, 0.0)
-        del self._tasks[dispatch]
+    def _attempt_done(self, attempt: int, task: asyncio.Task[ExchangeResult]) -> None:
+        outcome = ExchangeOutcome(AttemptResult.UNKNOWN, 0.0)
+        del self._tasks[attempt]
         if task.cancelled():
-            ended = ExchangeOutcome(AttemptResult.CANCELLED, 0.0)
+            outcome = ExchangeOutcome(AttemptResult.CANCELLED, 0.0)
         elif (error := task.exception()) is not None:
             self._counters.add_failure("attempt failed internally", error)
         else:
-            exchanged = task.result()
-            ended = exchanged.outcome
-            if exchanged.response is not None:
-                self._answers[dispatch] = exchanged.response
-        self.ledger.attempt_ended(dispatch, ended.result)
-        if self._rights is not None:
-            self._rights.attempt_ended(dispatch, ended.result not in UNANSWERED)
-        self._counters.add_result("attempts", ended.result)
+            result = task.result()
+            outcome = result.outcome
+            if result.response is not None:
+                self._responses[attempt] = result.response
+        self.ledger.attempt_ended(attempt, outcome.result)
+        if self._permits is not None:
+            self._permits.attempt_ended(attempt, outcome.result not in UNANSWERED)
+        self._counters.add_result("attempts", outcome.result)
         try:
-            self._decider.report_attempt(self._ticket, dispatch, ended)
+            self._engine.report_attempt(self._handle, attempt, outcome)
         except Exception as failure:
             self._fail(failure)
 
     def _fail(self, error: Exception) -> None:
         self._counters.add_failure("request handler failed", error)
-        self._broken = True
+        self._failed = True
         self.cancel()
 
 
-def request_spec_of(request: Request, waited: float, profiles: Collection[str]) -> RequestSpec | None:
-    """The job that a request states; None where its id, number, profile or time is missing or absurd."""
+def request_spec_of(request: Request, waited: float, request_classes: Collection[str]) -> RequestSpec | None:
+    """Reads the request's specification from its headers; `waited` is the time in s that it waited already.
+
+    Returns None if the id, the idempotency key, the request class or the deadline is missing or invalid.
+    """
     headers = request.headers
-    if not WORD.fullmatch(headers.get(protocol.REQUEST_ID, "")) or not WORD.fullmatch(
+    if not IDENTIFIER.fullmatch(headers.get(protocol.REQUEST_ID, "")) or not IDENTIFIER.fullmatch(
         headers.get(protocol.IDEMPOTENCY_KEY, "-")
     ):
         return None
-    if profiles and headers.get(protocol.REQUEST_CLASS, "") not in profiles:
-        # Guards against work that no server knows: each would only refuse it, at the cost of sound jobs.
+    if request_classes and headers.get(protocol.REQUEST_CLASS, "") not in request_classes:
+        # Guards against unknown request classes: endpoints only reject them, at the cost of valid requests.
         return None
-    left = _whole(headers.get(protocol.DEADLINE_MS, ""))
-    hint = _whole(headers.get(protocol.WORK_HINT, ""), HINT_MOST)
-    if left is None:
+    milliseconds = _whole_number(headers.get(protocol.DEADLINE_MS, ""))
+    microseconds = _whole_number(headers.get(protocol.WORK_HINT, ""), MAX_MICROSECOND_DIGITS)
+    if milliseconds is None:
         return None
     return RequestSpec(
         request_class=headers.get(protocol.REQUEST_CLASS, ""),
-        time_left=left / 1000 - waited,
+        time_left=milliseconds / 1000 - waited,
         complete=not request.more_body,
         idempotency=idempotency_of(request.method, protocol.IDEMPOTENCY_KEY in headers),
         tenant=headers.get(protocol.TENANT, ""),
         is_client_retry=headers.get(protocol.CLIENT_RETRY) == "1",
-        work_hint=None if hint is None else hint / 1e6,  # microseconds on sockets
+        work_hint=None if microseconds is None else microseconds / 1e6,  # sent in microseconds
     )
 
 
-def _whole(text: str, most: int = DIGITS_MOST) -> int | None:
-    """A whole number; None where there is none, or an absurd one (a float would let "nan" in)."""
-    return int(text) if text.isascii() and text.isdigit() and len(text) <= most else None
+def _whole_number(text: str, max_digits: int = MAX_MILLISECOND_DIGITS) -> int | None:
+    """Parses a whole number; None if it is invalid or too long. A float would accept "nan"."""
+    return int(text) if text.isascii() and text.isdigit() and len(text) <= max_digits else None
 
 
-def idempotency_of(method: str, numbered: bool) -> Idempotency:
-    """What method and key say a second run does."""
+def idempotency_of(method: str, has_key: bool) -> Idempotency:
+    """Returns what a second execution does, by the method and by whether there is an idempotency key."""
     if method == "GET":
         return Idempotency.IDEMPOTENT
-    return Idempotency.KEYED if numbered else Idempotency.NON_IDEMPOTENT
+    return Idempotency.KEYED if has_key else Idempotency.NON_IDEMPOTENT
--- a/notchjunction/net/upstream_connection.py
+++ b/notchjunction/net/upstream_connection.py
@@ -207,8 +207,8 @@
                 and self._last_write.done()
                 and self._last_write.exception() is None
             ):
-                # Guards against reporting that it never ran if the connection ends after the last write is done
-                # and before that has been noticed here.
+                # Guards against reporting that it never ran if the connection ends after the last write is
+                # done and before that has been noticed here.
                 raise
             raise RequestNotSentError(str(error)) from error
         finally:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -271,7 +271,7 @@
 LOYAL = """
 from notchjunction.net.request_handler import RequestHandler
 RequestHandler.cancel = lambda self: None
-RequestHandler._caller_there = lambda self: True
+RequestHandler._is_client_connected = lambda self: True
 from notchjunction.__main__ import main
 main()
 """
