--- a/notchjunction/net/body_streaming.py
+++ b/notchjunction/net/body_streaming.py
@@ -1,4 +1,4 @@
-"""Bodies that pass through the node in pieces: a caller's to a server, a server's to a caller."""
+"""Bodies streamed through the node: uploads from a client to an upstream, and downloads the other way."""
 
 from __future__ import annotations
 
@@ -17,155 +17,190 @@
     UpstreamConnection,
 )
 
-PIECE_SIZES = ((32, READ_CHUNK_BYTES), (128, 16 * 1024))  # streams up to which a piece has so many bytes
-MIN_PIECE_BYTES = 4 * 1024  # bytes of one past those; memory then depends on the number of descriptors alone
+# Bytes of a piece by the number of open streams: (streams at most, bytes).
+PIECE_SIZES = ((32, READ_CHUNK_BYTES), (128, 16 * 1024))
+# Bytes of a piece with more streams; the memory used then depends only on the number of descriptors.
+MIN_PIECE_BYTES = 4 * 1024
 
 
 class StreamBuffers:
-    """How many bodies pass through, which bounds what each may hold."""
+    """Counts the open streams, and limits what each may buffer."""
 
     def __init__(self) -> None:
         self.active = 0
 
     def piece_size(self) -> int:
-        return next((size for most, size in PIECE_SIZES if self.active <= most), MIN_PIECE_BYTES)
+        """Returns the number of bytes that a stream may buffer in each direction now."""
+        return next(
+            (size for max_streams, size in PIECE_SIZES if self.active <= max_streams), MIN_PIECE_BYTES
+        )
 
 
 class Upload:
-    """A request's body that goes on. Its beginning is kept; the rest is held only until it is sent on."""
+    """The streamed rest of a request's body.
+
+    The request itself keeps the beginning of the body; the rest is buffered only until it is sent.
+    """
 
     def __init__(self, streams: StreamBuffers) -> None:
-        self.consumed = False  # whether more than the beginning was given out: it can't be sent again
-        self.complete = False  # whether the caller's last byte has come
+        self.consumed = False  # part of the rest was handed out, so the request can't be repeated
+        self.complete = False  # the last byte has been received from the client
         self._streams = streams
         self._pieces: deque[bytes] = deque()
-        self._held = 0
-        self._news = asyncio.Event()
-        self._taken = asyncio.Event()
+        self._buffered = 0
+        self._changed = asyncio.Event()
+        self._room_made = asyncio.Event()
         self._open = True
-        self._lost = False  # whether it was closed with some of it not given out
+        self._truncated = False  # closed before all of it was handed out
         streams.active += 1
 
     def has_room(self) -> bool:
-        """Whether there is room for a further piece; a server that does not read leaves none."""
-        return not self.complete and self._held < self._streams.piece_size()
+        """Whether there is room for another piece; there is none while the upstream reads nothing."""
+        return not self.complete and self._buffered < self._streams.piece_size()
 
     @property
     def drained(self) -> bool:
-        """Whether its last byte has been given out."""
-        return self.complete and not self._pieces and not self._lost
+        """Whether the last byte has been handed out."""
+        return self.complete and not self._pieces and not self._truncated
 
     async def wait_for_room(self) -> None:
+        """Waits until there is room for another piece."""
         while not self.has_room():
-            self._taken.clear()
-            await self._taken.wait()
+            self._room_made.clear()
+            await self._room_made.wait()
 
     def put(self, piece: bytes, ended: bool) -> None:
+        """Adds a piece received from the client; `ended` says whether it is the last one."""
         if piece:
             self._pieces.append(piece)
-            self._held += len(piece)
+            self._buffered += len(piece)
         self.complete = ended
-        self._news.set()
+        self._changed.set()
 
     async def get(self) -> bytes:
-        """The next piece; an empty one at the end. Withheld where the rest was given up."""
+        """Returns the next piece, or an empty one at the end.
+
+        Raises:
+            AttemptWithheldError: The upload was closed before all of it was handed out.
+        """
         while not self._pieces:
-            if self._lost:
-                # Guards against a dispatch that nobody recalls: it would wait for ever for what never comes.
+            if self._truncated:
+                # Guards against an attempt that isn't cancelled: it would wait forever for the next piece.
                 raise AttemptWithheldError("the rest was given up")
             if self.complete:
                 return b""
-            self._news.clear()
-            await self._news.wait()
+            self._changed.clear()
+            await self._changed.wait()
         self.consumed = True
         piece = self._pieces.popleft()
-        self._held -= len(piece)
-        self._taken.set()
+        self._buffered -= len(piece)
+        self._room_made.set()
         return piece
 
     def close(self) -> None:
+        """Ends the upload and discards what is buffered."""
         if self._open:
             self._open = False
             self._streams.active -= 1
-            self._lost = not self.complete or bool(self._pieces)
+            self._truncated = not self.complete or bool(self._pieces)
             self._pieces.clear()
-            self._news.set()
+            self._changed.set()
 
 
 class Download:
-    """An answer that has begun to come and goes on; whoever passes it on pulls its pieces."""
+    """A streamed response; its reader takes the pieces of the body one by one."""
 
     def __init__(
         self,
         streams: StreamBuffers,
         connection: UpstreamConnection,
-        answers: ResponseReader,
+        parser: ResponseReader,
         beginning: Response,
     ) -> None:
         self.beginning = beginning
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.moved = False  # to another process of the node, with its connection
+        self.moved = False  # to another process of the node, together with its connection
         self._streams = streams
         self._connection = connection
-        self._answers = answers
+        self._parser = parser
         self.finished = False
         self._open = True
         streams.active += 1
 
     def take_piece(self) -> bytes:
-        """What has come and can be passed on; MalformedMessageError where it can't be read."""
+        """Returns what has been received of the body.
+
+        Raises:
+            MalformedMessageError: The body can't be parsed.
+        """
         if self.finished:
             return b""
-        piece, self.finished = self._answers.take_piece()
+        piece, self.finished = self._parser.take_piece()
         return piece
 
     @property
     def socket(self) -> socket.socket:
+        """The socket of the upstream connection."""
         return self._connection.socket
 
     @property
     def state(self) -> dict[str, Any]:
-        return self._answers.state()
+        """The position in the body, for another process to continue from."""
+        return self._parser.state()
 
     def take_buffered(self) -> bool:
-        """Takes in what has come: only its state is held here then. False where its server has ended."""
-        held = self._connection.take_buffered()
-        if held is None:
+        """Moves what the connection has received into the parser, so that `state` covers it.
+
+        Returns False if the upstream has closed the connection.
+        """
+        received = self._connection.take_buffered()
+        if received is None:
             return False
-        self._answers.feed(held)
+        self._parser.feed(received)
         return True
 
-    async def wait_readable(self, until: asyncio.Event) -> None:
-        """Until more of the answer has come, or that event; Cut where neither does for long."""
+    async def wait_readable(self, event: asyncio.Event) -> None:
+        """Waits until more of the response has been received, or until the event is set.
+
+        Raises:
+            ConnectionLostError: Neither happened for `STALL_TIMEOUT_S`.
+        """
         reading: asyncio.Future[Any] = self._connection.start_reading(self._streams.piece_size())
-        told: asyncio.Future[Any] = asyncio.ensure_future(until.wait())
+        event_set: asyncio.Future[Any] = asyncio.ensure_future(event.wait())
         try:
-            await asyncio.wait({reading, told}, timeout=STALL_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {reading, event_set}, timeout=STALL_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            told.cancel()
-        if not reading.done() and not until.is_set():
+            event_set.cancel()
+        if not reading.done() and not event.is_set():
             raise ConnectionLostError("nothing more comes")
 
     def has_more(self) -> bool:
+        """Whether `read_more` returns at once."""
         return self._connection.has_read()
 
     async def read_more(self) -> None:
-        """Takes in what comes next; Cut where nothing does, and the answer is not over."""
+        """Feeds the next received bytes to the parser.
+
+        Raises:
+            ConnectionLostError: The connection ended before the end of the response.
+        """
         try:
-            self._answers.feed(await self._connection.read(self._streams.piece_size()))
+            self._parser.feed(await self._connection.read(self._streams.piece_size()))
         except ConnectionLostError as error:
-            if not error.clean or not self._answers.ends_with_connection():
+            if not error.clean or not self._parser.ends_with_connection():
                 raise
             self.finished = True
 
     def move(self) -> None:
-        """Another process has the connection and reads on from here."""
+        """Closes this process's side: another process has the connection and continues from `state`."""
         self.moved = True
-        # At once: an event that is already due would read here what the other process waits for.
+        # At once: an event that is already due would read bytes here that the other process waits for.
         self._connection.close()
 
     def close(self, error: ConnectionLostError | MalformedMessageError | None = None) -> None:
-        """Nothing more will be pulled: the answer is over, or was given up for this error."""
+        """Ends the stream: the response is complete, or was abandoned because of the error."""
         if self._open:
             self._open = False
             self._streams.active -= 1
--- a/notchjunction/net/descriptors.py
+++ b/notchjunction/net/descriptors.py
@@ -1,62 +1,63 @@
-"""The budget of open descriptors: each connection takes one and gives it back where it is closed."""
+"""The budget of file descriptors: each connection takes one, and releases it when it is closed."""
 
 from __future__ import annotations
 
 import errno
 
-BASE_DESCRIPTORS = (
-    16  # descriptors of the program itself: standard streams, event loop, listener, discovery, and slack
-)
-MARGIN_SHARE = 0.1  # share of the limit left unused; closed sockets are counted late by the operating system
-MIN_UPSTREAM_SHARE = (
-    1 / 3
-)  # share that callers never get: without connections to servers none of them is served
+BASE_DESCRIPTORS = 16  # of the program itself: standard streams, event loop, listener, discovery, and slack
+MARGIN_SHARE = 0.1  # of the limit, left unused: the operating system frees closed sockets with a delay
+MIN_UPSTREAM_SHARE = 1 / 3  # that clients never get: without upstream connections no client is served
 
-SHORTAGE_ERRNOS = (
-    errno.EMFILE,
-    errno.ENFILE,
-    errno.ENOBUFS,
-    errno.ENOMEM,
-)  # the operating system has none to give
-SHORTAGE_PAUSE_S = 0.05  # s until a listener is heard again where there was none for who came
+# Errors of a call for which the operating system has no descriptor or no memory.
+SHORTAGE_ERRNOS = (errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM)
+SHORTAGE_PAUSE_S = 0.05  # until a listener accepts again after an accept failed for lack of descriptors
 
 
 class Descriptors:
+    """Counts the descriptors in use and limits them, in total and for clients."""
+
     def __init__(self, limit: int, reserved: int = 0) -> None:
         self._margin = int(limit * MARGIN_SHARE)
         self._max = max(8, limit - self._margin - BASE_DESCRIPTORS - reserved)
         self._max_clients = self._max - int(self._max * MIN_UPSTREAM_SHARE)
         self.in_use = 0
         self.clients = 0
-        # What another process of the same node uses, while there is one: the limit is the node's.
+        # Used by another process of the same node, while there is one: the limit is for the whole node.
         self.other_process = 0
         self.other_process_clients = 0
 
     def full(self) -> bool:
+        """Whether all descriptors up to the margin are used."""
         return self.in_use + self.other_process >= self._max
 
     def clients_over_share(self) -> bool:
+        """Whether clients use up their share."""
         return self.clients + self.other_process_clients >= self._max_clients
 
     def full_for_clients(self) -> bool:
+        """Whether there is no descriptor for another client, short of the margin."""
         return self.clients_over_share() or self.full()
 
     def exhausted(self) -> bool:
-        """Whether half the margin is used too."""
-        over = self._margin // 2
+        """Whether half of the margin is used as well, in total or by clients."""
+        extra = self._margin // 2
         in_use, clients = self.in_use + self.other_process, self.clients + self.other_process_clients
-        return in_use >= self._max + over or clients >= self._max_clients + over
+        return in_use >= self._max + extra or clients >= self._max_clients + extra
 
     def take(self) -> None:
+        """Counts a descriptor as used."""
         self.in_use += 1
 
     def release(self) -> None:
+        """Counts a descriptor as free again."""
         self.in_use -= 1
 
     def take_for_client(self) -> None:
+        """Counts a descriptor as used by a client."""
         self.clients += 1
         self.take()
 
     def release_for_client(self) -> None:
+        """Counts a client's descriptor as free again."""
         self.clients -= 1
         self.release()
