--- a/notchjunction/net/body_streaming.py
+++ b/notchjunction/net/body_streaming.py
@@ -30,7 +30,7 @@
         self.active = 0
 
     def piece_size(self) -> int:
-        """Returns the number of bytes that a stream may buffer in each direction now."""
+        """Returns the size of a piece in bytes at the present number of open streams."""
         return next(
             (size for max_streams, size in PIECE_SIZES if self.active <= max_streams), MIN_PIECE_BYTES
         )
@@ -86,7 +86,7 @@
         while not self._pieces:
             if self._truncated:
                 # Guards against an attempt that isn't cancelled: it would wait forever for the next piece.
-                raise AttemptWithheldError("the rest was given up")
+                raise AttemptWithheldError("the upload was closed")
             if self.complete:
                 return b""
             self._changed.clear()
@@ -174,7 +174,7 @@
         finally:
             event_set.cancel()
         if not reading.done() and not event.is_set():
-            raise ConnectionLostError("nothing more comes")
+            raise ConnectionLostError("no bytes received in time")
 
     def has_more(self) -> bool:
         """Whether `read_more` returns at once."""
--- a/notchjunction/net/upstream_connection.py
+++ b/notchjunction/net/upstream_connection.py
@@ -252,7 +252,7 @@
             # Closed here, not by the handler of the error: until that runs, the stream would go on writing.
             if loop.time() >= deadline:
                 self.close()
-                raise RequestNotSentError("takes nothing more")
+                raise RequestNotSentError("the upstream accepts no more bytes")
             if (body is None or body.complete) and not is_wanted():
                 # Guards against completing an unwanted request later, when the upstream accepts more bytes.
                 self.close()
--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -137,7 +137,7 @@
                 first.sendall(OUT[:-2] if call_is == "half" else OUT)
                 if call_is != "half":
                     await begun.wait()
-                while call_is != "under way" and not node._management._unread:
+                while call_is != "under way" and not node._management._incomplete:
                     await asyncio.sleep(0.001)
                 second.connect(mgmt)
                 given_up = second if call_is == "under way" else first
@@ -181,7 +181,9 @@
                     if stands != "in the queue":
                         operator.connect(mgmt)
                         operator.sendall(OUT[:-2] if stands == "half come" else OUT)
-                        while not (begun.is_set() or (stands == "half come" and node._management._unread)):
+                        while not (
+                            begun.is_set() or (stands == "half come" and node._management._incomplete)
+                        ):
                             await asyncio.sleep(0.001)
                     else:
                         for listener in node._management._listeners:
@@ -207,7 +209,7 @@
             with socket.socket() as operator:
                 async with running(peer, mgmt=mgmt) as (node, _):
                     operator.connect(mgmt)
-                    while not node._management._unread:
+                    while not node._management._incomplete:
                         await asyncio.sleep(0.001)
                 assert await heard(operator) == b""
 
