--- a/notchjunction/http1/parser.py
+++ b/notchjunction/http1/parser.py
@@ -303,9 +303,9 @@
         if more and len(self._body) <= self._max_buffered_body:
             return None
         self._streaming = more
-        chunks = version != "HTTP/1.0"
+        accepts_chunked = version != "HTTP/1.0"
         body, keep_alive = self._take_body(), self._keeps_alive(version)
-        request = Request(method, target, self._headers, body, keep_alive, more, self.length, chunks)
+        request = Request(method, target, self._headers, body, keep_alive, more, self.length, accepts_chunked)
         if not more:
             self._end_message()
         return request
@@ -335,7 +335,7 @@
                     self._interim_responses += 1
                     # No request here asks for another protocol, and a long series might never end.
                     if status == "101" or self._interim_responses > MAX_INTERIM_RESPONSES:
-                        raise MalformedMessageError(502, "unexpected interim answer")
+                        raise MalformedMessageError(502, "unexpected interim response")
                     self._end_message()
                     continue
                 self._keep_alive = self._keeps_alive(version)
--- a/notchjunction/net/upstream.py
+++ b/notchjunction/net/upstream.py
@@ -76,13 +76,13 @@
     # With an upload: s on the pool's clock when the timeout ends; known once the last byte is received.
     upload_expires_at: Callable[[], float] = lambda: math.inf
     on_response_start: Callable[[Download], None] | None = None  # called for a large response
-    # Called with the deadline sent along (s); returns whether the fleet's quotas permit the attempt.
+    # Called with the remaining time (s) that is sent as deadline; returns whether fleet quotas allow it.
     acquire_quota: Callable[[float], bool] | None = None
     is_wanted: Callable[[], bool] = lambda: True  # the request is unanswered and the attempt not cancelled
     client_connected: Callable[[], bool] = lambda: True
     # s on the pool's clock, until which the attempt can't make an effect happen twice.
     repeatable_until: Callable[[], float] = lambda: math.inf
-    # Called when it is written, with the deadline sent along (s).
+    # Called when it is written, with the remaining time (s) that is sent as deadline.
     on_written: Callable[[float], None] = lambda time_left: None
 
     def is_still_wanted(self) -> bool:
@@ -144,7 +144,9 @@
         self._late_connects: dict[str, set[PendingConnect]] = {}
         self._reset_at = -math.inf
         self._idle_lifetimes: dict[str, deque[tuple[float, float]]] = {}
-        counters.gauge("connections_idle", lambda: sum(len(kept) for kept in self._idle.values()))
+        counters.gauge(
+            "connections_idle", lambda: sum(len(connections) for connections in self._idle.values())
+        )
         counters.gauge("endpoints_active", lambda: len(self._addresses))
 
     def apply_settings(self, connect_timeout: float, idle_timeout: float, load_path: str) -> None:
@@ -175,26 +177,26 @@
             for name, value in request.headers.items()
             if name in protocol.FORWARDED_REQUEST_HEADERS and value.isascii()
         }
-        exchanged = await self._exchange(attempt, replace(request, headers=headers))
+        result = await self._exchange(attempt, replace(request, headers=headers))
         return replace(
-            exchanged, outcome=replace(exchanged.outcome, unrepeatable=upload is not None and upload.consumed)
+            result, outcome=replace(result.outcome, unrepeatable=upload is not None and upload.consumed)
         )
 
     async def probe(self, endpoint: str) -> ExchangeOutcome:
         """Sends a probe. A successful one yields a load report if it goes to the path of load reports."""
         request = Request("GET", self._load_path, {"host": "probe"})
         probe = AttemptSpec(endpoint, self._clock() + PROBE_TIMEOUT_S)
-        exchanged = await self._exchange(probe, request)
-        response = exchanged.response
+        result = await self._exchange(probe, request)
+        response = result.response
         if (
-            exchanged.outcome.result is AttemptResult.SUCCEEDED
+            result.outcome.result is AttemptResult.SUCCEEDED
             and response is not None
             and self._load_path == protocol.LOAD_PATH
         ):
             return ExchangeOutcome(
-                AttemptResult.SUCCEEDED, exchanged.outcome.seconds, parse_load_report(response.body)
+                AttemptResult.SUCCEEDED, result.outcome.seconds, parse_load_report(response.body)
             )
-        return exchanged.outcome
+        return result.outcome
 
     def close_stale(self) -> None:
         """Closes connections that have been idle for too long or were closed by their upstream."""
@@ -202,7 +204,11 @@
 
     def close_oldest(self) -> bool:
         """Closes the connection that has been idle longest; returns False if none is idle."""
-        oldest = [(kept[0].idle_since, endpoint) for endpoint, kept in self._idle.items() if kept]
+        oldest = [
+            (connections[0].idle_since, endpoint)
+            for endpoint, connections in self._idle.items()
+            if connections
+        ]
         if not oldest:
             return False
         self._close(self._idle[min(oldest)[1]].popleft())
@@ -458,12 +464,12 @@
         self._counters.add("responses_unsolicited")
 
     def _close_idle_where(self, matches: Callable[[str, UpstreamConnection], bool]) -> None:
-        for endpoint, kept in list(self._idle.items()):
-            for connection in list(kept):
+        for endpoint, connections in list(self._idle.items()):
+            for connection in list(connections):
                 if matches(endpoint, connection):
-                    kept.remove(connection)
+                    connections.remove(connection)
                     self._close_idle(endpoint, connection)
-            if not kept:
+            if not connections:
                 del self._idle[endpoint]
 
     def is_listed(self, endpoint: str) -> bool:
