--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -51,7 +51,7 @@
         """Writes a body piece by piece as it comes, and its end; whether the connection can be used again.
 
         Raises:
-            ConnectionLost, MalformedMessageError: The endpoint's side of the response ended or is no
+            ConnectionLostError, MalformedMessageError: The endpoint's side of the response ended or is no
                 response.
             StreamClosedError: The client has gone or does not read.
         """
