--- a/notchjunction/net/body_streaming.py
+++ b/notchjunction/net/body_streaming.py
@@ -1,4 +1,4 @@
-"""Bodies that pass through the node in pieces: a caller's to a server, a server's to a caller."""
+"""Bodies streamed through the node: uploads from a client to an upstream, and downloads the other way."""
 
 from __future__ import annotations
 
@@ -7,164 +7,203 @@
 from collections import deque
 from typing import Any
 
-from notchjunction.http1.messages import Answer, Malformed
-from notchjunction.http1.parser import AnswerReader
+from notchjunction.http1.messages import MalformedMessageError, Response
+from notchjunction.http1.parser import ResponseReader
 from notchjunction.net.upstream_connection import (
-    PIECE,
-    STALL_MOST,
-    AttemptWithheld,
-    ConnectionLost,
+    READ_CHUNK_BYTES,
+    STALL_TIMEOUT_S,
+    AttemptWithheldError,
+    ConnectionLostError,
     UpstreamConnection,
 )
 
-STEPS = ((32, PIECE), (128, 16 * 1024))  # streams up to which a piece has so many bytes
-PIECE_LEAST = 4 * 1024  # bytes of one past those; memory then depends on the number of descriptors alone
+# Bytes of a piece by the number of open streams: (streams at most, bytes).
+PIECE_SIZES = ((32, READ_CHUNK_BYTES), (128, 16 * 1024))
+# Bytes of a piece with more streams; the memory used then depends only on the number of descriptors.
+MIN_PIECE_BYTES = 4 * 1024
 
 
 class StreamBuffers:
-    """How many bodies pass through, which bounds what each may hold."""
+    """Counts the open streams, and limits what each may buffer."""
 
     def __init__(self) -> None:
-        self.open = 0
+        self.active = 0
 
-    def piece(self) -> int:
-        return next((size for most, size in STEPS if self.open <= most), PIECE_LEAST)
+    def piece_size(self) -> int:
+        """Returns the size of a piece in bytes at the present number of open streams."""
+        return next(
+            (size for max_streams, size in PIECE_SIZES if self.active <= max_streams), MIN_PIECE_BYTES
+        )
 
 
 class Upload:
-    """A request's body that goes on. Its beginning is kept; the rest is held only until it is sent on."""
+    """The streamed rest of a request's body.
+
+    The request itself keeps the beginning of the body; the rest is buffered only until it is sent.
+    """
 
     def __init__(self, streams: StreamBuffers) -> None:
-        self.spent = False  # whether more than the beginning was given out: it can't be sent again
-        self.ended = False  # whether the caller's last byte has come
+        self.consumed = False  # part of the rest was handed out, so the request can't be repeated
+        self.complete = False  # the last byte has been received from the client
         self._streams = streams
         self._pieces: deque[bytes] = deque()
-        self._held = 0
-        self._news = asyncio.Event()
-        self._taken = asyncio.Event()
+        self._buffered = 0
+        self._changed = asyncio.Event()
+        self._room_made = asyncio.Event()
         self._open = True
-        self._lost = False  # whether it was closed with some of it not given out
-        streams.open += 1
+        self._truncated = False  # closed before all of it was handed out
+        streams.active += 1
 
-    def wants_more(self) -> bool:
-        """Whether there is room for a further piece; a server that does not read leaves none."""
-        return not self.ended and self._held < self._streams.piece()
+    def has_room(self) -> bool:
+        """Whether there is room for another piece; there is none while the upstream reads nothing."""
+        return not self.complete and self._buffered < self._streams.piece_size()
 
     @property
-    def given(self) -> bool:
-        """Whether its last byte has been given out."""
-        return self.ended and not self._pieces and not self._lost
+    def drained(self) -> bool:
+        """Whether the last byte has been handed out."""
+        return self.complete and not self._pieces and not self._truncated
 
-    async def room(self) -> None:
-        while not self.wants_more():
-            self._taken.clear()
-            await self._taken.wait()
+    async def wait_for_room(self) -> None:
+        """Waits until there is room for another piece."""
+        while not self.has_room():
+            self._room_made.clear()
+            await self._room_made.wait()
 
     def put(self, piece: bytes, ended: bool) -> None:
+        """Adds a piece received from the client; `ended` says whether it is the last one."""
         if piece:
             self._pieces.append(piece)
-            self._held += len(piece)
-        self.ended = ended
-        self._news.set()
+            self._buffered += len(piece)
+        self.complete = ended
+        self._changed.set()
 
     async def get(self) -> bytes:
-        """The next piece; an empty one at the end. Withheld where the rest was given up."""
+        """Returns the next piece, or an empty one at the end.
+
+        Raises:
+            AttemptWithheldError: The upload was closed before all of it was handed out.
+        """
         while not self._pieces:
-            if self._lost:
-                # Guards against a dispatch that nobody recalls: it would wait for ever for what never comes.
-                raise AttemptWithheld("the rest was given up")
-            if self.ended:
+            if self._truncated:
+                # Guards against an attempt that isn't cancelled: it would wait forever for the next piece.
+                raise AttemptWithheldError("the upload was closed")
+            if self.complete:
                 return b""
-            self._news.clear()
-            await self._news.wait()
-        self.spent = True
+            self._changed.clear()
+            await self._changed.wait()
+        self.consumed = True
         piece = self._pieces.popleft()
-        self._held -= len(piece)
-        self._taken.set()
+        self._buffered -= len(piece)
+        self._room_made.set()
         return piece
 
     def close(self) -> None:
+        """Ends the upload and discards what is buffered."""
         if self._open:
             self._open = False
-            self._streams.open -= 1
-            self._lost = not self.ended or bool(self._pieces)
+            self._streams.active -= 1
+            self._truncated = not self.complete or bool(self._pieces)
             self._pieces.clear()
-            self._news.set()
+            self._changed.set()
 
 
 class Download:
-    """An answer that has begun to come and goes on; whoever passes it on pulls its pieces."""
+    """A streamed response; its reader takes the pieces of the body one by one."""
 
     def __init__(
-        self, streams: StreamBuffers, connection: UpstreamConnection, answers: AnswerReader, beginning: Answer
+        self,
+        streams: StreamBuffers,
+        connection: UpstreamConnection,
+        parser: ResponseReader,
+        beginning: Response,
     ) -> None:
         self.beginning = beginning
         self.ended: asyncio.Future[None] = asyncio.get_running_loop().create_future()
-        self.moved = False  # to another process of the node, with its connection
+        self.moved = False  # to another process of the node, together with its connection
         self._streams = streams
         self._connection = connection
-        self._answers = answers
-        self.over = False
+        self._parser = parser
+        self.finished = False
         self._open = True
-        streams.open += 1
+        streams.active += 1
+
+    def take_piece(self) -> bytes:
+        """Returns what has been received of the body.
 
-    def ready_piece(self) -> bytes:
-        """What has come and can be passed on; Malformed where it can't be read."""
-        if self.over:
+        Raises:
+            MalformedMessageError: The body can't be parsed.
+        """
+        if self.finished:
             return b""
-        piece, self.over = self._answers.piece()
+        piece, self.finished = self._parser.take_piece()
         return piece
 
     @property
     def socket(self) -> socket.socket:
+        """The socket of the upstream connection."""
         return self._connection.socket
 
     @property
     def state(self) -> dict[str, Any]:
-        return self._answers.state()
+        """The position in the body, for another process to continue from."""
+        return self._parser.state()
 
-    def take_held(self) -> bool:
-        """Takes in what has come: only its state is held here then. False where its server has ended."""
-        held = self._connection.take_held()
-        if held is None:
+    def take_buffered(self) -> bool:
+        """Moves what the connection has received into the parser, so that `state` covers it.
+
+        Returns False if the upstream has closed the connection.
+        """
+        received = self._connection.take_buffered()
+        if received is None:
             return False
-        self._answers.feed(held)
+        self._parser.feed(received)
         return True
 
-    async def waits(self, until: asyncio.Event) -> None:
-        """Until more of the answer has come, or that event; Cut where neither does for long."""
-        reading: asyncio.Future[Any] = self._connection.start_reading(self._streams.piece())
-        told: asyncio.Future[Any] = asyncio.ensure_future(until.wait())
+    async def wait_readable(self, event: asyncio.Event) -> None:
+        """Waits until more of the response has been received, or until the event is set.
+
+        Raises:
+            ConnectionLostError: Neither happened for `STALL_TIMEOUT_S`.
+        """
+        reading: asyncio.Future[Any] = self._connection.start_reading(self._streams.piece_size())
+        event_set: asyncio.Future[Any] = asyncio.ensure_future(event.wait())
         try:
-            await asyncio.wait({reading, told}, timeout=STALL_MOST, return_when=asyncio.FIRST_COMPLETED)
+            await asyncio.wait(
+                {reading, event_set}, timeout=STALL_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED
+            )
         finally:
-            told.cancel()
-        if not reading.done() and not until.is_set():
-            raise ConnectionLost("nothing more comes")
+            event_set.cancel()
+        if not reading.done() and not event.is_set():
+            raise ConnectionLostError("no bytes received in time")
 
     def has_more(self) -> bool:
+        """Whether `read_more` returns at once."""
         return self._connection.has_read()
 
-    async def more(self) -> None:
-        """Takes in what comes next; Cut where nothing does, and the answer is not over."""
+    async def read_more(self) -> None:
+        """Feeds the next received bytes to the parser.
+
+        Raises:
+            ConnectionLostError: The connection ended before the end of the response.
+        """
         try:
-            self._answers.feed(await self._connection.read(self._streams.piece()))
-        except ConnectionLost as error:
-            if not error.clean or not self._answers.sound_end():
+            self._parser.feed(await self._connection.read(self._streams.piece_size()))
+        except ConnectionLostError as error:
+            if not error.clean or not self._parser.ends_with_connection():
                 raise
-            self.over = True
+            self.finished = True
 
     def move(self) -> None:
-        """Another process has the connection and reads on from here."""
+        """Closes this process's side: another process has the connection and continues from `state`."""
         self.moved = True
-        # At once: an event that is already due would read here what the other process waits for.
+        # At once: an event that is already due would read bytes here that the other process waits for.
         self._connection.close()
 
-    def close(self, error: ConnectionLost | Malformed | None = None) -> None:
-        """Nothing more will be pulled: the answer is over, or was given up for this error."""
+    def close(self, error: ConnectionLostError | MalformedMessageError | None = None) -> None:
+        """Ends the stream: the response is complete, or was abandoned because of the error."""
         if self._open:
             self._open = False
-            self._streams.open -= 1
+            self._streams.active -= 1
         if not self.ended.done():
             if error is None:
                 self.ended.set_result(None)
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -13,11 +13,11 @@
 from tornado.netutil import bind_sockets
 
 from notchjunction.addresses import Address
-from notchjunction.http1.encoder import encode_answer
-from notchjunction.http1.messages import Answer
+from notchjunction.http1.encoder import encode_response
+from notchjunction.http1.messages import Response
 from notchjunction.net.client_registry import ClientRegistry
 from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
-from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 from notchjunction.net.event_loop import waited_most
 from notchjunction.net.socket_stream import give_up
 from notchjunction.telemetry.logs import pairs
@@ -38,7 +38,7 @@
     0.01  # between looks for room past the margin, while clients wait; rejections take less
 )
 ROOM_TIMEOUT_S = 0.3  # that they wait for it, then they are rejected; most deadlines are longer
-REJECTION = encode_answer(Answer(503, keep=False))
+REJECTION = encode_response(Response(503, keep_alive=False))
 SHORTAGE_LOG_INTERVAL_S = 10.0  # in which one line says that the system has no descriptor for a client
 
 
@@ -185,7 +185,7 @@
         Guards against a client gone before it was accepted, and descriptors that others use up.
         """
         self._counters.add("accepts_failed")
-        short = error.errno in SHORT
+        short = error.errno in SHORTAGE_ERRNOS
         if not short or self._clients.clock() > self._shortage_logged_at + SHORTAGE_LOG_INTERVAL_S:
             log.warning("accept failed", extra=pairs(why=error))
             self._shortage_logged_at = self._clients.clock() if short else self._shortage_logged_at
@@ -194,7 +194,7 @@
             return True
         if short:
             # Guards against a loop that does nothing but fail: the listener stays readable.
-            self._hold_off(SHORT_PAUSE)
+            self._hold_off(SHORTAGE_PAUSE_S)
         return False
 
     def _let_in(self, connection: socket.socket) -> None:
--- a/notchjunction/net/fleet_transport.py
+++ b/notchjunction/net/fleet_transport.py
@@ -20,7 +20,7 @@
 from notchjunction.fleet.agent import Datagram, FleetAgent, read_section
 from notchjunction.fleet.quotas.borrower import REQUEST_TIMEOUT_S
 from notchjunction.fleet.quotas.state import Permit
-from notchjunction.http1.messages import Answer
+from notchjunction.http1.messages import Response
 from notchjunction.net.request_handler import rejection
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
@@ -69,7 +69,7 @@
         self._in_flight: dict[int, tuple[list[Permit], float]] = {}
         self._closed = False
 
-    def write(self, attempt: int, timeout: float) -> bool:
+    def acquire(self, attempt: int, timeout: float) -> bool:
         """Returns whether an attempt with this timeout (s) may be written now, and tracks it if so."""
         until = self._transport.attempt_end(timeout)
         permits = self._unused.pop() if self._unused else self._transport.acquire(self._quotas, until)
@@ -80,7 +80,7 @@
         self._in_flight[attempt] = permits, until
         return True
 
-    def landed(self, attempt: int, answered: bool) -> None:
+    def attempt_ended(self, attempt: int, answered: bool) -> None:
         """Reuses or releases the permits of an attempt that ended.
 
         Without an answer the endpoint may go on until the timeout, so the permits stay in use until then.
@@ -255,7 +255,7 @@
 
     # Permits.
 
-    async def admit(self, spec: RequestSpec) -> Answer | tuple[RequestPermits | None, RequestSpec]:
+    async def admit(self, spec: RequestSpec) -> Response | tuple[RequestPermits | None, RequestSpec]:
         """Waits for a permit under each quota that applies to a request.
 
         Returns:
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -36,7 +36,7 @@
 from notchjunction.net.body_streaming import StreamBuffers, Upload
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_registry import LINGER_FINAL_S, ClientRegistry, ClientServices
-from notchjunction.net.descriptors import OWN, Descriptors
+from notchjunction.net.descriptors import BASE_DESCRIPTORS, Descriptors
 from notchjunction.net.discovery_client import DiscoveryClient
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.net.upstream import UpstreamPool
@@ -321,7 +321,7 @@
 
     def usage(self) -> ResourceUsage:
         """Returns the descriptors that this process uses and the clients it has."""
-        return ResourceUsage(self._descriptors.held, self._descriptors.callers)
+        return ResourceUsage(self._descriptors.in_use, self._descriptors.clients)
 
     def apply_operator_command(self, command: str, value: Any) -> None:
         """Applies a command that an operator sent to another process of the node."""
@@ -343,7 +343,7 @@
 
     def adopt_stream(self, state: Mapping[str, Any], client: socket.socket, upstream: socket.socket) -> None:
         """Continues a response that another process of the node began to forward."""
-        download = self._upstreams.adopt(state["answers"], upstream)
+        download = self._upstreams.adopt_response(state["answers"], upstream)
         self._clients.adopt_stream(state, client, download)
 
     def adopt_upload(self, state: Mapping[str, Any], client: socket.socket) -> None:
@@ -353,9 +353,9 @@
     def peer_usage_changed(self) -> None:
         """Updates the descriptors and clients that the node's other processes use of the shared limit."""
         if self._handover is not None:
-            reserved = self._handover.peer_count * (OWN + admin.DESCRIPTORS)
-            self._descriptors.elsewhere = self._handover.peer_usage().descriptors + reserved
-            self._descriptors.callers_elsewhere = self._handover.peer_usage().clients
+            reserved = self._handover.peer_count * (BASE_DESCRIPTORS + admin.DESCRIPTORS)
+            self._descriptors.other_process = self._handover.peer_usage().descriptors + reserved
+            self._descriptors.other_process_clients = self._handover.peer_usage().clients
 
     async def _send_to_peers(self, command: str, value: Any) -> bool:
         return self._handover is None or await self._handover.send_command(command, value)
@@ -443,7 +443,9 @@
         before, self._config = self._config, config
         self._engine.apply_settings(config.balancer, config.setting_names)
         self._clients.profiles = frozenset(config.setting_names.request_classes)
-        self._upstreams.retune(config.connect_timeout, config.connection_idle_timeout, config.load_path)
+        self._upstreams.apply_settings(
+            config.connect_timeout, config.connection_idle_timeout, config.load_path
+        )
         after_names, before_names = (
             set(config.setting_names.request_classes),
             set(before.setting_names.request_classes),
@@ -670,13 +672,13 @@
     def _update_upstreams(self) -> int:
         """Sets the endpoints to which the upstream pool may connect; returns how many there are."""
         ready = self._endpoints.active(self._engine.banned)
-        self._upstreams.point(ready)
+        self._upstreams.set_endpoints(ready)
         return len(ready)
 
     async def _sweep(self) -> None:
         while True:
             await asyncio.sleep(SWEEP_INTERVAL_S)
-            self._upstreams.sweep()
+            self._upstreams.close_stale()
 
     def _print_counters(self) -> None:
         log.info("counters", extra=pairs(**self.counters.read()))
--- a/notchjunction/upgrade/handover.py
+++ b/notchjunction/upgrade/handover.py
@@ -18,7 +18,7 @@
 from contextlib import suppress
 from typing import Any, Protocol
 
-from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
+from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
 from notchjunction.upgrade.channel import Channel
@@ -172,9 +172,9 @@
             if self._listener is not None:
                 self._listener.close()
                 self._listener = None
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 # Guards against a next process that finds no socket, for a momentary lack of descriptors.
-                self._retry_call = self._loop.call_later(SHORT_PAUSE, retry)
+                self._retry_call = self._loop.call_later(SHORTAGE_PAUSE_S, retry)
         for channel in self._channels:
             channel.send(ReadyMessage())
 
@@ -188,9 +188,9 @@
                 self._successor_replaced = True
             return
         except OSError as error:
-            if error.errno in (*SHORT, errno.EAGAIN):
+            if error.errno in (*SHORTAGE_ERRNOS, errno.EAGAIN):
                 # Guards against replacing a live process's socket: the error doesn't tell whether it runs.
-                self._retry_call = self._loop.call_later(SHORT_PAUSE, self._reclaim_socket_path)
+                self._retry_call = self._loop.call_later(SHORTAGE_PAUSE_S, self._reclaim_socket_path)
                 return
         # Guards against a next process that finds the socket of an ended one, and so starts without the bans.
         self._try_offer(self._reclaim_socket_path)
@@ -220,7 +220,7 @@
     def _accept_failed(
         self, error: OSError, listener: socket.socket, callback: Callable[[socket.socket], Any]
     ) -> None:
-        if error.errno in SHORT:
+        if error.errno in SHORTAGE_ERRNOS:
             self._retry_reading(listener, callback)
 
     def _retry_reading(self, sock: socket.socket, callback: Callable[[socket.socket], Any]) -> None:
@@ -230,7 +230,7 @@
         """
         self._counters.add("accepts_failed")
         self._loop.remove_reader(sock.fileno())
-        self._loop.call_later(SHORT_PAUSE, self._watch, sock, callback)
+        self._loop.call_later(SHORTAGE_PAUSE_S, self._watch, sock, callback)
         self.has_queued_streams = self._streams_shut_down
 
     def _accept_sender(self, listener: socket.socket) -> bool:
@@ -484,7 +484,7 @@
         try:
             sock = self._connect()
         except OSError as error:
-            if error.errno in SHORT:
+            if error.errno in SHORTAGE_ERRNOS:
                 raise BlockingIOError(error.errno, "no descriptor is available now") from error
             raise
         self._sock.close()
@@ -506,7 +506,7 @@
         for _ in range(count):
             duplicates.append(os.dup(sock.fileno()))
     except OSError as error:
-        return error.errno not in SHORT
+        return error.errno not in SHORTAGE_ERRNOS
     finally:
         for descriptor in duplicates:
             os.close(descriptor)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -24,13 +24,13 @@
 from notchjunction.balancing.engine import BalancerEngine, CancelAttempt, RequestHandle, StartResponse
 from notchjunction.balancing.interface import AttemptOutcome, AttemptResult, ListUpdate, NewRequest
 from notchjunction.discovery.endpoint_list import read_list
-from notchjunction.http1.messages import Answer, Malformed, Request
-from notchjunction.http1.parser import AnswerReader, Reader, RequestReader
+from notchjunction.http1.messages import MalformedMessageError, Request, Response
+from notchjunction.http1.parser import MessageReader, RequestReader, ResponseReader
 from notchjunction.net import body_streaming, request_intake, response_writer, upstream, upstream_connection
 from notchjunction.net.body_streaming import Download, StreamBuffers
 from notchjunction.net.socket_stream import NodeStream
 from notchjunction.net.upstream import AttemptSpec
-from notchjunction.net.upstream_connection import ConnectionLost
+from notchjunction.net.upstream_connection import ConnectionLostError
 from notchjunction.node.node import Node
 from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
@@ -55,7 +55,7 @@
 }
 
 
-def fed(reader: Reader, *pieces: bytes) -> Any:
+def fed(reader: MessageReader, *pieces: bytes) -> Any:
     for piece in pieces:
         reader.feed(piece)
         found = reader.next()  # type: ignore[attr-defined]
@@ -68,19 +68,21 @@
 def test_a_request_is_the_same_cut_at_any_byte(form: str) -> None:
     wire = FORMS[form]
     whole = fed(RequestReader(), wire)
-    assert whole.path == "/api" and whole.body == (b"" if form == "no body" else b"abcde") and whole.keep
+    assert (
+        whole.path == "/api" and whole.body == (b"" if form == "no body" else b"abcde") and whole.keep_alive
+    )
     for at in range(1, len(wire)):
         reader = RequestReader()
-        assert fed(reader, wire[:at], wire[at:]) == whole and not reader.begun
+        assert fed(reader, wire[:at], wire[at:]) == whole and not reader.started
 
 
 @pytest.mark.parametrize("form", ANSWERS)
 def test_an_answer_is_the_same_cut_at_any_byte(form: str) -> None:
     wire = ANSWERS[form]
-    whole = fed(AnswerReader(), wire)
-    assert (whole.status, whole.body, whole.keep) == (200, b"abcde", True)
+    whole = fed(ResponseReader(), wire)
+    assert (whole.status, whole.body, whole.keep_alive) == (200, b"abcde", True)
     for at in range(1, len(wire)):
-        assert fed(AnswerReader(), wire[:at], wire[at:]) == whole
+        assert fed(ResponseReader(), wire[:at], wire[at:]) == whole
 
 
 @pytest.mark.parametrize("step", [1000, 4096, 65536, MB])
@@ -101,23 +103,23 @@
         if beginning is not None:
             found += beginning.body
             assert beginning.length == (None if chunk else len(body))
-            ended = not beginning.more
-        elif reader.going:
-            piece, ended = reader.piece()
+            ended = not beginning.more_body
+        elif reader.streaming:
+            piece, ended = reader.take_piece()
             found += piece
             most = max(most, reader.unread)
-    assert bytes(found) == body and ended and not reader.begun
+    assert bytes(found) == body and ended and not reader.started
     assert most <= 256 + 2  # the line of a chunk's size
 
 
 def test_a_large_body_that_never_ends_is_refused() -> None:
-    reader = RequestReader(large_most=MB)
+    reader = RequestReader(max_body=MB)
     reader.feed(POST + b"Transfer-Encoding: chunked\r\n\r\n")
-    with pytest.raises(Malformed) as refused:
+    with pytest.raises(MalformedMessageError) as refused:
         for _ in range(20):
             reader.feed(b"%x\r\n%b\r\n" % (MB // 10, BODY[: MB // 10]))
-            if reader.going:
-                reader.piece()
+            if reader.streaming:
+                reader.take_piece()
             else:
                 reader.next()
     assert refused.value.status == 413
@@ -146,9 +148,9 @@
                 request = requests.next()
                 if request is not None:
                     body += request.body
-                    ended = not request.more
-            elif requests.going:
-                more, ended = requests.piece()
+                    ended = not request.more_body
+            elif requests.streaming:
+                more, ended = requests.take_piece()
                 body += more
         assert request is not None
         return request, bytes(body)
@@ -202,7 +204,7 @@
 
     async def whole(self) -> tuple[int, bytes, bool]:
         """Status, body and whether it came to its end."""
-        answers, body = AnswerReader(), bytearray()
+        answers, body = ResponseReader(), bytearray()
         status, ended, going = 0, False, False
         async with asyncio.timeout(15):
             while not ended:
@@ -211,16 +213,16 @@
                 except ConnectionError:
                     return status, bytes(body), False
                 if not piece:
-                    return status, bytes(body), going and answers.sound_end()
+                    return status, bytes(body), going and answers.ends_with_connection()
                 answers.feed(piece)
                 if not going:
                     answer = answers.next()
                     if answer is None:
                         continue
-                    status, going, ended = answer.status, answer.more, not answer.more
+                    status, going, ended = answer.status, answer.more_body, not answer.more_body
                     body += answer.body
                 else:
-                    more, ended = answers.piece()
+                    more, ended = answers.take_piece()
                     body += more
         return status, bytes(body), True
 
@@ -324,7 +326,7 @@
 def test_an_answer_that_drips_goes_on_before_much_of_it_has_come(
     length: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "HOLD_SPAN", 0.05)
+    monkeypatch.setattr(upstream_connection, "RESPONSE_HOLD_S", 0.05)
 
     async def story() -> None:
         heard = asyncio.Event()
@@ -380,7 +382,7 @@
 def test_an_answer_broken_off_midway_is_told_as_broken_and_sent_nowhere_else(
     end: str, framing: str, version: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(body_streaming, "STALL_MOST", 0.1)
+    monkeypatch.setattr(body_streaming, "STALL_TIMEOUT_S", 0.1)
 
     async def story() -> None:
         requests = 0
@@ -473,7 +475,7 @@
     async def story() -> None:
         async def breaks(talk: Talk) -> None:
             request, _ = await talk.request(most=200_000)
-            if request.more:
+            if request.more_body:
                 talk.reset()
             else:
                 await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
@@ -485,7 +487,7 @@
                 caller.send(BODY)
                 await asyncio.sleep(0.02)
             answer = await caller.answer()
-            assert answer.status == 503 and answer.keep  # told at once, while it still sends
+            assert answer.status == 503 and answer.keep_alive  # told at once, while it still sends
             caller.send(BODY * 4)
             caller.begin()
             assert (await caller.answer()).status == 200
@@ -576,8 +578,8 @@
 def test_streams_hold_less_the_more_there_are() -> None:
     streams = StreamBuffers()
     sizes = []
-    for streams.open in (1, 32, 33, 128, 129, 1000):
-        sizes.append(streams.piece())
+    for streams.active in (1, 32, 33, 128, 129, 1000):
+        sizes.append(streams.piece_size())
     assert sizes == [65536, 65536, 16384, 16384, 4096, 4096]
 
 
@@ -785,7 +787,7 @@
                 while new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
                 caller.writer.close()
-                while new._descriptors.held:
+                while new._descriptors.in_use:
                     await asyncio.sleep(0.002)
                 assert not new.counters.read().get("internal_errors") and not old.counters.read().get(
                     "internal_errors"
@@ -816,7 +818,7 @@
                 go_on.set()
                 status, body, whole = await caller.whole()
                 assert status == 200 and not whole and len(body) <= MB
-                while new._descriptors.held or new.counters.read()["streams_open"]:
+                while new._descriptors.in_use or new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
                 assert new.counters.read()["streams_truncated"] == 1
 
@@ -976,7 +978,7 @@
                 await asyncio.sleep(0.002)
             node.stop()
             answer = await caller.answer()
-            assert answer.status == 503 and not answer.keep
+            assert answer.status == 503 and not answer.keep_alive
             assert not ran
 
     run(story())
@@ -1038,7 +1040,7 @@
             caller.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
             caller.send(b"%x\r\n%b" % (MB, BODY[:100_000]))
             answer = await caller.answer()
-            assert (answer.status, answer.keep) == (503, False)
+            assert (answer.status, answer.keep_alive) == (503, False)
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.1):
                     await caller._reader.read(1)
@@ -1061,15 +1063,17 @@
             sent = Dispatches(peer)
             begun: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
             work = asyncio.create_task(
-                sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, begun=begun.set_result), JOB)
+                sent.servers.attempt(
+                    AttemptSpec("s0", sent.clock + 2.0, on_response_start=begun.set_result), JOB
+                )
             )
             download = await begun
             work.cancel()
             await asyncio.wait({work})
-            with pytest.raises(ConnectionLost):
-                while not download.over:
-                    await download.more()
-                    download.ready_piece()
+            with pytest.raises(ConnectionLostError):
+                while not download.finished:
+                    await download.read_more()
+                    download.take_piece()
             download.close()
 
     run(story())
@@ -1103,9 +1107,9 @@
         kept = ours.dup()
         connection = upstream_connection.UpstreamConnection(("", 0), ours)
         download = body_streaming.Download(
-            StreamBuffers(), connection, AnswerReader(), Answer(200, more=True)
+            StreamBuffers(), connection, ResponseReader(), Response(200, more_body=True)
         )
-        assert download.take_held()
+        assert download.take_buffered()
         theirs.send(b"more")
         download.move()
         connection._stream._handle_events(ours.fileno(), 1)  # readable
@@ -1157,7 +1161,7 @@
                     await asyncio.sleep(0.002)
                 caller.send(BODY[200_000:] + b"\r\n0\r\n\r\n")
                 answer = await caller.answer()
-                assert (answer.status, answer.keep) == ((502, True) if early else (503, False))
+                assert (answer.status, answer.keep_alive) == ((502, True) if early else (503, False))
                 if early:  # it goes on as any caller, with the process that has it now
                     assert await ask_ready_on(caller) == 200
                 else:
@@ -1186,7 +1190,7 @@
 def test_a_server_that_takes_nothing_of_a_body_is_given_up(
     goes: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.5)
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.5)
 
     async def story() -> None:
         over = asyncio.Event()
@@ -1241,7 +1245,9 @@
                 await asyncio.sleep(0.002)
             left.set()
             await nothing_left(node)
-            await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
+            await asyncio.sleep(
+                2 * upstream.MIN_IDLE_BEFORE_REUSE_S
+            )  # a kept connection may be used again by then
             caller = await Caller().open(address)
             caller.begin()
             assert await caller.whole() == (200, b"ok", True) and peer.connections == 2
@@ -1250,15 +1256,15 @@
 
 
 def test_a_body_does_not_become_whole_at_a_server_that_was_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(upstream_connection, "STALL_MOST", 0.2)
+    monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.2)
     given_up, last = False, b"the last of it"
-    taken, write = upstream_connection.UpstreamConnection._taken, IOStream.write_to_fd
+    taken, write = upstream_connection.UpstreamConnection._wait_written, IOStream.write_to_fd
 
     async def notes_the_end(self: upstream_connection.UpstreamConnection, *args: Any) -> None:
         nonlocal given_up
         try:
             await taken(self, *args)
-        except upstream_connection.RequestNotSent:
+        except upstream_connection.RequestNotSentError:
             given_up = True
             raise
 
@@ -1275,7 +1281,7 @@
             await talk.request()
 
         async with served(takes_all) as (node, address, (peer,)):
-            monkeypatch.setattr(upstream_connection.UpstreamConnection, "_taken", notes_the_end)
+            monkeypatch.setattr(upstream_connection.UpstreamConnection, "_wait_written", notes_the_end)
             monkeypatch.setattr(IOStream, "write_to_fd", takes_the_last_once_it_is_late)
             caller = await Caller().open(address)
             caller.begin(BODY + last)
@@ -1322,17 +1328,19 @@
 
         async with served(large_to_the_end) as (node, address, (peer,)):
             caller = await Caller().open(address)
-            for _ in range(upstream.LIVES_LEAST + 1):
+            for _ in range(upstream.MIN_IDLE_LIFETIMES + 1):
                 caller.begin(b"")
                 status, body, _ = await caller.whole()
                 assert (status, body) == (200, BODY)
                 await nothing_left(node)
-                await asyncio.sleep(2 * upstream.SETTLED)  # a kept connection may be used again by then
+                await asyncio.sleep(
+                    2 * upstream.MIN_IDLE_BEFORE_REUSE_S
+                )  # a kept connection may be used again by then
             before = peer.connections
             for _ in range(3):
                 caller.begin()
                 assert await caller.whole() == (200, b"ok", True)
-                await asyncio.sleep(2 * upstream.SETTLED)
+                await asyncio.sleep(2 * upstream.MIN_IDLE_BEFORE_REUSE_S)
             assert peer.connections == before + 1
 
     run(story())
