--- a/notchjunction/net/admin.py
+++ b/notchjunction/net/admin.py
@@ -20,7 +20,7 @@
 from notchjunction.http1.messages import Answer, Malformed, Request
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
-from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, give_up
+from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, end_sending_and_discard
 from notchjunction.net.upstream_connection import BUFFER_MOST, PIECE, read_piece
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
@@ -139,7 +139,7 @@
             # Guards against callers that say nothing keeping out those who do: the oldest of them goes.
             oldest = next(iter(self._unread), None)
             if oldest is None:
-                give_up(connection)
+                end_sending_and_discard(connection)
                 connection.close()
                 return True
             self._counters.add("admin_calls_dropped")
@@ -153,7 +153,7 @@
 
     def _close(self, stream: CallStream) -> None:
         if not stream.closed():
-            give_up(stream.socket)
+            end_sending_and_discard(stream.socket)
             stream.close()
 
     def _done(self, task: asyncio.Task[None]) -> None:
--- a/notchjunction/net/client_closing.py
+++ b/notchjunction/net/client_closing.py
@@ -14,7 +14,7 @@
 from notchjunction.net.socket_stream import discard_unread, end_sending
 from notchjunction.safety.preconditions import may_close
 
-LINGER_MAX = 1024 * 1024  # bytes discarded after the last response; more costs too much for politeness
+MAX_LINGER_BYTES = 1024 * 1024  # bytes discarded after the last response; more costs too much for politeness
 
 
 class ConnectionCloser:
@@ -83,4 +83,4 @@
             return
         with suppress(OSError, TimeoutError):
             async with asyncio.timeout(self._context.linger_within()):
-                await self._intake.discard(LINGER_MAX)
+                await self._intake.discard(MAX_LINGER_BYTES)
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -38,7 +38,7 @@
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
-class Handled(NamedTuple):
+class HandledRequest(NamedTuple):
     """What became of a request."""
 
     handler: RequestHandler | None  # None where the request was answered without the balancer
@@ -102,7 +102,9 @@
         if response is None:
             return False
         self._record_response(request, handler, response)
-        closes = self._context.parting and (self._intake.parser.going or not self._intake.has_more())
+        closes = self._context.closing_announced and (
+            self._intake.parser.going or not self._intake.has_more()
+        )
         keep = request.keep and not self._state.over_limit and not closes
         if isinstance(response, Download):
             assert handler is not None
@@ -150,7 +152,7 @@
         if self._closer.is_idle():
             self._closer.end_sending_and_close_later()
 
-    def turn_away_in_head(self) -> None:
+    def reject_partial_head(self) -> None:
         """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
         if self._closer.is_idle_in_head():
             self._stream.write(encode_answer(self._client_error(408)))
@@ -173,34 +175,34 @@
             return self._client_error(404)
         return self._client_error(405) if request.method not in ("GET", "POST") else None
 
-    async def _handle_request(self, request: Request) -> Handled:
+    async def _handle_request(self, request: Request) -> HandledRequest:
         """Has a request balanced, if it is sound and may start."""
         waited = 0.0 if request.more else self._context.clock() - self._intake.arrived_at
-        spec = request_spec_of(request, waited, self._context.profiles)
+        spec = request_spec_of(request, waited, self._context.request_classes)
         if spec is None:
-            return Handled(None, self._client_error(400))
+            return HandledRequest(None, self._client_error(400))
         request_id = request.headers[protocol.REQUEST_ID]
         refusal = may_start(AdmissionFacts(self._state.closing, is_duplicate=request_id in self._context.ids))
         if refusal is Refusal.CONNECTION_CLOSING:
             # Guards against a request that crosses the end of its connection: no response could be given.
-            return Handled(None, None)
+            return HandledRequest(None, None)
         if refusal is not None:
             # Guards against one request's response being mistaken for another's, here and at endpoints.
-            return Handled(None, self._client_error(409))
+            return HandledRequest(None, self._client_error(409))
         self._context.counters.add("requests_received")
         self._context.counters.recorder.note(
             Occurrence.REQUEST_ACCEPTED, request_id, left=round(spec.time_left, 3), waited=round(waited, 4)
         )
         if self._state.over_limit:
             self._context.counters.add("responses_rejected")
-            return Handled(None, Answer(503))
+            return HandledRequest(None, Answer(503))
         self._context.ids.add(request_id)
         try:
             return await self._balance(request, spec)
         finally:
             self._context.ids.discard(request_id)
 
-    async def _balance(self, request: Request, spec: RequestSpec) -> Handled:
+    async def _balance(self, request: Request, spec: RequestSpec) -> HandledRequest:
         """Takes a request through the quotas of the fleet and the balancer to its response."""
         upload = Upload(self._context.streams) if request.more else None
         permits: QuotaPermits | None = None
@@ -209,12 +211,12 @@
                 admitted = await self._context.admit(spec)
                 if isinstance(admitted, Answer):
                     self._context.counters.add("responses_rejected")
-                    return Handled(None, admitted)
+                    return HandledRequest(None, admitted)
                 permits, spec = admitted
-            handler = self._context.take(spec, request, upload, permits)
+            handler = self._context.start_request(spec, request, upload, permits)
             self._open_request = OpenRequest(self._context, self._stream, self._intake, handler, upload)
             try:
-                return Handled(handler, await self._open_request.response())
+                return HandledRequest(handler, await self._open_request.response())
             except BaseException:
                 # Guards against attempts that go on for a request that nobody waits for.
                 handler.withdraw()
@@ -223,7 +225,7 @@
             raise
         except Exception as error:
             self._context.counters.add_failure("request handler failed", error)
-            return Handled(None, internal_error(self._context.counters))
+            return HandledRequest(None, internal_error(self._context.counters))
         finally:
             self._open_request = None
             if permits is not None:
@@ -271,7 +273,7 @@
                 await self._migrator.pause()
             if self._state.upload_rejected and self._migrator.stays():
                 break  # the process ends, and nobody can go on with it
-            moves = asyncio.ensure_future(self._context.moving.wait())
+            moves = asyncio.ensure_future(self._context.migrating.wait())
             reading = self._intake.read(self._context.streams.piece())
             late = await self._intake.wait(reading, *([] if self._state.pinned else [moves]))
             moves.cancel()
@@ -342,7 +344,7 @@
     async def _go_on(self, keep: bool) -> None:
         """What another process began is done: from here on as with any client."""
         self._state.request_open = False
-        if keep and not self._context.parting:
+        if keep and not self._context.closing_announced:
             self._intake.start_idle()
             await self.converse()
         else:
--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -36,18 +36,18 @@
 
     clock: Callable[[], float]  # s
     admit: Admit | None
-    take: StartRequest
+    start_request: StartRequest
     ready: Callable[[], bool]
-    profiles: Collection[str]  # request classes that are served; empty: all
+    request_classes: Collection[str]  # request classes that are served; empty: all
     counters: Counters
     descriptors: Descriptors
     streams: StreamBuffers
     phases: ConnectionPhases
     ids: set[str]  # of requests in flight
     draining: bool  # readiness checks are answered with 503
-    parting: bool  # responses announce that the connection closes
-    mover: StreamMigrator | None
-    moving: asyncio.Event  # set while responses under way go to another process
+    closing_announced: bool  # responses announce that the connection closes
+    migrate_stream: StreamMigrator | None
+    migrating: asyncio.Event  # set while responses under way go to another process
 
     def linger_within(self) -> float:
         """How long (s) a connection is read from after its last response."""
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -19,7 +19,7 @@
 from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
 from notchjunction.net.event_loop import waited_most
-from notchjunction.net.socket_stream import give_up
+from notchjunction.net.socket_stream import end_sending_and_discard
 from notchjunction.telemetry.logs import pairs
 
 log = logging.getLogger(__name__)
@@ -50,7 +50,7 @@
     """
     with suppress(OSError):
         connection.send(REJECTION, socket.MSG_DONTWAIT)
-    give_up(connection)
+    end_sending_and_discard(connection)
     connection.close()
 
 
@@ -76,7 +76,7 @@
         self._waiting_since: float | None = None
         self._hold_off_call: asyncio.TimerHandle | None = None  # nobody is accepted before it
         self._queued_since = 0.0  # s; since when those in the queue may wait there
-        self._left_at = 0.0  # s; when the queue was looked at last, with some left in it maybe
+        self._queue_checked_at = 0.0  # s; when the queue was looked at last, with some left in it maybe
 
     @property
     def connected(self) -> int:
@@ -86,7 +86,7 @@
     @property
     def queued(self) -> bool:
         """Whether clients may wait who are to be accepted before the node ends, if it can be in time."""
-        return self._stopping and bool(self.listeners) and not self._clients.final
+        return self._stopping and bool(self.listeners) and not self._clients.final_phase
 
     def close_oldest(self) -> bool:
         """Closes the client that has been idle longest, else one that has sent nothing since it came."""
@@ -136,7 +136,7 @@
 
     def _listen(self) -> None:
         if not self._paused and self._hold_off_call is None:
-            self._left_at = self._clients.clock()
+            self._queue_checked_at = self._clients.clock()
             for listener in self.listeners:
                 self._loop.add_reader(listener.fileno(), self._accept, listener)
 
@@ -159,7 +159,7 @@
     def _accept(self, listener: socket.socket) -> int:
         """Accepts those who wait; how many were tried, `ACCEPT_MAX` where more may wait."""
         came_after = self._clients.clock() - waited_most()
-        if came_after > self._left_at:
+        if came_after > self._queue_checked_at:
             # The loop has waited since: nobody was there then.
             self._queued_since = came_after
         for count in range(ACCEPT_MAX):
@@ -173,10 +173,10 @@
             except OSError as error:
                 if self._goes_on_after(error):
                     continue
-                self._left_at = self._clients.clock()
+                self._queue_checked_at = self._clients.clock()
                 return count
             self._let_in(connection)
-        self._left_at = self._clients.clock()
+        self._queue_checked_at = self._clients.clock()
         return ACCEPT_MAX
 
     def _goes_on_after(self, error: OSError) -> bool:
--- a/notchjunction/net/client_migration.py
+++ b/notchjunction/net/client_migration.py
@@ -27,11 +27,11 @@
 
     def is_due(self) -> bool:
         """Whether connections are moving now, and this one can."""
-        return self._context.moving.is_set() and not self._state.pinned
+        return self._context.migrating.is_set() and not self._state.pinned
 
     def stays(self) -> bool:
         """Whether nobody else will go on with this connection."""
-        return self._state.pinned or self._context.mover is None
+        return self._state.pinned or self._context.migrate_stream is None
 
     async def pause(self) -> None:
         """Waits until the next try."""
@@ -43,13 +43,13 @@
         It stays where a further request or the end of either side has come: only this process knows of that.
         """
         self._state.pinned = True
-        mover = self._context.mover
+        migrate_stream = self._context.migrate_stream
         ahead = self._intake.parser.begun or self._intake.has_read() or self._stream.closed()
-        if mover is None or ahead or download.over or not download.take_held():
+        if migrate_stream is None or ahead or download.over or not download.take_held():
             return False
         state = MigratedResponse(framing, download.state, unsent)
         try:
-            if not mover(state.to_wire(), self._stream.socket, download.socket):
+            if not migrate_stream(state.to_wire(), self._stream.socket, download.socket):
                 return False
         except BlockingIOError:
             self._state.pinned = False  # the other process is still busy with those before it
@@ -62,11 +62,13 @@
 
     def move_upload(self, keep: bool) -> bool:
         """Moves a client that has its response, and whose body still comes; whether it did."""
-        mover = self._context.mover
-        if mover is None or self._intake.has_read() or self._stream.closed():
+        migrate_stream = self._context.migrate_stream
+        if migrate_stream is None or self._intake.has_read() or self._stream.closed():
             return False
         try:
-            moved = mover(MigratedUpload(keep, self._intake.parser.state()).to_wire(), self._stream.socket)
+            moved = migrate_stream(
+                MigratedUpload(keep, self._intake.parser.state()).to_wire(), self._stream.socket
+            )
         except BlockingIOError:
             return False
         self._state.pinned = not moved
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -34,9 +34,9 @@
     """What a node provides to its client connections."""
 
     clock: Callable[[], float]  # s
-    take: StartRequest
+    start_request: StartRequest
     ready: Callable[[], bool]
-    profiles: Collection[str]  # request classes that are served; empty: all
+    request_classes: Collection[str]  # request classes that are served; empty: all
     descriptors: Descriptors
     counters: Counters
     streams: StreamBuffers
@@ -50,19 +50,19 @@
         self.clock = services.clock
         self.admit = services.admit
         self.streams = services.streams
-        self.take = services.take
+        self.start_request = services.start_request
         self.ready = services.ready
-        self.profiles = services.profiles
+        self.request_classes = services.request_classes
         self.counters = services.counters
         self.descriptors = services.descriptors
         self.phases = ConnectionPhases()
         self.connections: dict[ClientConnection, asyncio.Task[None]] = {}
         self.ids: set[str] = set()  # of requests in flight
         self.draining = False  # readiness checks are answered with 503
-        self.parting = False  # responses announce that the connection closes
-        self.final = False  # by now all has to be answered
-        self.mover: StreamMigrator | None = None
-        self.moving = asyncio.Event()
+        self.closing_announced = False  # responses announce that the connection closes
+        self.final_phase = False  # by now all has to be answered
+        self.migrate_stream: StreamMigrator | None = None
+        self.migrating = asyncio.Event()
         self._at_limit = False  # the last client accepted was over the limit
         self.counters.gauge("client_connections_open", lambda: self.descriptors.callers)
         self.counters.gauge("client_connections_idle", lambda: len(self.phases.idle))
@@ -128,27 +128,27 @@
         """The node says from now on that it is not ready for more clients."""
         self.draining = True
 
-    def part(self) -> None:
+    def announce_closing(self) -> None:
         """Responses say from now on that the connection closes."""
-        self.parting = True
+        self.closing_announced = True
 
-    def serve(self) -> None:
+    def resume_service(self) -> None:
         """Takes both back: the node is ready for more, and connections are kept."""
-        self.draining = self.parting = False
+        self.draining = self.closing_announced = False
 
-    def move_streams(self, mover: StreamMigrator) -> None:
+    def start_migration(self, migrate_stream: StreamMigrator) -> None:
         """From now on responses under way go to another process of the node, between two of their pieces."""
-        self.mover = mover
-        self.moving.set()
+        self.migrate_stream = migrate_stream
+        self.migrating.set()
 
-    def keep_streams(self) -> None:
+    def stop_migration(self) -> None:
         """They stay from now on: the process that they went to has gone."""
-        self.mover = None
-        self.moving.clear()
+        self.migrate_stream = None
+        self.migrating.clear()
 
     def reject_uploads(self) -> None:
         """By now all has to be answered: a request that is not whole is rejected, as it never ran."""
-        self.final = True
+        self.final_phase = True
         for connection in list(self.connections):
             connection.reject_upload()
 
@@ -161,4 +161,4 @@
 
     def linger_within(self) -> float:
         """How long (s) a connection is read from after its last response."""
-        return LINGER_FINAL_S if self.final else LINGER_TIMEOUT_S
+        return LINGER_FINAL_S if self.final_phase else LINGER_TIMEOUT_S
--- a/notchjunction/net/client_state.py
+++ b/notchjunction/net/client_state.py
@@ -15,7 +15,7 @@
     def close_if_idle(self) -> bool:
         """Closes the connection now where no request is open on it; whether it did."""
 
-    def turn_away_in_head(self) -> None:
+    def reject_partial_head(self) -> None:
         """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
 
 
--- a/notchjunction/net/descriptor_pressure.py
+++ b/notchjunction/net/descriptor_pressure.py
@@ -10,12 +10,16 @@
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.telemetry.counters import Counters
 
-LINGER_SPARED_S = 0.1  # of lingering that each has even where descriptors are short; over most round trips
-IDLE_SPARED_S = 2.0  # idle until a client is closed where descriptors are short; sound ones come again
-SILENT_SPARED_S = 0.5  # from connecting until a silent client is closed; sound ones send at once
-SILENT_PRESSED_S = 0.1  # the same past the margin; by then a sound one's request has come from any zone
-IDLE_PRESSED_S = 0.25  # idle, likewise; the pauses of busy clients are shorter, and waiting ones can bear it
-HEAD_PRESSED_S = 1.0  # of a head under way, likewise
+MIN_LINGER_S = 0.1  # of lingering that each has even where descriptors are short; over most round trips
+MIN_IDLE_S = 2.0  # idle until a client is closed where descriptors are short; sound ones come again
+MIN_SILENT_S = 0.5  # from connecting until a silent client is closed; sound ones send at once
+MIN_SILENT_PAST_MARGIN_S = (
+    0.1  # the same past the margin; by then a sound one's request has come from any zone
+)
+MIN_IDLE_PAST_MARGIN_S = (
+    0.25  # idle, likewise; the pauses of busy clients are shorter, and waiting ones can bear it
+)
+MIN_HEAD_PAST_MARGIN_S = 1.0  # of a head under way, likewise
 TURNED_AWAY_MAX = 16  # lingering connections; no head is answered with 408 for room while there are as many
 CANDIDATES_MAX = 4  # connections looked at to make room for one; the longest idle are rarely about to send
 
@@ -61,9 +65,9 @@
     def press(self) -> bool:
         """Makes room where a new client would else get no answer: silent ones go first."""
         if self._close_one(
-            (self._phases.lingering, LINGER_SPARED_S),
-            (self._phases.silent, SILENT_PRESSED_S),
-            (self._phases.idle, IDLE_PRESSED_S),
+            (self._phases.lingering, MIN_LINGER_S),
+            (self._phases.silent, MIN_SILENT_PAST_MARGIN_S),
+            (self._phases.idle, MIN_IDLE_PAST_MARGIN_S),
         ):
             return True
         self._turn_slow_heads_away()
@@ -74,18 +78,18 @@
 
         Guards against a flood of half heads: each has its time to be whole, and others wait unserved.
         """
-        due = self._clock() - HEAD_PRESSED_S
+        due = self._clock() - MIN_HEAD_PAST_MARGIN_S
         for connection, since in list(islice(self._phases.heads.items(), CANDIDATES_MAX)):
             if since > due or len(self._phases.lingering) >= TURNED_AWAY_MAX:
                 return
-            connection.turn_away_in_head()
+            connection.reject_partial_head()
 
     def close_oldest(self) -> bool:
         """Closes the client that has been idle longest, else one that has sent nothing since it came."""
         return self._close_one(
-            (self._phases.lingering, LINGER_SPARED_S),
-            (self._phases.idle, IDLE_SPARED_S),
-            (self._phases.silent, SILENT_SPARED_S),
+            (self._phases.lingering, MIN_LINGER_S),
+            (self._phases.idle, MIN_IDLE_S),
+            (self._phases.silent, MIN_SILENT_S),
         )
 
     def _close_one(self, *tables: tuple[dict[ManagedConnection, float], float]) -> bool:
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -23,8 +23,10 @@
 )
 REJECTED_TIMEOUT_S = 1.0  # that a client over the limit has for the one request that is rejected
 IDLE_TIMEOUT_S = 120.0  # between two requests; longer than pauses in traffic
-READ_AHEAD_MAX = 2 * PIECE  # bytes kept ahead of a response: a whole message and some of the next
-DISCARD_MAX = 1024 * 1024  # bytes past those that are discarded; a client that sends more ahead only costs
+MAX_READ_AHEAD_BYTES = 2 * PIECE  # bytes kept ahead of a response: a whole message and some of the next
+MAX_DISCARDED_BYTES = (
+    1024 * 1024
+)  # bytes past those that are discarded; a client that sends more ahead only costs
 
 
 class RequestIntake:
@@ -32,7 +34,7 @@
 
     A request is due by its deadline: the head within `HEAD_TIMEOUT_S`, the body at `BODY_MIN_RATE`. While one
     is open, reading goes on, as only that shows that the client has gone; what comes ahead is kept up to
-    `READ_AHEAD_MAX` bytes and discarded after that.
+    `MAX_READ_AHEAD_BYTES` bytes and discarded after that.
     """
 
     def __init__(
@@ -187,7 +189,7 @@
                 self._due = now + HEAD_TIMEOUT_S
             self._context.phases.leave(self._connection)
         # Guards against memory that grows with what a client sends ahead, which is read on for its end.
-        ahead = self.state.request_open and self.parser.unread + len(piece) > READ_AHEAD_MAX
+        ahead = self.state.request_open and self.parser.unread + len(piece) > MAX_READ_AHEAD_BYTES
         if self.bytes_discarded or ahead:
             self.bytes_discarded += len(piece)
         else:
@@ -195,7 +197,7 @@
 
     def is_over_discard_limit(self) -> bool:
         """Whether the client has sent more ahead than is worth reading for its end."""
-        return self.bytes_discarded > DISCARD_MAX
+        return self.bytes_discarded > MAX_DISCARDED_BYTES
 
     async def discard(self, limit: int) -> None:
         """Reads up to so many bytes, and the read that crosses the limit whole, and throws them away."""
--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -67,7 +67,7 @@
             elif download.over:
                 break
             else:
-                await download.waits(asyncio.Event() if self._state.pinned else self._context.moving)
+                await download.waits(asyncio.Event() if self._state.pinned else self._context.migrating)
                 if download.has_more():
                     await download.more()
         if end := encode_end(framing.length, framing.chunks):
@@ -88,16 +88,16 @@
 
     async def _wait_written(self, written: asyncio.Future[None]) -> bool:
         """Waits until a piece is written, or responses are to move; whether it is written."""
-        moving = self._context.moving
+        migrating = self._context.migrating
         waits: set[asyncio.Future[Any]] = {written}
         if not self._state.pinned:
-            waits.add(moves := asyncio.ensure_future(moving.wait()))
+            waits.add(moves := asyncio.ensure_future(migrating.wait()))
         await asyncio.wait(waits, timeout=WRITE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         if not self._state.pinned:
             moves.cancel()
         if written.done():
             written.result()
-        elif self._state.pinned or not moving.is_set():
+        elif self._state.pinned or not migrating.is_set():
             # Guards against a client that reads nothing: a drain would wait for it.
             raise StreamClosedError
         return written.done()
--- a/notchjunction/net/socket_stream.py
+++ b/notchjunction/net/socket_stream.py
@@ -70,7 +70,7 @@
         sock.shutdown(socket.SHUT_WR)
 
 
-def give_up(sock: socket.socket) -> None:
+def end_sending_and_discard(sock: socket.socket) -> None:
     """Ends the sending and throws away what has come; the socket can be closed then without a reset."""
     end_sending(sock)
     discard_unread(sock)
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -100,9 +100,9 @@
         self._fleet = self._share(told) if told.fleet is not None else None
         services = ClientServices(
             clock=self.now,
-            take=self._take,
+            start_request=self._take,
             ready=lambda: self._ready,
-            profiles=frozenset(told.setting_names.request_classes),
+            request_classes=frozenset(told.setting_names.request_classes),
             descriptors=descriptors,
             counters=counters,
             streams=streams,
@@ -363,7 +363,7 @@
         elif effect is ServingAction.RESUME:
             log.info("in service", extra=pairs(clients=self._client_listener.connected))
             self._stop_leading()
-            self._clients.serve()
+            self._clients.resume_service()
         return effect is not None
 
     def _stop_leading(self) -> None:
@@ -374,7 +374,7 @@
     async def _lead_away(self) -> None:
         await asyncio.sleep(LEAD_SPAN)
         if self._service.handle(ServingEvent.NOTICE_TIME_OVER) is ServingAction.DRAIN_CLIENTS:
-            self._clients.part()
+            self._clients.announce_closing()
         while True:
             self._clients.close_idle(IDLE_LEAST)
             await asyncio.sleep(LOOK_SPAN)
@@ -401,7 +401,7 @@
                 return
         before, self._told = self._told, told
         self._decider.apply_settings(told.balancer, told.setting_names)
-        self._clients.profiles = frozenset(told.setting_names.request_classes)
+        self._clients.request_classes = frozenset(told.setting_names.request_classes)
         self._servers.retune(told.connect_timeout, told.connection_idle_timeout, told.load_path)
         found, had = set(told.setting_names.request_classes), set(before.setting_names.request_classes)
         log.info(
@@ -453,23 +453,23 @@
                         self._clients.drain()
                     case Do.PAUSE_ACCEPTING:
                         self._client_listener.pause()
-                        self._clients.part()
+                        self._clients.announce_closing()
                         part_until = now + PART_SPAN
                     case Do.RESUME_ACCEPTING:
                         log.warning("successor lost", extra=pairs(left=ending.serve_time_left(now)))
-                        self._clients.serve()
+                        self._clients.resume_service()
                         self._client_listener.resume()
                         part_until = math.inf
                         moves = False
                         if giver is not None:
                             giver.close()
                             giver = None
-                            self._clients.keep_streams()
+                            self._clients.stop_migration()
                     case Do.CLOSE_LISTENERS:
                         self._adopt_last()
                         self._client_listener.stop()
                     case Do.DRAIN_CLIENTS:
-                        self._clients.part()
+                        self._clients.announce_closing()
                         part_until = now + PART_SPAN
                     case Do.MIGRATE_STREAMS:
                         moves = True
@@ -480,7 +480,7 @@
             if moves and giver is None and handover is not None and not ending.finished:
                 giver = handover.open_stream_sender()
                 if giver is not None:
-                    self._clients.move_streams(giver)
+                    self._clients.start_migration(giver)
             if part_until < math.inf:
                 self._clients.close_idle(IDLE_LEAST if now < part_until else 0.0)
             if not ending.finished:
@@ -509,7 +509,7 @@
         given = False
         if not self._client_listener.connected and self._handover is not None:
             self._handover.accept_last_streams()
-            given = self._handover.has_queued_streams and not self._clients.final
+            given = self._handover.has_queued_streams and not self._clients.final_phase
         # Guards against a reset for each in a queue where there was no descriptor for them as it closed.
         return self._client_listener.connected + (self._client_listener.queued or given)
 
--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -123,7 +123,7 @@
 ) -> None:
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 0.3)
     # The crowd stays, however late the loop is.
-    monkeypatch.setattr(descriptor_pressure, "HEAD_PRESSED_S", 30.0)
+    monkeypatch.setattr(descriptor_pressure, "MIN_HEAD_PAST_MARGIN_S", 30.0)
     monkeypatch.setattr(client_listener, "ROOM_TIMEOUT_S", room_within)
 
     async def story() -> None:
@@ -146,7 +146,7 @@
     """Nobody leaves. Each of those who wait has an answer and an orderly end, and soon."""
     monkeypatch.setattr(request_intake, "REJECTED_TIMEOUT_S", 30.0)
     monkeypatch.setattr(request_intake, "HEAD_TIMEOUT_S", 30.0)
-    monkeypatch.setattr(descriptor_pressure, "HEAD_PRESSED_S", 30.0)
+    monkeypatch.setattr(descriptor_pressure, "MIN_HEAD_PAST_MARGIN_S", 30.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -202,7 +202,7 @@
     for span in ("HEAD_TIMEOUT_S", "REJECTED_TIMEOUT_S", "BODY_GRACE_S"):
         monkeypatch.setattr(request_intake, span, 30.0)  # nobody goes by itself
     monkeypatch.setattr(client_listener, "ROOM_TIMEOUT_S", 30.0)
-    turn_away = ClientConnection.turn_away_in_head
+    turn_away = ClientConnection.reject_partial_head
     crossing: list[RawClient] = []
 
     def crossed(caller: ClientConnection) -> None:
@@ -210,7 +210,7 @@
             crossing.pop().more(b"Req-Kind: plain\r\nReq-Deadline-Ms: 2000\r\n\r\n")
         turn_away(caller)
 
-    monkeypatch.setattr(ClientConnection, "turn_away_in_head", crossed)
+    monkeypatch.setattr(ClientConnection, "reject_partial_head", crossed)
 
     async def answer_to(client: RawClient) -> bytes:
         async with asyncio.timeout(10):
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -28,7 +28,7 @@
     descriptor_pressure,
     request_intake,
 )
-from notchjunction.net.client_connection import ClientConnection, Handled
+from notchjunction.net.client_connection import ClientConnection, HandledRequest
 from notchjunction.net.client_listener import ClientListener
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.request_handler import RequestHandler
@@ -130,7 +130,7 @@
     [
         (drained, "", {}),
         (led_away, "", {}),
-        (room_made, "", {"IDLE_SPARED_S": 0.0}),
+        (room_made, "", {"MIN_IDLE_S": 0.0}),
         (nothing, "", {"IDLE_TIMEOUT_S": 0.05}),
         (nothing, "Connection: close\r\n", {}),
         (short_of_descriptors, "Connection: close\r\n", {}),
@@ -262,11 +262,11 @@
     last = then == "says nothing at the last"
     monkeypatch.setattr(client_registry, "LINGER_TIMEOUT_S", 0.05 if then == "says nothing" else 60.0)
     monkeypatch.setattr(client_registry, "LINGER_FINAL_S", 0.05 if last else 60.0)
-    monkeypatch.setattr(client_closing, "LINGER_MAX", 100_000)
+    monkeypatch.setattr(client_closing, "MAX_LINGER_BYTES", 100_000)
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._clients.final = last
+            node._clients.final_phase = last
             client = await Client().open(address)
             client.ask(extra="Connection: close\r\n")
             assert (await client.answer()).status == 200 and await client.closed()
@@ -284,7 +284,7 @@
 
 def test_callers_that_have_their_last_answer_make_room(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(client_registry, "LINGER_TIMEOUT_S", 60.0)
-    monkeypatch.setattr(descriptor_pressure, "LINGER_SPARED_S", 0.0)
+    monkeypatch.setattr(descriptor_pressure, "MIN_LINGER_S", 0.0)
 
     async def story() -> None:
         async with Peer() as peer, running(peer, sockets=28) as (node, address):
@@ -324,7 +324,7 @@
             while not any(one._intake.parser.begun for one in node._clients.connections):
                 await asyncio.sleep(0.001)
             node.stop()
-            while not node._clients.parting:
+            while not node._clients.closing_announced:
                 await asyncio.sleep(0.001)
             node._offset += 10.0
             caller.setblocking(False)
@@ -406,14 +406,14 @@
                 await asyncio.sleep(0.001)
             node.stop()
             end_at = node._end_at
-            while not node._clients.parting:
+            while not node._clients.closing_announced:
                 await asyncio.sleep(0.001)
             if when == "as it ends":
                 os.kill(os.getpid(), signal.SIGHUP)
                 while not node.counters.read().get("reloads"):
                     await asyncio.sleep(0.001)
                 assert node._end_at == end_at and not node._client_listener.listeners
-            assert node._clients.draining and node._clients.parting
+            assert node._clients.draining and node._clients.closing_announced
             left = end_at - node.now()
             stays.sendall(wire[1:])
             assert (await heard(stays)).startswith(b"HTTP/1.1 200")
@@ -703,7 +703,7 @@
     take = ClientConnection._handle_request
     second: list[socket.socket] = []
 
-    async def crossed(caller: ClientConnection, request: Request) -> Handled:
+    async def crossed(caller: ClientConnection, request: Request) -> HandledRequest:
         taken = await take(caller, request)
         if second:
             second.pop().sendall(wire_of(2))
@@ -715,7 +715,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._clients.part()
+            node._clients.announce_closing()
             second.append(sock := connect(address))
             sock.sendall(wire_of(1))
             while second:
@@ -852,7 +852,7 @@
             caller = RawClient(address)
 
             def crossed(_: ClientConnection) -> None:
-                node._clients.part()
+                node._clients.announce_closing()
                 if len(peer.requests) == 1:
                     caller.ask()
 
@@ -903,7 +903,7 @@
             caller = RawClient(address)
 
             def gone(answered: ClientConnection) -> None:
-                node._clients.part()
+                node._clients.announce_closing()
                 answered._stream.close()
 
             as_an_answer_is_ready(gone, monkeypatch)
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -282,7 +282,7 @@
             while not caller._intake.bytes_discarded:
                 await asyncio.sleep(0)
                 most = max(most, caller._intake.parser.unread)
-            assert PIECE < most <= request_intake.READ_AHEAD_MAX
+            assert PIECE < most <= request_intake.MAX_READ_AHEAD_BYTES
             peer.reply = OK
             peer.go_on.set()
             statuses = []
@@ -298,7 +298,7 @@
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
             client, _ = await waiting(node, address, peer)
-            send_ahead(client, 2 * request_intake.DISCARD_MAX)
+            send_ahead(client, 2 * request_intake.MAX_DISCARDED_BYTES)
             assert (await client.answer()).status == 413
             await withdrawn(node)
             assert len(peer.requests) == 1
@@ -387,7 +387,7 @@
 ) -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            taken = node._clients.take
+            taken = node._clients.start_request
 
             def take(*args: Any) -> Any:
                 # From the moment that the job is there, each read of its caller's bytes fails.
@@ -398,7 +398,7 @@
             def fails(_: object) -> int:
                 raise OSError(error, "gone")
 
-            monkeypatch.setattr(node._clients, "take", take)
+            monkeypatch.setattr(node._clients, "start_request", take)
             client = RawClient(address)
             client.ask()
             await withdrawn(node)
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -922,7 +922,7 @@
             while old._handover is None or not old._handover.has_successor:
                 await asyncio.sleep(0.002)
             old.stop()
-            while old._clients.mover is None:
+            while old._clients.migrate_stream is None:
                 await asyncio.sleep(0.002)
             async with running(**again) as (last, _):
                 while follower._handover is None or not follower._handover.has_successor:
@@ -1030,7 +1030,7 @@
     async def story() -> None:
         async with served() as (node, address, _):
             if last == "the node parts":
-                node._clients.part()
+                node._clients.announce_closing()
             caller = await Caller().open(address)
             extra = "Connection: close\r\n" if last != "the node parts" else ""
             caller.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -1051,10 +1051,12 @@
     caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     # However slow the machine is, none of the first seven has stood for so long that it makes room.
-    monkeypatch.setattr(descriptor_pressure, "SILENT_SPARED_S", 60.0)
-    monkeypatch.setattr(descriptor_pressure, "IDLE_SPARED_S", 60.0)
+    monkeypatch.setattr(descriptor_pressure, "MIN_SILENT_S", 60.0)
+    monkeypatch.setattr(descriptor_pressure, "MIN_IDLE_S", 60.0)
     # Nor is one that is about to ask taken for silent: the silent three go as the second of the refused ends.
-    monkeypatch.setattr(descriptor_pressure, "SILENT_PRESSED_S", 0.9 * request_intake.REJECTED_TIMEOUT_S)
+    monkeypatch.setattr(
+        descriptor_pressure, "MIN_SILENT_PAST_MARGIN_S", 0.9 * request_intake.REJECTED_TIMEOUT_S
+    )
     monkeypatch.setattr(
         client_listener, "ROOM_TIMEOUT_S", 5.0
     )  # and that is when there is room for who comes last
@@ -1087,7 +1089,7 @@
     run(story())
 
 
-@pytest.mark.parametrize(("spared", "status"), [("IDLE_SPARED_S", 200), ("SILENT_SPARED_S", None)])
+@pytest.mark.parametrize(("spared", "status"), [("MIN_IDLE_S", 200), ("MIN_SILENT_S", None)])
 def test_where_descriptors_are_short_a_caller_with_no_request_open_makes_room(
     spared: str, status: int | None, monkeypatch: pytest.MonkeyPatch
 ) -> None:
@@ -1208,7 +1210,7 @@
             while not caller._intake.parser.begun:
                 await asyncio.sleep(0.001)
             node.stop()
-            while not node._clients.parting:
+            while not node._clients.closing_announced:
                 await asyncio.sleep(0.001)
             peer.go_on.set()
             found = [await client.answer() for _ in range(2)]
--- a/tests/test_preconditions.py
+++ b/tests/test_preconditions.py
@@ -204,7 +204,7 @@
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._client_listener._left_at = node.now() + 1.0  # later than anything that has come
+            node._client_listener._queue_checked_at = node.now() + 1.0  # later than anything that has come
             caller = RawClient(address)
             caller.ask()  # before the loop lets it in
             found = await asyncio.get_running_loop().sock_recv(caller.socket, 65536)
--- a/tests/test_upgrade.py
+++ b/tests/test_upgrade.py
@@ -372,7 +372,7 @@
             stack.callback(follower.kill)
             await until_yes(mgmt2)
             ends = asyncio.create_task(first.aclose())
-            while not old._clients.parting:
+            while not old._clients.closing_announced:
                 await asyncio.sleep(0.001)
             peer.reply = OK
             follower.kill()
@@ -415,7 +415,7 @@
             await until(middle, "has_successor", True)
             await second.aclose()
             await until(old, "peer_count", 0)
-            assert old._handover.has_successor and old._clients.parting  # type: ignore[union-attr]
+            assert old._handover.has_successor and old._clients.closing_announced  # type: ignore[union-attr]
             peer.reply = OK
             await served(await Client().open(listen))
             assert last.counters.read()["requests_received"] == 1
