--- a/notchjunction/net/client_closing.py
+++ b/notchjunction/net/client_closing.py
@@ -1,4 +1,4 @@
-"""Closes a client connection without a reset: sending ends first, and reading goes on for a moment."""
+"""Closes a client connection without a reset: a half-close, then reading until the linger timeout."""
 
 from __future__ import annotations
 
@@ -14,11 +14,12 @@
 from notchjunction.net.socket_stream import discard_unread, end_sending
 from notchjunction.safety.preconditions import may_close
 
-MAX_LINGER_BYTES = 1024 * 1024  # bytes discarded after the last response; more costs too much for politeness
+# Discarded after the last response; reading more is not worth its cost.
+MAX_LINGER_BYTES = 1024 * 1024
 
 
 class ConnectionCloser:
-    """Decides whether a connection may be closed, and does the half-close and the lingering."""
+    """Decides whether a connection may be closed, and closes it in steps."""
 
     def __init__(
         self,
@@ -28,7 +29,7 @@
         state: ConnectionState,
         intake: RequestIntake,
     ) -> None:
-        # Guards against memory of closed connections that waits for the cycle collector.
+        # Weak: guards against closed connections that stay in memory until the cycle collector runs.
         self._connection_ref = weakref.ref(connection)
         self._context = context
         self._stream = stream
@@ -38,35 +39,38 @@
     @property
     def _connection(self) -> ManagedConnection:
         connection = self._connection_ref()
-        assert connection is not None  # whoever calls this is the connection, or is awaited by it
+        assert connection is not None  # the caller is the connection, or is awaited by it
         return connection
 
     def is_idle(self) -> bool:
-        """Whether the connection may be closed now though its client has not asked for that."""
+        """Whether the node may close the connection now on its own."""
         return may_close(self._intake.closing_facts()) is None
 
     def is_idle_in_head(self) -> bool:
-        """The same for a connection with a head under way: whether nothing more of it has just come."""
+        """Whether the node may close a connection that has sent part of a head: no bytes are unread."""
         return may_close(replace(self._intake.closing_facts(), request_started=False)) is None
 
     def end_sending(self) -> None:
-        """Ends the sending. Guards against a request that crosses this: from here on none is sent on."""
+        """Closes the sending side.
+
+        Guards against a request that arrives at the same moment: from now on none is handled.
+        """
         if self._state.closing:
             return
         self._state.closing = True
         self._context.phases.leave(self._connection)
         if self._stream.closed():
-            return  # the client went first; the connection's task has not met its end yet
+            return  # the client closed first, and the connection's task has not noticed yet
         self._context.phases.lingering[self._connection] = self._context.clock()
         end_sending(self._stream.socket)
 
     def end_sending_and_close_later(self) -> None:
-        """The same while the connection's task waits for what comes, which may be nothing."""
+        """Closes the sending side, and the connection after the linger timeout, while its task is reading."""
         self.end_sending()
-        asyncio.get_running_loop().call_later(self._context.linger_within(), self._connection.close)
+        asyncio.get_running_loop().call_later(self._context.linger_timeout(), self._connection.close)
 
     def end_sending_and_discard(self) -> bool:
-        """Readies the connection for a close at once, where it may be; what has come is all that is read."""
+        """Prepares an immediate close if one is allowed; returns whether it is. Discards unread bytes."""
         if self._stream.closed() or not (self._state.closing or self.is_idle()):
             return False
         self.end_sending()
@@ -74,7 +78,10 @@
         return True
 
     async def linger(self) -> None:
-        """Reads on for a moment: a close over unread bytes is a reset, which may destroy what was written."""
+        """Closes the sending side and discards bytes until the linger timeout.
+
+        A close with unread bytes sends a reset, which may destroy a response that the client has not read.
+        """
         if self._stream.closed():
             return
         self.end_sending()
@@ -82,5 +89,5 @@
             discard_unread(self._stream.socket)
             return
         with suppress(OSError, TimeoutError):
-            async with asyncio.timeout(self._context.linger_within()):
+            async with asyncio.timeout(self._context.linger_timeout()):
                 await self._intake.discard(MAX_LINGER_BYTES)
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -1,4 +1,4 @@
-"""One client's connection: its requests are read, served one after another, and answered."""
+"""Serves one client connection: reads its requests, handles them one at a time and writes the responses."""
 
 from __future__ import annotations
 
@@ -34,19 +34,20 @@
 from notchjunction.safety.preconditions import AdmissionFacts, Refusal, may_start
 from notchjunction.telemetry.flight_recorder import Occurrence
 
-REJECTION_STATUSES = (429, 503)  # these say that nothing was done
+# Statuses of responses to requests that did not run.
+REJECTION_STATUSES = (429, 503)
 CONTINUE = b"HTTP/1.1 100 Continue\r\n\r\n"
 
 
 class HandledRequest(NamedTuple):
-    """What became of a request."""
+    """The result of handling one request."""
 
-    handler: RequestHandler | None  # None where the request was answered without the balancer
-    response: Response | None  # None once the client has gone
+    handler: RequestHandler | None  # None if the balancer did not take the request
+    response: Response | None  # None if the client has gone
 
 
 class ClientConnection:
-    """Serves one client; at each moment one task runs `converse`, `resume` or `resume_upload`."""
+    """Serves one client. Its task runs `serve`, `resume` or `resume_upload`."""
 
     def __init__(self, context: ClientContext, stream: ClientStream, over_limit: bool) -> None:
         self._context = context
@@ -58,14 +59,18 @@
         self._writer = ResponseWriter(context, stream, state, self._migrator)
         self._open = True
         self._open_request: OpenRequest | None = None
-        self._discarding = False  # the request has its response; the rest of its body is read
+        self._discarding = False  # a response was sent before the body ended; reads the rest
 
     def note_queued(self, since: float) -> None:
-        """The connection may have been in the queue since then (s), and what has come by now as well."""
+        """Records that the connection, and bytes received by now, may have been queued since then (s)."""
         self._intake.note_queued(since)
 
-    async def converse(self) -> None:
-        """Serves requests until the connection ends; StreamClosedError where the client has gone."""
+    async def serve(self) -> None:
+        """Serves requests until the connection ends.
+
+        Raises:
+            StreamClosedError: The client has gone.
+        """
         self._stream.set_nodelay(True)
         keep = True
         while keep:
@@ -79,33 +84,35 @@
                 break
             self._state.request_open = True
             keep = await self._respond(request)
-            # Also where the connection ends after it: a close would destroy the response on its way to a
-            # client that reads it only once all of its body is sent.
-            rest = self._intake.parser.going and not (self._state.bad_request or self._state.over_limit)
-            if rest and await self._discard_body(keep):
+            # This is also done if the connection ends after this request. Otherwise the close would reset the
+            # connection and destroy the response to a client that sends its whole body before it reads.
+            is_body_unread = self._intake.parser.going and not (
+                self._state.bad_request or self._state.over_limit
+            )
+            if is_body_unread and await self._discard_body(keep):
                 return
             self._state.request_open = False
             self._intake.start_idle()
             if self._intake.parser.begun:
-                await asyncio.sleep(0)  # guards against a client of many requests at once taking all turns
+                await asyncio.sleep(0)  # guards against a pipelining client that starves all others
         await self._closer.linger()
 
     async def _send_continue(self) -> None:
         await self._writer.write(CONTINUE)
 
     async def _respond(self, request: Request) -> bool:
-        """Serves one request; whether the connection can be used again."""
-        response: Response | None = self._answer_directly(request)
+        """Responds to one request. Returns whether the connection can be used again."""
+        response: Response | None = self._direct_response(request)
         handler: RequestHandler | None = None
         if response is None:
             handler, response = await self._handle_request(request)
         if response is None:
             return False
         self._record_response(request, handler, response)
-        closes = self._context.closing_announced and (
+        must_close = self._context.closing_announced and (
             self._intake.parser.going or not self._intake.has_more()
         )
-        keep = request.keep and not self._state.over_limit and not closes
+        keep = request.keep and not self._state.over_limit and not must_close
         if isinstance(response, Download):
             assert handler is not None
             return await self._stream_response(request, handler, response, keep)
@@ -123,10 +130,10 @@
             rejected = status in REJECTION_STATUSES
             handler.check(handler.ledger.response_sent(self._context.clock(), rejected), status=status)
 
-    # Closing, by the listener and at the end of the connection's task.
+    # Closing: by the registry or the listener, and at the end of the connection's task.
 
     def close(self) -> None:
-        """Closes the connection: the one place where a client's descriptor is given back."""
+        """Closes the connection and releases its descriptor. No other code releases a client's descriptor."""
         if self._open:
             self._open = False
             self._context.counters.recorder.note(
@@ -148,27 +155,27 @@
         return "ended by the client" if self._stream.closed() else "given up"
 
     def end_if_idle(self) -> None:
-        """Ends the sending where no request is open; the connection's task reads on for a moment."""
+        """Closes the sending side if no request is open. The task reads on until the linger timeout."""
         if self._closer.is_idle():
             self._closer.end_sending_and_close_later()
 
     def reject_partial_head(self) -> None:
-        """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
+        """Responds 408 to an incomplete request head and closes the sending side, unless bytes are unread."""
         if self._closer.is_idle_in_head():
             self._stream.write(encode_answer(self._client_error(408)))
             self._closer.end_sending_and_close_later()
 
     def close_if_idle(self) -> bool:
-        """Closes the connection now where no request is open on it; whether it did."""
+        """Closes the connection at once if no request is open on it. Returns whether it did."""
         if not self._closer.end_sending_and_discard():
             return False
         self.close()
         return True
 
-    # One request, from its head to its response.
+    # Handling one request, from its head to its response.
 
-    def _answer_directly(self, request: Request) -> Answer | None:
-        """The answer to a readiness check, or to a request of no use; None for one to be balanced."""
+    def _direct_response(self, request: Request) -> Answer | None:
+        """Returns the response to a readiness check or an invalid target; None if the balancer is needed."""
         if request.path == protocol.READY_PATH and request.method == "GET":
             return Answer(200 if self._context.ready() and not self._context.draining else 503)
         if request.path != protocol.REQUEST_PATH and not request.path.startswith(protocol.REQUEST_PATH + "/"):
@@ -176,7 +183,7 @@
         return self._client_error(405) if request.method not in ("GET", "POST") else None
 
     async def _handle_request(self, request: Request) -> HandledRequest:
-        """Has a request balanced, if it is sound and may start."""
+        """Validates a request, and passes it to the balancer if it may start."""
         waited = 0.0 if request.more else self._context.clock() - self._intake.arrived_at
         spec = request_spec_of(request, waited, self._context.request_classes)
         if spec is None:
@@ -184,10 +191,10 @@
         request_id = request.headers[protocol.REQUEST_ID]
         refusal = may_start(AdmissionFacts(self._state.closing, is_duplicate=request_id in self._context.ids))
         if refusal is Refusal.CONNECTION_CLOSING:
-            # Guards against a request that crosses the end of its connection: no response could be given.
+            # Guards against a request that arrives as its connection is closed: no response could be sent.
             return HandledRequest(None, None)
         if refusal is not None:
-            # Guards against one request's response being mistaken for another's, here and at endpoints.
+            # Guards against responses confused between requests of one id, here and at endpoints.
             return HandledRequest(None, self._client_error(409))
         self._context.counters.add("requests_received")
         self._context.counters.recorder.note(
@@ -203,7 +210,7 @@
             self._context.ids.discard(request_id)
 
     async def _balance(self, request: Request, spec: RequestSpec) -> HandledRequest:
-        """Takes a request through the quotas of the fleet and the balancer to its response."""
+        """Applies the fleet's quotas to a request, passes it to the balancer and returns the response."""
         upload = Upload(self._context.streams) if request.more else None
         permits: QuotaPermits | None = None
         try:
@@ -216,9 +223,9 @@
             handler = self._context.start_request(spec, request, upload, permits)
             self._open_request = OpenRequest(self._context, self._stream, self._intake, handler, upload)
             try:
-                return HandledRequest(handler, await self._open_request.response())
+                return HandledRequest(handler, await self._open_request.wait_response())
             except BaseException:
-                # Guards against attempts that go on for a request that nobody waits for.
+                # Guards against attempts that continue although nothing awaits the response.
                 handler.withdraw()
                 raise
         except StreamClosedError:
@@ -236,12 +243,12 @@
     def _client_error(self, status: int) -> Answer:
         return client_error(self._context, self._state, status)
 
-    # Bodies past the response's head, of either side.
+    # Bodies that are not complete when the response starts.
 
     async def _stream_response(
         self, request: Request, handler: RequestHandler, download: Download, keep: bool
     ) -> bool:
-        """Passes a large response on as it comes and as the client reads; whether the connection is kept."""
+        """Forwards a large response piece by piece. Returns whether the connection can be used again."""
         head = forwarded_response(download.beginning)
         keep = keep and (head.length is not None or request.chunks)
         framing = ResponseFraming(head.length, request.chunks, keep)
@@ -258,9 +265,9 @@
             download.close()
 
     async def _discard_body(self, keep: bool) -> bool:
-        """Reads the rest of a body whose request has its response, and throws it away.
+        """Reads and discards the rest of a request body after its response.
 
-        Returns whether the connection is over here: it has moved, or the rest is not waited for.
+        Returns whether this process has finished with the connection: it migrated or is closing.
         """
         self._discarding = True
         while not self._is_body_over():
@@ -271,12 +278,12 @@
                 if self._migrator.move_upload(keep):
                     return True
                 await self._migrator.pause()
-            if self._state.upload_rejected and self._migrator.stays():
-                break  # the process ends, and nobody can go on with it
-            moves = asyncio.ensure_future(self._context.migrating.wait())
+            if self._state.upload_rejected and self._migrator.must_stay():
+                break  # the node shuts down, and no other process can take the connection
+            migration = asyncio.ensure_future(self._context.migrating.wait())
             reading = self._intake.read(self._context.streams.piece())
-            late = await self._intake.wait(reading, *([] if self._state.pinned else [moves]))
-            moves.cancel()
+            late = await self._intake.wait(reading, *([] if self._state.pinned else [migration]))
+            migration.cancel()
             if reading.done():
                 self._intake.feed()
             elif late:
@@ -285,7 +292,10 @@
         return False
 
     def _is_body_over(self) -> bool:
-        """Throws away what has come of a body; whether its end has. Where it is none, the sending ends."""
+        """Discards what has been received of a body. Returns whether the body has ended.
+
+        Closes the sending side if the body is malformed.
+        """
         try:
             return self._intake.parser.piece()[1]
         except Malformed:
@@ -293,21 +303,24 @@
             return False
 
     def reject_upload(self) -> None:
-        """The node ends: a request whose body is not whole is rejected, and one with its response let go."""
-        if self._discarding and not self._state.upload_rejected and self._migrator.stays():
-            # It had its response a while ago, and nobody goes on with it.
+        """Rejects the open request if its body is incomplete, as the node shuts down.
+
+        If the response has been sent already, the connection is closed instead.
+        """
+        if self._discarding and not self._state.upload_rejected and self._migrator.must_stay():
+            # The response was sent, and no other process can read the rest of the body.
             self._closer.end_sending_and_close_later()
         if self._open_request is not None:
             self._open_request.reject_upload()
 
-    # What another process of the node began.
+    # Connections that another process of the node migrated to this one.
 
     async def resume(self, wire: Mapping[str, Any], download: Download) -> None:
-        """Passes on a response that another process began to, and goes on as with any client.
+        """Forwards the rest of a response that another process began, then serves further requests.
 
         Args:
             wire: The JSON value of a `MigratedResponse`.
-            download: The rest of the response, which is closed here in any case.
+            download: The rest of the response. It is closed here in any case.
         """
         self._state.request_open = True
         self._context.phases.leave(self)
@@ -315,10 +328,10 @@
             keep = await self._resume_response(MigratedResponse.from_wire(wire), download)
         finally:
             download.close()
-        await self._go_on(keep)
+        await self._serve_further(keep)
 
     async def _resume_response(self, migrated: MigratedResponse, download: Download) -> bool:
-        """What was unsent and the pieces after it; whether the connection can be used again."""
+        """Writes the unsent bytes and further pieces. Returns whether the connection can be used again."""
         try:
             if migrated.unsent:
                 await self._writer.write(migrated.unsent)
@@ -328,7 +341,7 @@
             raise self._writer.truncate(migrated.framing) from error
 
     async def resume_upload(self, wire: Mapping[str, Any]) -> None:
-        """Reads on a body whose request another process has answered, and goes on as with any client.
+        """Reads the rest of a body whose request another process answered, then serves further requests.
 
         Args:
             wire: The JSON value of a `MigratedUpload`.
@@ -339,13 +352,13 @@
         self._intake.parser.go_on(migrated.parser)
         if await self._discard_body(migrated.keep):
             return
-        await self._go_on(migrated.keep)
+        await self._serve_further(migrated.keep)
 
-    async def _go_on(self, keep: bool) -> None:
-        """What another process began is done: from here on as with any client."""
+    async def _serve_further(self, keep: bool) -> None:
+        """Serves further requests if the connection is kept, and else closes it."""
         self._state.request_open = False
         if keep and not self._context.closing_announced:
             self._intake.start_idle()
-            await self.converse()
+            await self.serve()
         else:
             await self._closer.linger()
--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -49,5 +49,5 @@
     migrate_stream: StreamMigrator | None
     migrating: asyncio.Event  # set while responses under way go to another process
 
-    def linger_within(self) -> float:
+    def linger_timeout(self) -> float:
         """How long (s) a connection is read from after its last response."""
--- a/notchjunction/net/client_migration.py
+++ b/notchjunction/net/client_migration.py
@@ -29,7 +29,7 @@
         """Whether connections are moving now, and this one can."""
         return self._context.migrating.is_set() and not self._state.pinned
 
-    def stays(self) -> bool:
+    def must_stay(self) -> bool:
         """Whether nobody else will go on with this connection."""
         return self._state.pinned or self._context.migrate_stream is None
 
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -1,4 +1,4 @@
-"""All client connections of a node: what they share, their tasks, and how they end or move together."""
+"""Owns all client connections of a node: their shared context, their tasks, draining and migration."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 log = logging.getLogger(__name__)
 
-LINGER_TIMEOUT_S = (
-    0.5  # of reading on after the last response, so that a reset does not destroy it on its way
-)
-LINGER_FINAL_S = 0.2  # the same once all has to be answered: the kill may come 0.3 s after that
+# Of reading after the last response, so that no reset destroys it in transit.
+LINGER_TIMEOUT_S = 0.5
+# The same in the final phase of a shutdown, in which the kill may come after 0.3 s.
+LINGER_FINAL_S = 0.2
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 
 
 class ClientRegistry:
-    """The context of client connections, and the owner of their tasks; each task ends with its connection."""
+    """The context of client connections, and the owner of their tasks. Each task closes its connection."""
 
     def __init__(self, services: ClientServices) -> None:
         self.clock = services.clock
@@ -60,10 +60,10 @@
         self.ids: set[str] = set()  # of requests in flight
         self.draining = False  # readiness checks are answered with 503
         self.closing_announced = False  # responses announce that the connection closes
-        self.final_phase = False  # by now all has to be answered
+        self.final_phase = False  # of a shutdown: each open request has to be answered now
         self.migrate_stream: StreamMigrator | None = None
         self.migrating = asyncio.Event()
-        self._at_limit = False  # the last client accepted was over the limit
+        self._last_over_limit = False  # the last client accepted was over the limit
         self.counters.gauge("client_connections_open", lambda: self.descriptors.callers)
         self.counters.gauge("client_connections_idle", lambda: len(self.phases.idle))
 
@@ -72,38 +72,38 @@
 
         Args:
             sock: The client's socket, which the connection owns from here on.
-            over_limit: Whether its one request is answered with 503.
-            queued_since: Since when (s) it may have waited to be accepted.
+            over_limit: Accepted past the descriptor limit: its one request is answered with 503.
+            queued_since: The earliest time (s) at which it may have connected.
         """
         self.descriptors.take_caller()
         self.counters.add("client_connections_opened")
         if over_limit:
             self.counters.add("client_connections_rejected")
-        if over_limit and not self._at_limit:
+        if over_limit and not self._last_over_limit:
             log.warning(
                 "descriptor limit reached", extra=pairs(limit="descriptors", in_use=self.descriptors.held)
             )
-        self._at_limit = over_limit
-        connection = self._connection(sock, over_limit)
+        self._last_over_limit = over_limit
+        connection = self._new_connection(sock, over_limit)
         connection.note_queued(queued_since)
-        self._run(connection, connection.converse())
+        self._run(connection, connection.serve())
 
     def adopt_stream(self, wire: Mapping[str, Any], sock: socket.socket, download: Download) -> None:
-        """Serves a client whose response another process of this node began to pass on."""
+        """Serves a client whose response another process of this node began to forward."""
         connection = self._adopt(sock, "streams_adopted")
         self._run(connection, connection.resume(wire, download))
 
     def adopt_upload(self, wire: Mapping[str, Any], sock: socket.socket) -> None:
-        """Serves a client that another process of this node has answered, and that still sends its body."""
+        """Serves a client that still sends its body, and whose response another process has sent."""
         connection = self._adopt(sock, "uploads_adopted")
         self._run(connection, connection.resume_upload(wire))
 
     def _adopt(self, sock: socket.socket, counter: str) -> ClientConnection:
         self.descriptors.take_caller()
         self.counters.add(counter)
-        return self._connection(sock, over_limit=False)
+        return self._new_connection(sock, over_limit=False)
 
-    def _connection(self, sock: socket.socket, over_limit: bool) -> ClientConnection:
+    def _new_connection(self, sock: socket.socket, over_limit: bool) -> ClientConnection:
         stream = ClientStream(sock, max_buffer_size=BUFFER_MOST, read_chunk_size=PIECE)
         return ClientConnection(self, stream, over_limit)
 
@@ -115,8 +115,8 @@
         try:
             await work
         except StreamClosedError as error:
-            # Guards against memory of closed connections that waits for the cycle collector: the traceback's
-            # frames hold the connection, and the read that failed, which holds the error.
+            # Guards against closed connections that stay in memory until the cycle collector runs: the frames
+            # of the traceback refer to the connection and to the failed read, which refers to the error.
             error.__traceback__ = None
         except Exception as error:
             self.counters.add_failure("client connection failed", error)
@@ -125,40 +125,43 @@
             del self.connections[connection]
 
     def drain(self) -> None:
-        """The node says from now on that it is not ready for more clients."""
+        """Answers readiness checks with 503 from now on."""
         self.draining = True
 
     def announce_closing(self) -> None:
-        """Responses say from now on that the connection closes."""
+        """Announces in each response from now on that its connection closes."""
         self.closing_announced = True
 
     def resume_service(self) -> None:
-        """Takes both back: the node is ready for more, and connections are kept."""
+        """Reverts `drain` and `announce_closing`: the node is ready again and keeps connections."""
         self.draining = self.closing_announced = False
 
     def start_migration(self, migrate_stream: StreamMigrator) -> None:
-        """From now on responses under way go to another process of the node, between two of their pieces."""
+        """Migrates open responses to another process of the node from now on, between two of their pieces."""
         self.migrate_stream = migrate_stream
         self.migrating.set()
 
     def stop_migration(self) -> None:
-        """They stay from now on: the process that they went to has gone."""
+        """Stops migrating, as the other process has gone."""
         self.migrate_stream = None
         self.migrating.clear()
 
     def reject_uploads(self) -> None:
-        """By now all has to be answered: a request that is not whole is rejected, as it never ran."""
+        """Enters the final phase of a shutdown, and rejects each request whose body is incomplete.
+
+        Such a request has not run.
+        """
         self.final_phase = True
         for connection in list(self.connections):
             connection.reject_upload()
 
-    def close_idle(self, idle_min: float = 0.0) -> None:
-        """Closes connections with no request open, but for those that have been so for less time (s)."""
-        since = self.clock() - idle_min
+    def close_idle(self, min_idle: float = 0.0) -> None:
+        """Closes connections with no open request, unless idle or silent for less than `min_idle` (s)."""
+        idle_by = self.clock() - min_idle
         for connection in list(self.connections):
-            if self.phases.idle.get(connection, self.phases.silent.get(connection, 0.0)) <= since:
+            if self.phases.idle.get(connection, self.phases.silent.get(connection, 0.0)) <= idle_by:
                 connection.end_if_idle()
 
-    def linger_within(self) -> float:
-        """How long (s) a connection is read from after its last response."""
+    def linger_timeout(self) -> float:
+        """Returns how long (s) a connection is read from after its last response."""
         return LINGER_FINAL_S if self.final_phase else LINGER_TIMEOUT_S
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -1,4 +1,4 @@
-"""One request of a client from its handler to its response, while the connection is read on."""
+"""Waits for the response to one request, and reads its connection meanwhile."""
 
 from __future__ import annotations
 
@@ -20,14 +20,14 @@
 
 
 def client_error(context: ClientContext, state: ConnectionState, status: int) -> Answer:
-    """An error that the client made: reported once, and the connection is not used further."""
+    """Counts a bad request and returns its response, after which the connection closes."""
     context.counters.add("bad_requests")
     state.bad_request = True
     return Answer(status, keep=False)
 
 
 class OpenRequest:
-    """Waits for a response, feeds the rest of the body to its endpoint, and notices a client that goes."""
+    """Waits for a response, forwards the rest of the body, and notices when the client disconnects."""
 
     def __init__(
         self,
@@ -44,27 +44,27 @@
         self._state = intake.state
         self._intake = intake
 
-    async def response(self) -> Response | None:
-        """The response; None once the client has gone.
+    async def wait_response(self) -> Response | None:
+        """Waits for the response and returns it; None if the client has gone.
 
         Raises:
-            StreamClosedError: The client's end was met before a read began. The handler still runs.
+            StreamClosedError: The client had gone before a read began. The handler still runs.
         """
-        work = asyncio.create_task(self.handler.answer(self._stream.is_peer_connected))
+        handler_task = asyncio.create_task(self.handler.answer(self._stream.is_peer_connected))
         error: Answer | None = None
-        while not work.done():
+        while not handler_task.done():
             upload = self.upload
             if upload is None or upload.ended:
-                # However much was sent ahead: the end stands behind it.
-                waiting: set[asyncio.Future[Response | None] | asyncio.Future[bytes]]
-                waiting = {work, self._intake.read()}
-                await asyncio.wait(waiting, return_when=asyncio.FIRST_COMPLETED)
+                # Reads on however much was sent ahead, as the client's end comes after it.
+                futures: set[asyncio.Future[Response | None] | asyncio.Future[bytes]]
+                futures = {handler_task, self._intake.read()}
+                await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
             elif upload.wants_more():
-                error = await self._wait_upload(work)
-            elif not await self._wait_upload_room(work, upload):
+                error = await self._wait_for_body(handler_task)
+            elif not await self._wait_for_room(handler_task, upload):
                 self._cancel_for_client()
                 break
-            if self._intake.has_read() and not work.done():
+            if self._intake.has_read() and not handler_task.done():
                 try:
                     error = self._feed()
                 except StreamClosedError:
@@ -73,9 +73,9 @@
             if error is not None:
                 self.handler.withdraw()
                 break
-        return self._final_response(await work, error)
+        return self._select_response(await handler_task, error)
 
-    def _final_response(self, response: Response | None, error: Answer | None) -> Response | None:
+    def _select_response(self, response: Response | None, error: Answer | None) -> Response | None:
         if response is None:
             self._context.counters.add("requests_cancelled")
             error = error or (Answer(503, keep=False) if self._state.upload_rejected else None)
@@ -83,27 +83,27 @@
             response.close()
         return response if error is None else error
 
-    async def _wait_upload(self, work: asyncio.Task[Response | None]) -> Answer | None:
-        """Waits for the response or more of the body; the error that ends the request where that is late."""
-        late = await self._intake.wait(work, self._intake.read(self._context.streams.piece()))
-        # Guards against a late loop's delay undoing a response that is there.
-        if late and not self._intake.has_read() and not work.done():
+    async def _wait_for_body(self, handler_task: asyncio.Task[Response | None]) -> Answer | None:
+        """Waits for the response or more of the body. Returns the error response if the body is too slow."""
+        timed_out = await self._intake.wait(handler_task, self._intake.read(self._context.streams.piece()))
+        # Guards against a late event loop: a response that is ready by now is not replaced by 408.
+        if timed_out and not self._intake.has_read() and not handler_task.done():
             return client_error(self._context, self._state, 408)
         return None
 
-    async def _wait_upload_room(self, work: asyncio.Task[Response | None], upload: Upload) -> bool:
-        """Waits for the response, or until the endpoint takes more; False where the client has gone.
+    async def _wait_for_room(self, handler_task: asyncio.Task[Response | None], upload: Upload) -> bool:
+        """Waits for the response or for room in the upload. Returns False if the client has gone.
 
-        Guards against a client that goes unnoticed while its endpoint takes nothing.
+        Guards against a client whose disconnect is not noticed while its endpoint reads nothing.
         """
         room = asyncio.create_task(upload.room())
-        await asyncio.wait({work, room}, timeout=LOOK_EVERY, return_when=asyncio.FIRST_COMPLETED)
-        full = not room.done()
+        await asyncio.wait({handler_task, room}, timeout=LOOK_EVERY, return_when=asyncio.FIRST_COMPLETED)
+        is_full = not room.done()
         room.cancel()
-        return not full or work.done() or self._stream.is_peer_connected()
+        return not is_full or handler_task.done() or self._stream.is_peer_connected()
 
     def _feed(self) -> Answer | None:
-        """Feeds what was read beside the request; the error that ends the request where there is one.
+        """Processes bytes read while the request is open. Returns an error response if they are invalid.
 
         Raises:
             StreamClosedError: The client has gone.
@@ -121,13 +121,13 @@
         return None
 
     def _cancel_for_client(self) -> None:
-        """The client has gone: no response is due, and nothing more is sent for it."""
+        """Withdraws the request because its client has gone: no response is needed, nor any more attempts."""
         self.handler.ledger.client_gone = True
         self._context.counters.recorder.note(Occurrence.CLIENT_GONE, self.handler.name)
         self.handler.withdraw()
 
     def reject_upload(self) -> None:
-        """The node ends: a request whose body is not whole is rejected, as it never ran."""
+        """Rejects a request whose body is incomplete, as the node shuts down. The request has not run."""
         if self.upload is not None and not self.upload.ended and not self._state.upload_rejected:
             self._state.upload_rejected = True
             self.handler.withdraw()
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -1,4 +1,4 @@
-"""Reads the requests of one client connection: deadlines of head and body, and limits of what comes ahead."""
+"""Reads the requests of one client connection, with timeouts and a limit on bytes sent ahead."""
 
 from __future__ import annotations
 
@@ -16,25 +16,29 @@
 from notchjunction.net.upstream_connection import PIECE, read_piece
 from notchjunction.safety.preconditions import ConnectionFacts, may_close
 
-HEAD_TIMEOUT_S = 2.6  # from connecting, or a later request's first byte, to a whole head; some take 2 s
-BODY_MIN_RATE = 48 * 1024  # bytes a second at which a body comes at least; slow clients send 64 kB
-BODY_GRACE_S = (
-    2.2  # that a body may lag behind that: pauses of slow clients; half a request is answered in 3 s
-)
-REJECTED_TIMEOUT_S = 1.0  # that a client over the limit has for the one request that is rejected
-IDLE_TIMEOUT_S = 120.0  # between two requests; longer than pauses in traffic
-MAX_READ_AHEAD_BYTES = 2 * PIECE  # bytes kept ahead of a response: a whole message and some of the next
-MAX_DISCARDED_BYTES = (
-    1024 * 1024
-)  # bytes past those that are discarded; a client that sends more ahead only costs
+# From connecting, or from a later request's first byte, to a complete head. Some clients take 2 s.
+HEAD_TIMEOUT_S = 2.6
+# Bytes a second of a body, on average. Slow clients send 64 kB a second.
+BODY_MIN_RATE = 48 * 1024
+# A body may be this much later than at BODY_MIN_RATE, as slow clients pause. A client that stops in the
+# middle of a request gets its response within 3 s.
+BODY_GRACE_S = 2.2
+# For the one request of a client over the descriptor limit, which is rejected.
+REJECTED_TIMEOUT_S = 1.0
+# Between two requests; longer than pauses in traffic.
+IDLE_TIMEOUT_S = 120.0
+# Kept while a response is pending: a whole request and part of the next.
+MAX_READ_AHEAD_BYTES = 2 * PIECE
+# Discarded beyond those; a client that sends more is answered 413.
+MAX_DISCARDED_BYTES = 1024 * 1024
 
 
 class RequestIntake:
-    """Reads from the stream, one read at a time, and parses what came.
+    """Reads from the stream, one read at a time, and parses the bytes.
 
-    A request is due by its deadline: the head within `HEAD_TIMEOUT_S`, the body at `BODY_MIN_RATE`. While one
-    is open, reading goes on, as only that shows that the client has gone; what comes ahead is kept up to
-    `MAX_READ_AHEAD_BYTES` bytes and discarded after that.
+    A head has to arrive within `HEAD_TIMEOUT_S`, a body at `BODY_MIN_RATE`. Reading continues while a request
+    is open, because only a read shows that the client has gone. Bytes of further requests are kept up to
+    `MAX_READ_AHEAD_BYTES`, and discarded beyond that.
     """
 
     def __init__(
@@ -45,63 +49,64 @@
         state: ConnectionState,
     ) -> None:
         self.parser = RequestReader()
-        # s; when the request's last byte was read; of one that came ahead of its turn, the first.
+        # s; when the request's last byte arrived; its first byte, if that came while another one was open.
         self.arrived_at = context.clock()
-        self.bytes_discarded = 0  # sent too far ahead; what comes after them makes no sense
-        # Guards against memory of closed connections that waits for the cycle collector.
+        self.bytes_discarded = 0  # beyond the read-ahead limit; later bytes cannot be parsed
+        # Weak: guards against closed connections that stay in memory until the cycle collector runs.
         self._connection_ref = weakref.ref(connection)
         self._context = context
         self._stream = stream
         self.state = state
         self._reading: asyncio.Future[bytes] | None = None
-        self._queued_since: float | None = None  # s; since when what came before the accept may have waited
-        self._body_waited = 0.0  # s so far for the body under way
+        # s; since when bytes that were sent before the accept may have been queued.
+        self._queued_since: float | None = None
+        self._body_waited = 0.0  # s spent waiting for the current body
         context.phases.silent[connection] = self.arrived_at
-        # The first request is due by the time of connecting: bytes that drip in do not renew it.
-        self._due = self.arrived_at + (REJECTED_TIMEOUT_S if state.over_limit else HEAD_TIMEOUT_S)
+        # The first head's timeout starts at the accept. Single bytes that trickle in do not renew it.
+        self._times_out_at = self.arrived_at + (REJECTED_TIMEOUT_S if state.over_limit else HEAD_TIMEOUT_S)
 
     @property
     def _connection(self) -> ManagedConnection:
         connection = self._connection_ref()
-        assert connection is not None  # whoever calls this is the connection, or is awaited by it
+        assert connection is not None  # the caller is the connection, or is awaited by it
         return connection
 
     def note_queued(self, since: float) -> None:
-        """The connection may have been in the queue since then (s), and what has come by now as well."""
+        """Records that the connection, and bytes received by now, may have been queued since then (s)."""
         if self._stream.has_unread():
             self._queued_since = since
 
     def closing_facts(self) -> ConnectionFacts:
-        """What decides at this moment whether the connection may be closed."""
+        """Returns the facts that decide whether the connection may be closed now."""
         closing = self.state.closing or self._stream.closed()
         unread = self.has_read() or self._stream.has_unread()
         return ConnectionFacts(self.state.request_open, self.parser.begun, unread, closing)
 
     def has_more(self) -> bool:
-        """Whether a further request has come, read or not.
+        """Whether bytes of a further request have arrived, read or not.
 
-        Guards against closing over a request that came with this one, drain or not.
+        Guards against a close that loses a request sent together with the current one, also during a drain.
         """
         return self.parser.begun or self.has_read() or self._stream.has_unread()
 
     def start_idle(self) -> None:
-        """Between two requests from now on, unless the next one has begun to come."""
+        """Starts the idle phase between two requests, unless part of the next one has been read."""
         now = self._context.clock()
         self._body_waited = 0.0
         if self.parser.begun:
-            self._due = now + HEAD_TIMEOUT_S
+            self._times_out_at = now + HEAD_TIMEOUT_S
         else:
-            self._due = now + IDLE_TIMEOUT_S
+            self._times_out_at = now + IDLE_TIMEOUT_S
             self._context.phases.idle[self._connection] = now
 
     async def next_request(self, send_continue: Callable[[], Awaitable[None]]) -> Request | None:
-        """The next whole request; None once the connection closes, or nothing has come for too long.
+        """Returns the next request to handle; None if the connection closes or was idle for too long.
 
         Args:
-            send_continue: Called where the client waits for 100 Continue before it sends its body.
+            send_continue: Called if the client waits for 100 Continue before it sends its body.
 
         Raises:
-            Malformed: What came is no request, or came too slowly or too far ahead.
+            Malformed: The bytes are no valid request, arrived too slowly, or exceeded the read-ahead limit.
             StreamClosedError: The client has gone.
         """
         try:
@@ -110,85 +115,90 @@
             self._context.phases.heads.pop(self._connection, None)
 
     async def _next_request(self, send_continue: Callable[[], Awaitable[None]]) -> Request | None:
-        late = False
+        timed_out = False
         while (request := self.parser.next()) is None:
             if self.bytes_discarded:
-                raise Malformed(413, "too much sent ahead")
-            if late and self.parser.begun:
-                raise Malformed(408, "request too slow")
-            if late:
+                raise Malformed(413, "read-ahead limit exceeded")
+            if timed_out and self.parser.begun:
+                raise Malformed(408, "request timed out")
+            if timed_out:
                 return None
-            self._note_head()
+            self._track_head_phase()
             reading = self.read()
             if self.parser.awaits_go_ahead():
                 await send_continue()
-            late = await self.wait(reading)
+            timed_out = await self.wait(reading)
             if self.state.closing:
                 return None
             if reading.done():
                 self.feed()
-                late = late and self._context.clock() >= self._due
-            elif late and not self.parser.begun:
-                # Guards against ending a connection over a request that came as its time was over.
-                late = may_close(self.closing_facts()) is None
+                timed_out = timed_out and self._context.clock() >= self._times_out_at
+            elif timed_out and not self.parser.begun:
+                # Guards against a close that loses a request which arrived as the timeout passed.
+                timed_out = may_close(self.closing_facts()) is None
         return request
 
-    def _note_head(self) -> None:
+    def _track_head_phase(self) -> None:
         if self.parser.in_body:
             self._context.phases.heads.pop(self._connection, None)
         elif self.parser.begun:
             self._context.phases.heads.setdefault(self._connection, self._context.clock())
 
-    async def wait(self, *waiting: asyncio.Future[Any]) -> bool:
-        """Waits for any of these while the client's next bytes are due; whether they are late.
+    async def wait(self, *futures: asyncio.Future[Any]) -> bool:
+        """Waits for any of the futures or the client's timeout. Returns whether the timeout has passed.
 
-        A body is due by its rate, over the time that was spent waiting for it: guards against clients that
-        hold a connection for nothing.
+        A body's timeout follows from its minimum rate over the time spent waiting for it. This guards against
+        clients that occupy a connection without sending.
         """
-        started = self._context.clock()
+        wait_started_at = self._context.clock()
         in_body = self.parser.in_body and not self.state.over_limit
         if in_body:
-            self._due = started + BODY_GRACE_S + self.parser.body_come / BODY_MIN_RATE - self._body_waited
+            self._times_out_at = (
+                wait_started_at + BODY_GRACE_S + self.parser.body_come / BODY_MIN_RATE - self._body_waited
+            )
         await asyncio.wait(
-            waiting, timeout=max(0.0, self._due - started), return_when=asyncio.FIRST_COMPLETED
+            futures,
+            timeout=max(0.0, self._times_out_at - wait_started_at),
+            return_when=asyncio.FIRST_COMPLETED,
         )
         now = self._context.clock()
         if in_body:
-            self._body_waited += now - started
-        # Guards against a busy loop's delay being put down to the client: what has come is read first.
-        return now >= self._due
+            self._body_waited += now - wait_started_at
+        # Guards against blaming a client for the delay of a busy loop: callers first read what has arrived.
+        return now >= self._times_out_at
 
     def read(self, limit: int = PIECE) -> asyncio.Future[bytes]:
-        """The read under way, or a new one of up to `limit` bytes."""
+        """Returns the read in progress, or starts one of up to `limit` bytes."""
         if self._reading is None:
             self._reading = read_piece(self._stream, limit)
         return self._reading
 
     def has_read(self) -> bool:
-        """Whether the read under way is done, and what it read is not fed to the parser yet."""
+        """Whether a read has finished whose bytes have not been passed to the parser yet."""
         return self._reading is not None and self._reading.done()
 
     def feed(self) -> None:
-        """Feeds what was read to the parser, or discards it where too much came ahead.
+        """Passes the bytes read to the parser, or discards them beyond the read-ahead limit.
 
         Raises:
-            StreamClosedError: The read met the client's end.
+            StreamClosedError: The client has gone.
         """
         assert self._reading is not None
         reading, self._reading = self._reading, None
         piece = reading.result()
         now = self._context.clock()
-        # A request's time counts from its last byte; of one that came ahead only the first is known for sure.
+        # A request's time left counts from its last byte; from its first if sent ahead, the only one known.
         if not self.state.request_open or not self.parser.begun:
-            # Guards against a late loop's delay passing for time that the client still has.
+            # Guards against a late event loop whose delay is added to the time that the client allows.
             self.arrived_at = now - max(0.0, time.monotonic() - self._stream.arrived_at)
         if self._queued_since is not None:
             self.arrived_at, self._queued_since = min(self.arrived_at, self._queued_since), None
         if not self.parser.begun:
             if self._connection in self._context.phases.idle:
-                self._due = now + HEAD_TIMEOUT_S
+                self._times_out_at = now + HEAD_TIMEOUT_S
             self._context.phases.leave(self._connection)
-        # Guards against memory that grows with what a client sends ahead, which is read on for its end.
+        # Guards against memory that grows with the bytes sent ahead: reading continues to notice the client's
+        # end.
         ahead = self.state.request_open and self.parser.unread + len(piece) > MAX_READ_AHEAD_BYTES
         if self.bytes_discarded or ahead:
             self.bytes_discarded += len(piece)
@@ -196,12 +206,12 @@
             self.parser.feed(piece)
 
     def is_over_discard_limit(self) -> bool:
-        """Whether the client has sent more ahead than is worth reading for its end."""
+        """Whether the client has sent too many bytes ahead for reading to continue."""
         return self.bytes_discarded > MAX_DISCARDED_BYTES
 
     async def discard(self, limit: int) -> None:
-        """Reads up to so many bytes, and the read that crosses the limit whole, and throws them away."""
-        left = limit
-        while left > 0:
-            left -= len(await self.read())
+        """Reads and discards up to `limit` bytes; the read that crosses the limit is discarded whole."""
+        remaining = limit
+        while remaining > 0:
+            remaining -= len(await self.read())
             self._reading = None
--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -1,4 +1,4 @@
-"""Writes responses to one client: whole ones, and large ones piece by piece."""
+"""Writes responses to one client: small ones at once, large ones piece by piece."""
 
 from __future__ import annotations
 
@@ -18,11 +18,12 @@
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.stream_state import ResponseFraming
 
-WRITE_TIMEOUT_S = 10.0  # that a client may take to read a response, or a piece of it; then it counts as gone
+# For a client to read a response or a piece of one; after that it counts as gone.
+WRITE_TIMEOUT_S = 10.0
 
 
 class ResponseWriter:
-    """The one place where bytes for a client are written."""
+    """Writes the responses of one connection, and tracks how many bytes were queued for them."""
 
     def __init__(
         self,
@@ -35,23 +36,30 @@
         self._context = context
         self._state = state
         self._migrator = migrator
-        self._bytes_queued = 0  # written so far, whether or not the operating system has accepted them
+        self._bytes_queued = 0  # passed to the stream so far, accepted by the operating system or not
 
     async def write(self, wire: bytes) -> None:
-        """Writes encoded bytes; StreamClosedError where the client has gone or does not read them."""
+        """Writes encoded bytes.
+
+        Raises:
+            StreamClosedError: The client has gone or does not read.
+        """
         self._bytes_queued += len(wire)
         try:
             async with asyncio.timeout(WRITE_TIMEOUT_S):
                 await self.stream.write(wire)
         except TimeoutError as error:
-            # Guards against a client that reads nothing: a drain would wait for it.
+            # Guards against a client that never reads, which a drain would wait for.
             raise StreamClosedError from error
 
     async def write_body(self, download: Download, framing: ResponseFraming) -> bool:
-        """Writes a body piece by piece as it comes, and its end; whether the connection can be used again.
+        """Writes a body piece by piece as it arrives, and its end marker.
+
+        Returns whether the connection can be used again.
 
         Raises:
-            ConnectionLost, Malformed: The endpoint's side of the response ended or is no response.
+            ConnectionLost: The endpoint's connection ended before the response did.
+            Malformed: The endpoint's bytes are not a valid response.
             StreamClosedError: The client has gone or does not read.
         """
         while True:
@@ -63,7 +71,7 @@
             if piece:
                 if await self._write_piece(piece, download, framing):
                     return False
-                await asyncio.sleep(0)  # guards against one body taking all turns
+                await asyncio.sleep(0)  # guards against one body that starves other connections
             elif download.over:
                 break
             else:
@@ -75,7 +83,7 @@
         return framing.keep
 
     async def _write_piece(self, piece: bytes, download: Download, framing: ResponseFraming) -> bool:
-        """Writes one piece; whether the response moved to another process with the rest of it."""
+        """Writes one piece. Returns whether the response migrated, with the rest of the piece, meanwhile."""
         wire = encode_piece(piece, framing.length, framing.chunks)
         self._bytes_queued += len(wire)
         written = self.stream.write(wire)
@@ -87,28 +95,28 @@
         return False
 
     async def _wait_written(self, written: asyncio.Future[None]) -> bool:
-        """Waits until a piece is written, or responses are to move; whether it is written."""
+        """Waits until a piece is written or migration starts. Returns whether it is written."""
         migrating = self._context.migrating
-        waits: set[asyncio.Future[Any]] = {written}
+        futures: set[asyncio.Future[Any]] = {written}
         if not self._state.pinned:
-            waits.add(moves := asyncio.ensure_future(migrating.wait()))
-        await asyncio.wait(waits, timeout=WRITE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
+            futures.add(migration := asyncio.ensure_future(migrating.wait()))
+        await asyncio.wait(futures, timeout=WRITE_TIMEOUT_S, return_when=asyncio.FIRST_COMPLETED)
         if not self._state.pinned:
-            moves.cancel()
+            migration.cancel()
         if written.done():
             written.result()
         elif self._state.pinned or not migrating.is_set():
-            # Guards against a client that reads nothing: a drain would wait for it.
+            # Guards against a client that never reads, which a drain would wait for.
             raise StreamClosedError
         return written.done()
 
     def truncate(self, framing: ResponseFraming) -> StreamClosedError:
-        """The error that ends a connection whose response is not whole, through no fault of the node's.
+        """Returns the error that ends a connection whose response is incomplete because of its endpoint.
 
-        The client can tell, by the end that is missing.
+        The client notices the truncation: the end of the body is missing, or the connection is reset.
         """
         if framing.length is None and not framing.chunks:
-            # The end of the connection would pass for that of the response: it is reset.
+            # The end of the connection marks the end of such a response, so it is reset instead of closed.
             with suppress(OSError):
                 self.stream.socket.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
         return StreamClosedError()
