--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -1,4 +1,4 @@
-"""Accepts clients: how many at once, who waits while descriptors are short, who is let in at the end."""
+"""Accepts clients, and delays or rejects them while descriptors are short."""
 
 from __future__ import annotations
 
@@ -24,9 +24,11 @@
 
 log = logging.getLogger(__name__)
 
-BACKLOG = 1024  # connections that wait to be accepted; a burst of clients, also after a restart
-ACCEPT_MAX = 16  # connections accepted at one go; requests get their turn in between, however many knock
-# What the system says at an accept of that one connection, and not of the listener (accept(2)).
+# Connections queued by the operating system: a burst of clients, also after a restart.
+BACKLOG = 1024
+# Connections accepted in one turn of the event loop, so that a burst of them does not delay requests.
+MAX_ACCEPTS = 16
+# Errors of accept(2) that concern one connection and not the listener.
 CONNECTION_ERRORS = (
     errno.ECONNABORTED,
     errno.EPROTO,
@@ -34,28 +36,30 @@
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
 )
-ROOM_POLL_INTERVAL_S = (
-    0.01  # between looks for room past the margin, while clients wait; rejections take less
-)
-ROOM_TIMEOUT_S = 0.3  # that they wait for it, then they are rejected; most deadlines are longer
-REJECTION = encode_answer(Answer(503, keep=False))
-SHORTAGE_LOG_INTERVAL_S = 10.0  # in which one line says that the system has no descriptor for a client
+# Between attempts to free a descriptor for a waiting client; a rejection takes less.
+ROOM_POLL_INTERVAL_S = 0.01
+# For a descriptor to become free before waiting clients are rejected; most deadlines are longer.
+ROOM_TIMEOUT_S = 0.3
+REJECTION_RESPONSE = encode_answer(Answer(503, keep=False))
+# Between log lines about accepts that failed for lack of a descriptor or memory.
+SHORTAGE_LOG_INTERVAL_S = 10.0
 
 
 def _reject_unread(connection: socket.socket) -> None:
-    """Answers 503 and closes at once, whatever was requested: no descriptor is left to read it with.
+    """Responds 503 without reading the request, and closes at once to free the descriptor.
 
-    Nothing of it ran. What has come is thrown away, as a close over it would be a reset that may destroy the
-    answer; a request that comes later finds the answer, too, as the operating system gives that out first.
+    The request does not run. Unread bytes are discarded, because a close with unread bytes sends a reset,
+    which may destroy the response. A client whose request arrives later gets the response as well, because the
+    operating system delivers that first.
     """
     with suppress(OSError):
-        connection.send(REJECTION, socket.MSG_DONTWAIT)
+        connection.send(REJECTION_RESPONSE, socket.MSG_DONTWAIT)
     end_sending_and_discard(connection)
     connection.close()
 
 
 class ClientListener:
-    """The listening sockets, and the queue of clients that the operating system keeps behind them."""
+    """The listening sockets, and the clients that wait to be accepted."""
 
     def __init__(self, clients: ClientRegistry, close_idle_upstream: Callable[[], bool]) -> None:
         self.listeners: list[socket.socket] = []
@@ -72,43 +76,46 @@
         self._shortage_logged_at = -math.inf
         self._paused = False
         self._stopping = False
-        self._waiting: socket.socket | None = None  # past the margin; those after it are in the queue
+        self._waiting: socket.socket | None = None  # accepted past the margin, not served yet
         self._waiting_since: float | None = None
-        self._hold_off_call: asyncio.TimerHandle | None = None  # nobody is accepted before it
-        self._queued_since = 0.0  # s; since when those in the queue may wait there
-        self._queue_checked_at = 0.0  # s; when the queue was looked at last, with some left in it maybe
+        self._hold_off_call: asyncio.TimerHandle | None = None  # no accept before it
+        self._queued_since = 0.0  # s; the earliest time at which queued clients may have connected
+        self._queue_checked_at = 0.0  # s; the last accept or start; clients may have remained queued
 
     @property
     def connected(self) -> int:
-        """Clients with a connection that is open here, whether or not it is served yet."""
+        """Number of clients with an open connection, including one that is not served yet."""
         return len(self._clients.connections) + (self._waiting is not None)
 
     @property
     def queued(self) -> bool:
-        """Whether clients may wait who are to be accepted before the node ends, if it can be in time."""
+        """Whether clients may be queued that have to be accepted before the shutdown's final phase."""
         return self._stopping and bool(self.listeners) and not self._clients.final_phase
 
     def close_oldest(self) -> bool:
-        """Closes the client that has been idle longest, else one that has sent nothing since it came."""
+        """Closes a lingering, idle or silent client to free a descriptor. Returns whether it closed one."""
         return self._pressure.close_oldest()
 
     def open(self, address: Address, shared: bool = False) -> None:
-        """Accepts clients; where it is shared, another process may bind the same address."""
+        """Binds an address and accepts clients. If `shared`, another process may bind the same address."""
         self.adopt(bind_sockets(address[1], address[0], backlog=BACKLOG, reuse_port=shared))
 
     def adopt(self, listeners: list[socket.socket]) -> None:
-        """Accepts clients of sockets that listen already."""
+        """Accepts clients on sockets that are listening already."""
         self.listeners = listeners
         self._paused = False
-        # Guards against a client of the first moment that passes for one of long ago.
+        # Guards against a first client that is taken for one queued long ago.
         self._queued_since = self._clients.clock()
         if self._stopping:
-            # Guards against accepting clients up to the node's end: their listeners have come only now.
+            # Guards against accepting until the process exits: these listeners arrived after the stop.
             self.stop()
         self._listen()
 
     def pause(self) -> None:
-        """Accepts nobody; another process has the same queue, which outlives it while it is open here too."""
+        """Stops accepting while another process accepts on the same sockets.
+
+        The sockets stay open here, so that the queue persists if that process ends.
+        """
         self._paused = True
         for listener in self.listeners:
             self._loop.remove_reader(listener.fileno())
@@ -118,17 +125,17 @@
         self.adopt(self.listeners)
 
     def stop(self) -> None:
-        """Accepts nobody from now on but those who wait."""
+        """Accepts the clients queued by now, and then closes the listening sockets."""
         self._stopping = True
         for listener in self.listeners:
-            # Guards against a reset for each that waits: closing a listener ends them unserved.
-            while self._accept(listener) == ACCEPT_MAX:
+            # Guards against resets: closing a listener resets all connections that are still queued.
+            while self._accept(listener) == MAX_ACCEPTS:
                 pass
         if self._hold_off_call is None:
             self.close()
 
     def close(self) -> None:
-        """Closes the listening sockets; whoever still waits behind them meets a reset."""
+        """Closes the listening sockets. Clients that are still queued get a reset."""
         while self.listeners:
             listener = self.listeners.pop()
             self._loop.remove_reader(listener.fileno())
@@ -141,28 +148,28 @@
                 self._loop.add_reader(listener.fileno(), self._accept, listener)
 
     def _hold_off(self, seconds: float) -> None:
-        """Accepts nobody for so long; clients wait in the queue."""
+        """Accepts no clients for so many seconds; they stay queued."""
         for listener in self.listeners:
             self._loop.remove_reader(listener.fileno())
         self._hold_off_call = self._loop.call_later(seconds, self._end_hold_off)
 
     def _end_hold_off(self) -> None:
         self._hold_off_call = None
-        waiting, self._waiting = self._waiting, None
-        if waiting is not None:
-            self._let_in(waiting)
+        connection, self._waiting = self._waiting, None
+        if connection is not None:
+            self._serve_or_delay(connection)
         if self._stopping:
             self.stop()
         else:
             self._listen()
 
     def _accept(self, listener: socket.socket) -> int:
-        """Accepts those who wait; how many were tried, `ACCEPT_MAX` where more may wait."""
-        came_after = self._clients.clock() - waited_most()
-        if came_after > self._queue_checked_at:
-            # The loop has waited since: nobody was there then.
-            self._queued_since = came_after
-        for count in range(ACCEPT_MAX):
+        """Accepts queued clients. Returns the number of tries: `MAX_ACCEPTS` if more may be queued."""
+        arrived_after = self._clients.clock() - waited_most()
+        if arrived_after > self._queue_checked_at:
+            # The loop was idle at some time after the last accept, so no client was queued then.
+            self._queued_since = arrived_after
+        for count in range(MAX_ACCEPTS):
             if self._hold_off_call is not None:
                 return count
             try:
@@ -171,44 +178,45 @@
                 self._waiting_since = None
                 return count
             except OSError as error:
-                if self._goes_on_after(error):
+                if self._can_continue_after(error):
                     continue
                 self._queue_checked_at = self._clients.clock()
                 return count
-            self._let_in(connection)
+            self._serve_or_delay(connection)
         self._queue_checked_at = self._clients.clock()
-        return ACCEPT_MAX
+        return MAX_ACCEPTS
 
-    def _goes_on_after(self, error: OSError) -> bool:
-        """Counts and logs an accept that failed; whether the next one may succeed at once.
+    def _can_continue_after(self, error: OSError) -> bool:
+        """Counts and logs a failed accept. Returns whether the next one may succeed at once.
 
-        Guards against a client gone before it was accepted, and descriptors that others use up.
+        Guards against clients that disconnect before they are accepted, and against descriptors that are used
+        up elsewhere.
         """
         self._counters.add("accepts_failed")
-        short = error.errno in SHORT
-        if not short or self._clients.clock() > self._shortage_logged_at + SHORTAGE_LOG_INTERVAL_S:
+        is_shortage = error.errno in SHORT
+        if not is_shortage or self._clients.clock() > self._shortage_logged_at + SHORTAGE_LOG_INTERVAL_S:
             log.warning("accept failed", extra=pairs(why=error))
-            self._shortage_logged_at = self._clients.clock() if short else self._shortage_logged_at
-        if error.errno in CONNECTION_ERRORS or (short and self._pressure.press()):
-            # Guards against resets for all behind that one, as where the listener is closed next.
+            self._shortage_logged_at = self._clients.clock() if is_shortage else self._shortage_logged_at
+        if error.errno in CONNECTION_ERRORS or (is_shortage and self._pressure.press()):
+            # Guards against resets for all clients queued behind this one if the listener is closed next.
             return True
-        if short:
-            # Guards against a loop that does nothing but fail: the listener stays readable.
+        if is_shortage:
+            # Guards against a busy loop of failing accepts, as the listener stays readable.
             self._hold_off(SHORT_PAUSE)
         return False
 
-    def _let_in(self, connection: socket.socket) -> None:
+    def _serve_or_delay(self, connection: socket.socket) -> None:
         verdict = self._pressure.judge()
         if verdict is Verdict.WAIT:
-            self._keep_waiting(connection)
+            self._delay(connection)
             return
         self._waiting_since = None
         self._clients.start(connection, verdict is Verdict.REJECT, self._queued_since)
 
-    def _keep_waiting(self, connection: socket.socket) -> None:
-        """Past the margin, and nobody can go: those who come next wait where they take no descriptor.
+    def _delay(self, connection: socket.socket) -> None:
+        """Delays a client accepted past the margin; further ones stay queued, where they use no descriptor.
 
-        Guards against a moment's crowd that is rejected; whoever waits in vain is answered soon.
+        Guards against rejecting a short burst. A client that waits for too long is rejected.
         """
         now = self._clients.clock()
         if self._waiting_since is None:
