--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -1,4 +1,4 @@
-"""What a client's connection needs of whoever accepted it, as types without the listener itself."""
+"""The interfaces through which client connections use the node that accepted them."""
 
 from __future__ import annotations
 
@@ -15,19 +15,19 @@
 from notchjunction.net.request_handler import QuotaPermits, RequestHandler
 from notchjunction.telemetry.counters import Counters
 
-# Admission under quotas of the whole fleet, ahead of the balancer: a rejection, or permits and request.
+# Admission under the fleet's quotas, before the balancer: a rejection, or the permits and the request.
 Admit = Callable[[RequestSpec], Awaitable[Answer | tuple[QuotaPermits | None, RequestSpec]]]
 StartRequest = Callable[[RequestSpec, Request, Upload | None, QuotaPermits | None], RequestHandler]
 
 
 class StreamMigrator(Protocol):
-    """Sends open connections to the process of the node that replaces this one."""
+    """Sends open connections to the process that replaces this one."""
 
     def __call__(self, state: Mapping[str, Any], *sockets: socket.socket) -> bool:
-        """Sends a client's socket, and its endpoint's where a response is under way; whether it was taken.
+        """Sends a client's socket, and its endpoint's if a response is open. Returns whether it was accepted.
 
         Raises:
-            BlockingIOError: The other process is still busy with earlier ones; a later try may succeed.
+            BlockingIOError: The other process is still busy with earlier connections; try again later.
         """
 
 
@@ -38,16 +38,16 @@
     admit: Admit | None
     start_request: StartRequest
     ready: Callable[[], bool]
-    request_classes: Collection[str]  # request classes that are served; empty: all
+    request_classes: Collection[str]  # served request classes; empty: all
     counters: Counters
     descriptors: Descriptors
     streams: StreamBuffers
     phases: ConnectionPhases
     ids: set[str]  # of requests in flight
     draining: bool  # readiness checks are answered with 503
-    closing_announced: bool  # responses announce that the connection closes
+    closing_announced: bool  # each response announces that its connection closes
     migrate_stream: StreamMigrator | None
-    migrating: asyncio.Event  # set while responses under way go to another process
+    migrating: asyncio.Event  # set while open responses migrate to another process
 
     def linger_timeout(self) -> float:
-        """How long (s) a connection is read from after its last response."""
+        """Returns how long (s) a connection is read from after its last response."""
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -16,9 +16,9 @@
 from notchjunction.http1.encoder import encode_answer
 from notchjunction.http1.messages import Answer
 from notchjunction.net.client_registry import ClientRegistry
-from notchjunction.net.descriptor_pressure import DescriptorPressure, Verdict
+from notchjunction.net.descriptor_pressure import AcceptDecision, DescriptorPressure
 from notchjunction.net.descriptors import SHORT, SHORT_PAUSE
-from notchjunction.net.event_loop import waited_most
+from notchjunction.net.event_loop import max_unread_age
 from notchjunction.net.socket_stream import end_sending_and_discard
 from notchjunction.telemetry.logs import pairs
 
@@ -49,8 +49,8 @@
     """Responds 503 without reading the request, and closes at once to free the descriptor.
 
     The request does not run. Unread bytes are discarded, because a close with unread bytes sends a reset,
-    which may destroy the response. A client whose request arrives later gets the response as well, because the
-    operating system delivers that first.
+    which may destroy the response. A client whose request arrives later gets the response as well, because
+    the operating system delivers that first.
     """
     with suppress(OSError):
         connection.send(REJECTION_RESPONSE, socket.MSG_DONTWAIT)
@@ -165,7 +165,7 @@
 
     def _accept(self, listener: socket.socket) -> int:
         """Accepts queued clients. Returns the number of tries: `MAX_ACCEPTS` if more may be queued."""
-        arrived_after = self._clients.clock() - waited_most()
+        arrived_after = self._clients.clock() - max_unread_age()
         if arrived_after > self._queue_checked_at:
             # The loop was idle at some time after the last accept, so no client was queued then.
             self._queued_since = arrived_after
@@ -197,7 +197,7 @@
         if not is_shortage or self._clients.clock() > self._shortage_logged_at + SHORTAGE_LOG_INTERVAL_S:
             log.warning("accept failed", extra=pairs(why=error))
             self._shortage_logged_at = self._clients.clock() if is_shortage else self._shortage_logged_at
-        if error.errno in CONNECTION_ERRORS or (is_shortage and self._pressure.press()):
+        if error.errno in CONNECTION_ERRORS or (is_shortage and self._pressure.make_room_past_margin()):
             # Guards against resets for all clients queued behind this one if the listener is closed next.
             return True
         if is_shortage:
@@ -206,12 +206,12 @@
         return False
 
     def _serve_or_delay(self, connection: socket.socket) -> None:
-        verdict = self._pressure.judge()
-        if verdict is Verdict.WAIT:
+        decision = self._pressure.decide()
+        if decision is AcceptDecision.WAIT:
             self._delay(connection)
             return
         self._waiting_since = None
-        self._clients.start(connection, verdict is Verdict.REJECT, self._queued_since)
+        self._clients.start(connection, decision is AcceptDecision.REJECT, self._queued_since)
 
     def _delay(self, connection: socket.socket) -> None:
         """Delays a client accepted past the margin; further ones stay queued, where they use no descriptor.
--- a/notchjunction/net/client_migration.py
+++ b/notchjunction/net/client_migration.py
@@ -1,4 +1,4 @@
-"""Moves a client connection to the process of the node that replaces this one, in the middle of a message."""
+"""Migrates a client connection, in the middle of a message, to the process that replaces this one."""
 
 from __future__ import annotations
 
@@ -11,11 +11,16 @@
 from notchjunction.net.request_intake import RequestIntake
 from notchjunction.net.stream_state import MigratedResponse, MigratedUpload, ResponseFraming
 
-RETRY_INTERVAL_S = 0.02  # until a connection that could not move yet is tried again
+# Between attempts to migrate one connection.
+RETRY_INTERVAL_S = 0.02
 
 
 class ConnectionMigrator:
-    """Offers one connection to the other process, once: where that fails it is pinned to this one."""
+    """Migrates one connection to the process that replaces this one.
+
+    A connection that cannot migrate is pinned: it stays with this process. If the other process is only busy,
+    the migration can be tried again.
+    """
 
     def __init__(
         self, context: ClientContext, stream: ClientStream, state: ConnectionState, intake: RequestIntake
@@ -26,54 +31,60 @@
         self._intake = intake
 
     def is_due(self) -> bool:
-        """Whether connections are moving now, and this one can."""
+        """Whether connections migrate now and this one is not pinned."""
         return self._context.migrating.is_set() and not self._state.pinned
 
     def must_stay(self) -> bool:
-        """Whether nobody else will go on with this connection."""
+        """Whether no other process can take this connection."""
         return self._state.pinned or self._context.migrate_stream is None
 
     async def pause(self) -> None:
-        """Waits until the next try."""
+        """Waits until the next attempt to migrate."""
         await asyncio.sleep(RETRY_INTERVAL_S)
 
     def move_response(self, download: Download, framing: ResponseFraming, unsent: bytes) -> bool:
-        """Moves a response between two of its pieces, with what of the last one is unsent; whether it did.
+        """Migrates a response between two of its pieces. Returns whether it did.
+
+        A response is pinned if a further request or the end of either side has arrived: only this process has
+        read that.
 
-        It stays where a further request or the end of either side has come: only this process knows of that.
+        Args:
+            download: The response of the endpoint, of which more follows.
+            framing: How the response is written to the client.
+            unsent: The encoded bytes of the last piece that the operating system has not accepted.
         """
         self._state.pinned = True
         migrate_stream = self._context.migrate_stream
-        ahead = self._intake.parser.begun or self._intake.has_read() or self._stream.closed()
-        if migrate_stream is None or ahead or download.over or not download.take_held():
+        has_other_data = self._intake.parser.begun or self._intake.has_read() or self._stream.closed()
+        if migrate_stream is None or has_other_data or download.over or not download.take_held():
             return False
         state = MigratedResponse(framing, download.state, unsent)
         try:
             if not migrate_stream(state.to_wire(), self._stream.socket, download.socket):
                 return False
         except BlockingIOError:
-            self._state.pinned = False  # the other process is still busy with those before it
+            self._state.pinned = False  # the other process is still busy with earlier connections
             return False
         self._context.counters.add("streams_migrated")
         download.move()
-        # Guards against ending it for the other process, too.
+        # Guards against a later half-close here: it would end the connection for the other process.
         self._stream.close()
         return True
 
     def move_upload(self, keep: bool) -> bool:
-        """Moves a client that has its response, and whose body still comes; whether it did."""
+        """Migrates a client that still sends the body of an answered request. Returns whether it did."""
         migrate_stream = self._context.migrate_stream
         if migrate_stream is None or self._intake.has_read() or self._stream.closed():
             return False
         try:
-            moved = migrate_stream(
+            migrated = migrate_stream(
                 MigratedUpload(keep, self._intake.parser.state()).to_wire(), self._stream.socket
             )
         except BlockingIOError:
             return False
-        self._state.pinned = not moved
-        if moved:
+        self._state.pinned = not migrated
+        if migrated:
             self._context.counters.add("uploads_migrated")
-            # Guards against ending it for the other process, too.
+            # Guards against a later half-close here: it would end the connection for the other process.
             self._stream.close()
-        return moved
+        return migrated
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -36,7 +36,7 @@
     clock: Callable[[], float]  # s
     start_request: StartRequest
     ready: Callable[[], bool]
-    request_classes: Collection[str]  # request classes that are served; empty: all
+    request_classes: Collection[str]  # served request classes; empty: all
     descriptors: Descriptors
     counters: Counters
     streams: StreamBuffers
@@ -59,7 +59,7 @@
         self.connections: dict[ClientConnection, asyncio.Task[None]] = {}
         self.ids: set[str] = set()  # of requests in flight
         self.draining = False  # readiness checks are answered with 503
-        self.closing_announced = False  # responses announce that the connection closes
+        self.closing_announced = False  # each response announces that its connection closes
         self.final_phase = False  # of a shutdown: each open request has to be answered now
         self.migrate_stream: StreamMigrator | None = None
         self.migrating = asyncio.Event()
--- a/notchjunction/net/client_state.py
+++ b/notchjunction/net/client_state.py
@@ -1,4 +1,4 @@
-"""The state of client connections: the flags of one, and the tables of all by phase."""
+"""The state of client connections: the flags of one connection, and tables of all by phase."""
 
 from __future__ import annotations
 
@@ -7,32 +7,34 @@
 
 
 class ManagedConnection(Protocol):
-    """A connection as the listener sees it, which may close it to free a descriptor."""
+    """A connection as the listener sees it, which may close it to free its descriptor."""
 
     def close(self) -> None:
         """Closes the connection at once; a second call changes nothing."""
 
     def close_if_idle(self) -> bool:
-        """Closes the connection now where no request is open on it; whether it did."""
+        """Closes the connection at once if no request is open on it. Returns whether it did."""
 
     def reject_partial_head(self) -> None:
-        """Answers 408 to a head under way and ends the sending, unless more of the head has just come."""
+        """Responds 408 to an incomplete request head and closes the sending side, unless bytes are unread."""
 
 
 class ConnectionPhases:
-    """Connections by phase, each with the time (s, the listener's clock) since when it has been in it.
+    """Connections by phase, each with the time (s, the node's clock) at which it entered the phase.
 
-    A connection enters and leaves the tables itself, so that each has the longest in its phase first.
+    Each connection adds and removes itself, so each table is ordered: the longest in its phase comes first.
     """
 
     def __init__(self) -> None:
-        self.silent: dict[ManagedConnection, float] = {}  # nothing has come yet
+        self.silent: dict[ManagedConnection, float] = {}  # nothing received yet
         self.idle: dict[ManagedConnection, float] = {}  # between two requests
-        self.heads: dict[ManagedConnection, float] = {}  # part of a head has come, and no whole one is unread
-        self.lingering: dict[ManagedConnection, float] = {}  # sending has ended; still read from for a moment
+        self.heads: dict[
+            ManagedConnection, float
+        ] = {}  # part of a head received, and no complete one pending
+        self.lingering: dict[ManagedConnection, float] = {}  # half-closed, read from until the linger timeout
 
     def leave(self, connection: ManagedConnection) -> None:
-        """Takes a connection out of whatever phase it is in."""
+        """Removes a connection from all phases."""
         self.silent.pop(connection, None)
         self.idle.pop(connection, None)
         self.heads.pop(connection, None)
@@ -41,11 +43,11 @@
 
 @dataclass(slots=True)
 class ConnectionState:
-    """What the parts of one connection know of each other."""
+    """The flags that the parts of one connection share."""
 
     over_limit: bool  # accepted past the descriptor limit: its one request is answered with 503
-    request_open: bool = False  # a request has been read and has no whole response yet
-    closing: bool = False  # sending has ended
-    bad_request: bool = False  # the client sent what is no request: nothing more of it is read
-    pinned: bool = False  # can't move to another process
-    upload_rejected: bool = False  # as the node ends before the body is whole
+    request_open: bool = False  # a request has been read and has no complete response yet
+    closing: bool = False  # the sending side is closed
+    bad_request: bool = False  # the client sent an invalid request: no more requests are read
+    pinned: bool = False  # cannot migrate to another process
+    upload_rejected: bool = False  # because the node shuts down before the body is complete
--- a/notchjunction/net/client_stream.py
+++ b/notchjunction/net/client_stream.py
@@ -1,4 +1,4 @@
-"""The byte stream of one client, and what the operating system knows of its other end."""
+"""The byte stream of one client, and what the operating system reports about the client's end."""
 
 from __future__ import annotations
 
@@ -6,41 +6,41 @@
 import time
 from contextlib import suppress
 
-from notchjunction.net.event_loop import waited_most
+from notchjunction.net.event_loop import max_unread_age
 from notchjunction.net.socket_stream import NodeStream, Unread
 
-# Poll events that report an end of the connection, also one behind unread bytes.
+# Poll events that report the end of the connection, also while bytes are unread.
 END_EVENTS = select.POLLRDHUP | select.POLLHUP | select.POLLERR
 
 
 class ClientStream(NodeStream):
-    """Counts what the operating system has accepted for sending, and notes when the last bytes arrived."""
+    """Counts the bytes that the operating system accepted, and records when the last bytes arrived."""
 
     bytes_sent = 0  # accepted by the operating system
-    arrived_at = 0.0  # s, monotonic; the earliest moment at which the bytes read last can have arrived
+    arrived_at = 0.0  # s, monotonic; the earliest time at which the bytes read last may have arrived
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Bytes read, None where there are none yet; notes when they can have arrived."""
+        """Reads bytes, and records when they may have arrived. Returns their number, or None."""
         count = super().read_from_fd(buf)
         if count:
-            self.arrived_at = time.monotonic() - waited_most()
+            self.arrived_at = time.monotonic() - max_unread_age()
         return count
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Bytes that the operating system accepted."""
+        """Writes bytes. Returns how many the operating system accepted."""
         count = super().write_to_fd(data)
         self.bytes_sent += count
         return count
 
     def has_unread(self) -> bool:
-        """Whether bytes, or an end, wait in the operating system, or it can't be looked at."""
+        """Whether bytes or the end of the stream are unread, or the operating system cannot tell."""
         return self.unread() is not Unread.NOTHING
 
     def is_peer_connected(self) -> bool:
         """Whether the client is still connected as far as the operating system knows.
 
-        Guards against a request sent on for a client that has gone: the end may stand behind unread bytes, or
-        have come a moment ago.
+        Guards against attempts for a client that has gone. Its end may come after unread bytes, or may have
+        arrived only just now.
         """
         unread = self.unread()
         if unread in (Unread.END, Unread.NOTHING):
--- a/notchjunction/net/descriptor_pressure.py
+++ b/notchjunction/net/descriptor_pressure.py
@@ -1,4 +1,4 @@
-"""Who makes room where descriptors are short: connections that are not in use, the longest idle first."""
+"""Frees descriptors while they are short: closes connections without a request, the longest idle first."""
 
 from __future__ import annotations
 
@@ -10,30 +10,36 @@
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.telemetry.counters import Counters
 
-MIN_LINGER_S = 0.1  # of lingering that each has even where descriptors are short; over most round trips
-MIN_IDLE_S = 2.0  # idle until a client is closed where descriptors are short; sound ones come again
-MIN_SILENT_S = 0.5  # from connecting until a silent client is closed; sound ones send at once
-MIN_SILENT_PAST_MARGIN_S = (
-    0.1  # the same past the margin; by then a sound one's request has come from any zone
-)
-MIN_IDLE_PAST_MARGIN_S = (
-    0.25  # idle, likewise; the pauses of busy clients are shorter, and waiting ones can bear it
-)
-MIN_HEAD_PAST_MARGIN_S = 1.0  # of a head under way, likewise
-TURNED_AWAY_MAX = 16  # lingering connections; no head is answered with 408 for room while there are as many
-CANDIDATES_MAX = 4  # connections looked at to make room for one; the longest idle are rarely about to send
-
-
-class Verdict(Enum):
+# Times that a connection has in a phase before it may be closed to free a descriptor.
+# Lingering: over most round trips.
+MIN_LINGER_S = 0.1
+# Idle: ordinary clients connect again.
+MIN_IDLE_S = 2.0
+# Silent since it connected: ordinary clients send at once.
+MIN_SILENT_S = 0.5
+# The same times once part of the margin is in use as well.
+# By then an ordinary client's request has arrived from any zone.
+MIN_SILENT_PAST_MARGIN_S = 0.1
+# Busy clients pause for less; for the others a new connection is acceptable.
+MIN_IDLE_PAST_MARGIN_S = 0.25
+# Since the first byte of an incomplete head.
+MIN_HEAD_PAST_MARGIN_S = 1.0
+# Lingering connections up to which incomplete heads are rejected to free descriptors.
+MAX_LINGERING_FOR_REJECTED_HEADS = 16
+# Connections of a phase that are checked to close one; those longest in it are rarely about to send.
+MAX_CANDIDATES = 4
+
+
+class AcceptDecision(Enum):
     """What to do with a client that has just been accepted."""
 
     SERVE = auto()
-    REJECT = auto()  # serve its one request with 503
-    WAIT = auto()  # no descriptor may be used for it now
+    REJECT = auto()  # answer its one request with 503
+    WAIT = auto()  # no descriptor can be used for it now
 
 
 class DescriptorPressure:
-    """Judges new clients by the descriptors in use, and closes connections that need none."""
+    """Decides on new clients by the descriptors in use, and closes connections that are not in use."""
 
     def __init__(
         self,
@@ -49,43 +55,50 @@
         self._close_idle_upstream = close_idle_upstream
         self._counters = counters
 
-    def judge(self) -> Verdict:
-        """The verdict on one new client, after what can be done to make room for it."""
+    def decide(self) -> AcceptDecision:
+        """Decides on one new client, after trying to make room for it."""
         if not self._descriptors.full_of_callers() or self._make_room():
-            return Verdict.SERVE
-        # Guards against running out altogether: then not even the endpoint list could be polled.
-        return Verdict.REJECT if not self._descriptors.spent() or self.press() else Verdict.WAIT
+            return AcceptDecision.SERVE
+        # Guards against using up all descriptors: then not even the endpoint list could be polled.
+        return (
+            AcceptDecision.REJECT
+            if not self._descriptors.spent() or self.make_room_past_margin()
+            else AcceptDecision.WAIT
+        )
 
     def _make_room(self) -> bool:
-        """Closes an idle client; else an idle upstream connection, if clients are within their share."""
+        """Closes an idle client, or an idle upstream connection if clients are within their share."""
         return self.close_oldest() or (
             not self._descriptors.past_callers_share() and self._close_idle_upstream()
         )
 
-    def press(self) -> bool:
-        """Makes room where a new client would else get no answer: silent ones go first."""
+    def make_room_past_margin(self) -> bool:
+        """Makes room for a client that could not even be rejected otherwise. Returns whether it did.
+
+        Silent clients are closed before idle ones.
+        """
         if self._close_one(
             (self._phases.lingering, MIN_LINGER_S),
             (self._phases.silent, MIN_SILENT_PAST_MARGIN_S),
             (self._phases.idle, MIN_IDLE_PAST_MARGIN_S),
         ):
             return True
-        self._turn_slow_heads_away()
+        self._reject_slow_heads()
         return False
 
-    def _turn_slow_heads_away(self) -> None:
-        """Answers 408 to the heads longest under way; they leave room a moment later, with that read.
+    def _reject_slow_heads(self) -> None:
+        """Responds 408 to the oldest incomplete heads; clients that read it free their descriptors soon.
 
-        Guards against a flood of half heads: each has its time to be whole, and others wait unserved.
+        Guards against a flood of incomplete heads, which would make other clients wait until they time out.
         """
-        due = self._clock() - MIN_HEAD_PAST_MARGIN_S
-        for connection, since in list(islice(self._phases.heads.items(), CANDIDATES_MAX)):
-            if since > due or len(self._phases.lingering) >= TURNED_AWAY_MAX:
+        started_by = self._clock() - MIN_HEAD_PAST_MARGIN_S
+        for connection, since in list(islice(self._phases.heads.items(), MAX_CANDIDATES)):
+            if since > started_by or len(self._phases.lingering) >= MAX_LINGERING_FOR_REJECTED_HEADS:
                 return
             connection.reject_partial_head()
 
     def close_oldest(self) -> bool:
-        """Closes the client that has been idle longest, else one that has sent nothing since it came."""
+        """Closes a lingering client, else the longest idle one, else a silent one. Returns whether it did."""
         return self._close_one(
             (self._phases.lingering, MIN_LINGER_S),
             (self._phases.idle, MIN_IDLE_S),
@@ -93,11 +106,11 @@
         )
 
     def _close_one(self, *tables: tuple[dict[ManagedConnection, float], float]) -> bool:
-        """Closes one of the first table, else of the next, that has been in it for at least so many s."""
+        """Closes one connection that has been in its phase for a minimum time (s), first table first."""
         now = self._clock()
-        for table, spared in tables:
-            for connection, since in islice(table.items(), CANDIDATES_MAX):
-                if since > now - spared:
+        for table, min_time in tables:
+            for connection, since in islice(table.items(), MAX_CANDIDATES):
+                if since > now - min_time:
                     break
                 if connection.close_if_idle():
                     self._counters.add("client_connections_shed")
--- a/notchjunction/net/event_loop.py
+++ b/notchjunction/net/event_loop.py
@@ -1,8 +1,8 @@
-"""An event loop that knows since when the bytes that it reads may have been waiting.
+"""An event loop that knows for how long the bytes that it reads may have been unread.
 
-The operating system does not tell when bytes came. A loop that is late reads them late, and what counts from
-their coming would start too late: a request's deadline above all. Between two looks at the sockets they can
-only have come after the earlier one.
+The operating system does not report when bytes arrived. A late event loop reads them late, and times that
+start with their arrival would start too late, a request's deadline in particular. But bytes that a select
+call finds cannot have arrived before the previous select call.
 """
 
 from __future__ import annotations
@@ -12,35 +12,37 @@
 import time
 from selectors import SelectorKey
 
-WAITED_LEAST = 0.0005  # s of a look from which it has waited for what it found; shorter ones found it there
+# A select call that took at least this long waited for its events; for a shorter one they were there before.
+MIN_WAIT_S = 0.0005
 
 
 class ObservedSelector(selectors.DefaultSelector):
-    """Notes of each look since when what it finds may have been there (s, monotonic)."""
+    """Records for each select call the earliest time (s, monotonic) at which its events may have occurred."""
 
     def __init__(self) -> None:
         super().__init__()
-        self._looked_at = self.ready_since = time.monotonic()
+        self._selected_at = self.ready_since = time.monotonic()
 
     def select(self, timeout: float | None = None) -> list[tuple[SelectorKey, int]]:
-        began = time.monotonic()
-        found = super().select(timeout)
+        """Waits for events as the base class does, and records when they may have occurred."""
+        started_at = time.monotonic()
+        events = super().select(timeout)
         now = time.monotonic()
-        self.ready_since = now if now - began >= WAITED_LEAST else self._looked_at
-        self._looked_at = now
-        return found
+        self.ready_since = now if now - started_at >= MIN_WAIT_S else self._selected_at
+        self._selected_at = now
+        return events
 
 
 class ObservedLoop(asyncio.SelectorEventLoop):
-    """The usual loop on an observed selector."""
+    """The standard event loop on an observed selector."""
 
     def __init__(self) -> None:
         self.selector = ObservedSelector()
         super().__init__(self.selector)
 
 
-def waited_most() -> float:
-    """s that bytes which are read in this turn of the loop may have waited; 0 where nobody can tell."""
+def max_unread_age() -> float:
+    """Returns how long (s) bytes read in this turn of the loop may have been unread; 0 if that is unknown."""
     loop = asyncio.get_running_loop()
     if not isinstance(loop, ObservedLoop):
         return 0.0
