--- a/notchjunction/net/__init__.py
+++ b/notchjunction/net/__init__.py
@@ -1,1 +1,1 @@
-"""The node on sockets: callers, servers and discovery. No decision is taken here."""
+"""The node's connections to clients, upstreams and discovery. Decisions are made in other packages."""
--- a/notchjunction/net/socket_stream.py
+++ b/notchjunction/net/socket_stream.py
@@ -1,4 +1,4 @@
-"""The base of this node's byte streams: what a failing read or write says of the connection."""
+"""The base class of the node's byte streams, and functions that end a connection without a reset."""
 
 from __future__ import annotations
 
@@ -9,47 +9,57 @@
 
 from tornado.iostream import IOStream
 
-# What recv(2) and send(2) say where the system has no memory now; the connection stays.
-OUT_OF_MEMORY = (errno.ENOBUFS, errno.ENOMEM)
-DISCARDED_MOST = 1024 * 1024  # bytes thrown away as a connection is given up; more costs too much
-DISCARDED_AT_ONCE = 64 * 1024  # bytes of one such read
+# Errors of recv(2) and send(2) for a temporary shortage of memory; the connection persists.
+OUT_OF_MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
+# Read and discarded before a close; reading more is not worth its cost.
+MAX_DISCARDED_BYTES = 1024 * 1024
+DISCARD_CHUNK_BYTES = 64 * 1024
 
 
 class Unread(Enum):
-    """What waits in the operating system."""
+    """What the operating system holds that has not been read."""
 
     NOTHING = auto()
     BYTES = auto()
     END = auto()
-    UNKNOWN = auto()  # it could not be looked at
+    UNKNOWN = auto()  # the look failed for lack of memory
 
 
 class NodeStream(IOStream):
-    """A stream that a shortage of memory does not end: the call is made again, as one that would block.
+    """A stream that survives a shortage of memory: the call is repeated, like one that would block.
 
-    Each other error is the connection's end, whatever the operating system calls it.
+    Any other error ends the connection, whatever its error code.
     """
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Bytes read; None where there are none yet. OSError at the connection's end."""
+        """Reads bytes. Returns their number; None if none are there.
+
+        Raises:
+            OSError: The connection has ended.
+        """
         try:
             return super().read_from_fd(buf)
         except OSError as error:
-            if error.errno in OUT_OF_MEMORY:
+            if error.errno in OUT_OF_MEMORY_ERRORS:
                 return None
             raise
 
     def write_to_fd(self, data: memoryview) -> int:
-        """Bytes written. BlockingIOError where none can be now, OSError at the connection's end."""
+        """Writes bytes. Returns how many the operating system accepted.
+
+        Raises:
+            BlockingIOError: None can be written now.
+            OSError: The connection has ended.
+        """
         try:
             return super().write_to_fd(data)
         except OSError as error:
-            if error.errno in OUT_OF_MEMORY:
+            if error.errno in OUT_OF_MEMORY_ERRORS:
                 raise BlockingIOError(error.errno, error.strerror) from error
             raise
 
     def unread(self) -> Unread:
-        """What has come and is not read yet, without reading it."""
+        """Returns what is unread, without reading it."""
         if self.closed():
             return Unread.END
         try:
@@ -57,28 +67,31 @@
         except BlockingIOError:
             return Unread.NOTHING
         except OSError as error:
-            return Unread.UNKNOWN if error.errno in OUT_OF_MEMORY else Unread.END
+            return Unread.UNKNOWN if error.errno in OUT_OF_MEMORY_ERRORS else Unread.END
 
     def _is_connreset(self, exc: BaseException) -> bool:
-        # Guards against a line of error in the log for an end that is called, say, host unreachable.
+        # Guards against an error line in the log when a connection ends with, say, "host unreachable".
         return isinstance(exc, OSError)
 
 
 def end_sending(sock: socket.socket) -> None:
-    """Tells the other side that nothing more comes; the connection may have ended already."""
+    """Closes the sending side of a connection, which may have ended already."""
     with suppress(OSError):
         sock.shutdown(socket.SHUT_WR)
 
 
 def end_sending_and_discard(sock: socket.socket) -> None:
-    """Ends the sending and throws away what has come; the socket can be closed then without a reset."""
+    """Closes the sending side and discards unread bytes. Closing the socket then sends no reset."""
     end_sending(sock)
     discard_unread(sock)
 
 
 def discard_unread(sock: socket.socket) -> None:
-    """Reads what has come and throws it away: a close over it is a reset, which may destroy an answer."""
+    """Reads and discards unread bytes.
+
+    A close with unread bytes sends a reset, which may destroy a response in transit.
+    """
     with suppress(OSError):
-        for _ in range(DISCARDED_MOST // DISCARDED_AT_ONCE):
-            if not sock.recv(DISCARDED_AT_ONCE, socket.MSG_DONTWAIT):
+        for _ in range(MAX_DISCARDED_BYTES // DISCARD_CHUNK_BYTES):
+            if not sock.recv(DISCARD_CHUNK_BYTES, socket.MSG_DONTWAIT):
                 return
--- a/notchjunction/net/stream_state.py
+++ b/notchjunction/net/stream_state.py
@@ -1,6 +1,6 @@
-"""What one process of a node tells the next of a connection that it migrates, as values and as JSON words.
+"""The state of a connection that migrates from one process of a node to the next, and its JSON form.
 
-The other process may be of another release: keys, their order and the form of each value are a wire format.
+The other process may run another release: the keys, their order and the form of each value are a wire format.
 """
 
 from __future__ import annotations
@@ -13,10 +13,10 @@
 
 @dataclass(frozen=True, slots=True)
 class ResponseFraming:
-    """How a response that is under way is framed, and what comes after it."""
+    """How the body of an open response is framed, and whether the connection is kept after it."""
 
-    length: int | None  # bytes of the whole body; None where the head does not state it
-    chunks: bool  # the client reads chunks
+    length: int | None  # bytes of the complete body; None if the head does not state it
+    chunks: bool  # the client accepts chunked encoding
     keep: bool  # the connection is kept after the response
 
 
@@ -25,11 +25,11 @@
     """A response between two of its pieces."""
 
     framing: ResponseFraming
-    parser: Mapping[str, Any]  # where the parser of the endpoint's response stands
-    unsent: bytes  # encoded for the client, and not accepted by the operating system yet
+    parser: Mapping[str, Any]  # state of the parser of the endpoint's response
+    unsent: bytes  # encoded bytes that the operating system has not accepted yet
 
     def to_wire(self) -> dict[str, Any]:
-        """The JSON value of the handover."""
+        """Returns the JSON value that the handover sends."""
         return {
             "length": self.framing.length,
             "chunks": self.framing.chunks,
@@ -40,23 +40,32 @@
 
     @classmethod
     def from_wire(cls, wire: Mapping[str, Any]) -> MigratedResponse:
-        """The value of such JSON; KeyError or ValueError where it is none."""
+        """Returns the state of a received JSON value.
+
+        Raises:
+            KeyError: A key is missing.
+            ValueError: The unsent bytes are not valid base64.
+        """
         framing = ResponseFraming(wire["length"], bool(wire["chunks"]), bool(wire["keep"]))
         return cls(framing, wire["answers"], b64decode(wire["unsent"]))
 
 
 @dataclass(frozen=True, slots=True)
 class MigratedUpload:
-    """A request that has its response, and whose body still comes."""
+    """A request whose response has been sent, and whose body is incomplete."""
 
     keep: bool  # the connection is kept after the body
-    parser: Mapping[str, Any]  # where the parser of the client's requests stands
+    parser: Mapping[str, Any]  # state of the parser of the client's requests
 
     def to_wire(self) -> dict[str, Any]:
-        """The JSON value of the handover."""
+        """Returns the JSON value that the handover sends."""
         return {"keep": self.keep, "rest": self.parser}
 
     @classmethod
     def from_wire(cls, wire: Mapping[str, Any]) -> MigratedUpload:
-        """The value of such JSON; KeyError where it is none."""
+        """Returns the state of a received JSON value.
+
+        Raises:
+            KeyError: A key is missing.
+        """
         return cls(bool(wire["keep"]), wire["rest"])
