--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -1,4 +1,4 @@
-"""The client of discovery: polls the endpoint list, and watches it from the last version on."""
+"""The discovery client: polls the endpoint list, and watches it from the last version received."""
 
 from __future__ import annotations
 
@@ -32,23 +32,26 @@
 
 log = logging.getLogger(__name__)
 
-# Bytes of a list: tens of thousands of endpoints, and far under the node's memory limit.
+# Limit of a response: tens of thousands of endpoints, and far below the node's memory limit.
 MAX_LIST_BYTES = 8 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
 class _Poll:
-    """A poll under way: when it started (s on the node's clock), and how long it may wait (s)."""
+    """A poll: when it started (s on the node's clock), and how long discovery may delay its response (s)."""
 
     started_at: float
     wait: float
 
 
 class DiscoveryClient:
-    """Polls discovery for the endpoint list, one poll at a time, over one connection that is kept.
+    """Polls discovery for the endpoint list, one poll at a time, over one persistent connection.
 
-    `version` is the last version received, None before the first; `previous_version` the one before it;
-    `timeouts` counts polls that ended without a response.
+    Attributes:
+        version: The last version received; None before the first.
+        previous_version: The version before that.
+        timeouts: The number of polls that timed out.
+        watch: The state machine that decides when to poll.
     """
 
     def __init__(
@@ -59,14 +62,14 @@
         free_descriptor: Callable[[], bool] = lambda: False,
         recorder: FlightRecorder | None = None,
     ) -> None:
-        """Prepares polls, without one yet.
+        """Prepares the client without polling yet.
 
         Args:
-            address: where discovery listens.
-            watch: when to poll, and what follows from how a poll ended.
-            clock: the node's clock (s).
-            free_descriptor: closes something where descriptors run out; returns whether it did.
-            recorder: where ended polls are recorded.
+            address: The address of discovery.
+            watch: The state machine that decides when to poll and how to react to the result.
+            clock: The node's clock (s).
+            free_descriptor: Called if no descriptor is left; closes a connection and returns whether it did.
+            recorder: Records the polls that ended; by default a new one.
         """
         self._address = address
         self._recorder = recorder or FlightRecorder(clock)
@@ -81,27 +84,28 @@
         self.timeouts = 0
 
     def resume_from(self, version: int) -> None:
-        """Watches from a version that this node already has."""
+        """Watches for changes after a version that this node already has."""
         self.version = version
 
     def change_address(self, address: Address) -> None:
-        """Polls another address from now on, from the last version on; ends a poll of the old address."""
+        """Polls another address from now on, after the last version; ends a poll of the old address."""
         self._address = address
         self._address_changed = True
         self.close()
 
     async def next_update(self) -> EndpointList:
-        """Returns the next update, polling anew after each timeout.
+        """Returns the next update. Polls again at once after a timeout.
 
-        Raises ListUnavailableError for any other failure of a poll.
+        Raises:
+            ListUnavailableError: A poll failed and should be retried only after a backoff.
         """
         while True:
             if self._address_changed:
-                # The change ended a poll, or none was under way (during a backoff): that is no failure.
+                # The change ended a poll, or none was open (during a backoff). Neither is a failure.
                 self._address_changed = False
                 self.watch.poll_ended(WatchEvent.ADDRESS_CHANGED, self._clock())
             try:
-                polled = await self._poll()
+                received = await self._poll()
             except ListUnavailableError as error:
                 self._record_poll(error.event)
                 if self._address_changed:
@@ -110,7 +114,7 @@
                     raise
                 continue
             self._record_poll(WatchEvent.ANSWERED)
-            update = self._accept(polled)
+            update = self._usable_update(received)
             if update is not None:
                 return update
 
@@ -121,25 +125,25 @@
             log.warning("list poll timed out", extra=pairs(notified_in=round(self.notified_in(), 1)))
         return action
 
-    def _accept(self, polled: EndpointList) -> EndpointList | None:
-        """Returns what of a response holds, and notes its version; None where nothing of it does."""
+    def _usable_update(self, received: EndpointList) -> EndpointList | None:
+        """Returns the valid part of a response, None if there is none. Stores the version."""
         if self._address_changed:
-            # Guards against a late response from the old address, whose list counts no more; but its drains
-            # and removals have been announced.
-            update = polled.drains_and_removals()
+            # Guards against a late response from the old address, whose list is no longer valid. Its drains
+            # and removals still hold, because they have been announced.
+            update = received.drains_and_removals()
             if not update.endpoints:
                 return None
             self.previous_version = self.version
             return update
         self.watch.poll_ended(WatchEvent.ANSWERED, self._clock())
-        is_older = self.version is not None and polled.version < self.version
-        if is_older and not polled.is_snapshot:
-            # Guards against a list whose versions start anew: its changes would lack all that went before.
+        is_older = self.version is not None and received.version < self.version
+        if is_older and not received.is_snapshot:
+            # Guards against a list whose version numbers restarted: its changes lack everything before them.
             self.version = self.previous_version = None
-            update = polled.drains_and_removals()
+            update = received.drains_and_removals()
             return update if update.endpoints else None
-        self.previous_version, self.version = self.version, polled.version
-        return replace(polled, is_stale=is_older)
+        self.previous_version, self.version = self.version, received.version
+        return replace(received, is_stale=is_older)
 
     def _record_poll(self, event: WatchEvent) -> None:
         self._recorder.note(
@@ -151,11 +155,15 @@
         )
 
     def notified_in(self) -> float:
-        """Returns the time (s) until what may have been missed counts; negative where it does already."""
+        """Returns the time (s) until changes not received yet may count; negative if they may already."""
         return self.watch.notified_by() - self._clock()
 
     async def _poll(self) -> EndpointList:
-        """Polls once; raises ListUnavailableError with how the poll ended, and closes the connection then."""
+        """Polls once.
+
+        Raises:
+            ListUnavailableError: The poll failed. Its `event` says how, and the connection is closed.
+        """
         target = protocol.LIST_PATH
         wait = self.watch.next_wait(known=self.version is not None)
         if self.version is not None:
@@ -165,8 +173,8 @@
         times_out_at = loop.time() + self.watch.poll_started(self._clock(), wait)
 
         def bytes_received() -> None:
-            # Guards against a timeout while a long list is on its way: only a stalled one times out, or one
-            # that trickles in.
+            # Guards against a timeout while a long list is arriving: only a stalled response times out, or
+            # one that arrives too slowly.
             limit.reschedule(
                 min(max(times_out_at, loop.time() + RESPONSE_GRACE_S), times_out_at + MAX_TRANSFER_S)
             )
@@ -180,23 +188,25 @@
             return read_list(_decode(answer.body))
         except TimeoutError as error:
             self.close()
-            raise ListUnavailableError("silent", WatchEvent.TIMED_OUT) from error
+            raise ListUnavailableError("no response in time", WatchEvent.TIMED_OUT) from error
         except (RequestNotSent, ConnectionLost, Malformed) as error:
             self.close()
-            raise ListUnavailableError(str(error) or type(error).__name__, self._event_of(error)) from error
+            raise ListUnavailableError(
+                str(error) or type(error).__name__, self._classify_failure(error)
+            ) from error
         except BaseException:
             self.close()
             raise
 
-    def _event_of(self, error: Exception) -> WatchEvent:
-        """Returns how a poll ended that its connection failed; an overloaded discovery may end one so too."""
+    def _classify_failure(self, error: Exception) -> WatchEvent:
+        """Classifies a failed connection, which may also be how an overloaded discovery rejects a poll."""
         is_lost = isinstance(error, ConnectionLost)
         if is_lost and self.watch.classify_rejection(self._clock()) is WatchEvent.RATE_LIMITED:
             return WatchEvent.RATE_LIMITED
         return WatchEvent.CONNECTION_LOST
 
     def close(self) -> None:
-        """Closes the connection; a poll under way fails."""
+        """Closes the connection; an open poll fails."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
@@ -219,8 +229,12 @@
 
 
 def _decode(body: bytes) -> Any:
-    """Returns the body's JSON value; raises ListUnavailableError if it is none."""
+    """Returns the body's JSON value.
+
+    Raises:
+        ListUnavailableError: The body is not JSON.
+    """
     try:
         return json.loads(body)
     except (ValueError, RecursionError) as error:
-        raise ListUnavailableError("no JSON") from error
+        raise ListUnavailableError("the response is not JSON") from error
