--- a/notchjunction/protocol.py
+++ b/notchjunction/protocol.py
@@ -1,29 +1,29 @@
-"""The words that clients, endpoints and discovery use on sockets: paths and names of headers."""
+"""The HTTP paths and header names of clients, endpoints and discovery."""
 
 from __future__ import annotations
 
-# Paths of an endpoint, and of the node towards its clients.
+# Paths that an endpoint serves; the node serves the first two itself.
 REQUEST_PATH = "/api"
 READY_PATH = "/ready"
 HEALTH_PATH = "/health"
 LOAD_PATH = "/status/load"
-# The path of discovery's endpoint list.
+# Path of the endpoint list on discovery.
 LIST_PATH = "/v1/endpoints"
 
-# Headers of a request.
+# Request headers.
 REQUEST_ID = "req-id"
 REQUEST_CLASS = "req-kind"
-DEADLINE_MS = "req-deadline-ms"  # from now on
+DEADLINE_MS = "req-deadline-ms"  # ms from the arrival of the request
 CLIENT_RETRY = "req-retry"
 TENANT = "req-owner"
 WORK_HINT = "req-cost"
 IDEMPOTENCY_KEY = "idempotency-key"
 EXTRA = "req-extra"
-# Headers of an endpoint's response.
+# Response headers of an endpoint.
 ENDPOINT_LOAD = "srv-load"
 DECLINED = "srv-declined"
 
-# Headers that a client's request takes with it to an endpoint; all others stay at the node.
+# Request headers that are forwarded to an endpoint unchanged; the node drops or replaces all others.
 FORWARDED_REQUEST_HEADERS = frozenset(
     (
         REQUEST_ID,
@@ -38,5 +38,5 @@
         "content-type",
     )
 )
-# Headers that an endpoint's response takes with it to the client.
+# Response headers that are forwarded to the client.
 FORWARDED_RESPONSE_HEADERS = frozenset(("content-type",))
--- a/notchjunction/telemetry/counters.py
+++ b/notchjunction/telemetry/counters.py
@@ -1,4 +1,4 @@
-"""Counters of what the node receives, sends and answers, and gauges that are read on demand."""
+"""Counters of requests, responses and other events, and gauges that are read on demand."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Counters:
-    """The node's counters and gauges by name, and its flight recorder; `clock` gives the node's time in s."""
+    """The node's counters and gauges by name, and its flight recorder; `clock` returns the time (s)."""
 
     def __init__(self, clock: Callable[[], float] = time.monotonic) -> None:
         self.recorder = FlightRecorder(clock)
@@ -26,19 +26,19 @@
         self._counts[name] += count
 
     def add_result(self, kind: str, result: AttemptResult) -> None:
-        """Counts one result of an attempt or a probe; `kind` is the start of the counter's name."""
+        """Counts the result of an attempt or a probe; the counter's name starts with `kind`."""
         self.add(f"{kind}_{result.value.replace(' ', '_')}")
 
     def add_failure(self, event: str, error: BaseException) -> None:
-        """Counts a failure of the node itself, and logs it with its traceback."""
+        """Counts an internal error, and logs it with its traceback."""
         self.add("internal_errors")
         log.error(event, exc_info=error)
 
     def gauge(self, name: str, read_value: Callable[[], float]) -> None:
-        """Registers a gauge; `read_value` is called whenever the figures are read."""
+        """Registers a gauge; `read` calls `read_value` for its current value."""
         self._gauges[name] = read_value
 
     def read(self) -> dict[str, float]:
-        """Returns all counters and gauges by name, sorted; the only way to read them."""
+        """Returns all counters and gauges by name, sorted. Only this method reads them."""
         gauges = {name: read_value() for name, read_value in self._gauges.items()}
         return dict(sorted({**self._counts, **gauges}.items()))
--- a/notchjunction/telemetry/logs.py
+++ b/notchjunction/telemetry/logs.py
@@ -1,4 +1,4 @@
-"""Log lines of key=value pairs through the logging module."""
+"""Formats log records as lines of key=value pairs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def quoted(value: object) -> str:
-    """Returns a value as text, in quotes where a reader could not tell where it ends."""
+    """Returns a value as text, quoted and escaped if its end would be ambiguous otherwise."""
     text = f"{value:.6g}" if isinstance(value, float) else str(value)
     if text and all(char.isprintable() and char not in ' ="\\' for char in text):
         return text
@@ -20,7 +20,7 @@
     """Formats a record as one line: time, level, event, then the record's own pairs."""
 
     def format(self, record: logging.LogRecord) -> str:
-        """Returns the record's line, without a line end."""
+        """Returns the record as one line, without a newline."""
         pairs: dict[str, Any] = {
             "time": f"{record.created:.3f}",
             "level": record.levelname.lower(),
@@ -38,7 +38,7 @@
 
 
 def configure_logging(level: str) -> None:
-    """Writes all log records from `level` up to standard error, as lines of pairs."""
+    """Writes log records of `level` and above to standard error, as lines of key=value pairs."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(KeyValueFormatter())
     logging.basicConfig(level=level, handlers=[handler], force=True)
--- a/tests/test_connection_close.py
+++ b/tests/test_connection_close.py
@@ -928,7 +928,7 @@
                     await asyncio.sleep(0.01)
             await node.out_of_service()
             await node.in_service()
-        noted = [(entry.what, dict(entry.facts)) for entry in node.counters.recorder.about("")]
+        noted = [(entry.occurrence, dict(entry.facts)) for entry in node.counters.recorder.entries_of("")]
         whys = [facts["why"] for what, facts in noted if what is Occurrence.CLIENT_CONNECTION_CLOSED]
         states = [facts for what, facts in noted if what is Occurrence.STATE_CHANGED]
         assert sorted(map(str, whys)) == ["bad request", "ended by the client"]
--- a/tests/test_preconditions.py
+++ b/tests/test_preconditions.py
@@ -148,7 +148,7 @@
     recorder = FlightRecorder(lambda: clock[0])
     for number in range(MAX_ENTRIES + 5):
         recorder.note(Occurrence.REQUEST_ACCEPTED, f"r{number}", left=1.0)
-    assert recorder.about("r0") == [] and len(recorder.about("r5")) == 1
+    assert recorder.entries_of("r0") == [] and len(recorder.entries_of("r5")) == 1
     recorder.note(Occurrence.ATTEMPT_WRITTEN, "r9", server="s1", told=0.5)
     recorder.report("told_too_long", "r9", attempt=0)
     said = [record.getMessage() for record in caplog.records]
