--- a/notchjunction/net/client_closing.py
+++ b/notchjunction/net/client_closing.py
@@ -14,7 +14,7 @@
 from notchjunction.net.socket_stream import discard_unread, end_sending
 from notchjunction.safety.preconditions import may_close
 
-# Discarded after the last response; reading more is not worth its cost.
+# Bytes read and discarded after the last response; reading more is not worth its cost.
 MAX_LINGER_BYTES = 1024 * 1024
 
 
@@ -47,7 +47,7 @@
         return may_close(self._intake.closing_facts()) is None
 
     def is_idle_in_head(self) -> bool:
-        """Whether the node may close a connection that has sent part of a head: no bytes are unread."""
+        """Whether the node may reject an incomplete head now, because no further bytes are unread."""
         return may_close(replace(self._intake.closing_facts(), request_started=False)) is None
 
     def end_sending(self) -> None:
@@ -70,7 +70,7 @@
         asyncio.get_running_loop().call_later(self._context.linger_timeout(), self._connection.close)
 
     def end_sending_and_discard(self) -> bool:
-        """Prepares an immediate close if one is allowed; returns whether it is. Discards unread bytes."""
+        """Closes the sending side and discards unread bytes, if a close is allowed. Returns whether it is."""
         if self._stream.closed() or not (self._state.closing or self.is_idle()):
             return False
         self.end_sending()
--- a/notchjunction/net/client_connection.py
+++ b/notchjunction/net/client_connection.py
@@ -59,7 +59,7 @@
         self._writer = ResponseWriter(context, stream, state, self._migrator)
         self._open = True
         self._open_request: OpenRequest | None = None
-        self._discarding = False  # a response was sent before the body ended; reads the rest
+        self._discarding = False  # the response was sent before the body ended; the rest is read
 
     def note_queued(self, since: float) -> None:
         """Records that the connection, and bytes received by now, may have been queued since then (s)."""
@@ -84,8 +84,8 @@
                 break
             self._state.request_open = True
             keep = await self._respond(request)
-            # This is also done if the connection ends after this request. Otherwise the close would reset the
-            # connection and destroy the response to a client that sends its whole body before it reads.
+            # The rest of the body is read even if the connection ends after this request. A close would reset
+            # the connection and destroy the response to a client that sends its whole body before it reads.
             is_body_unread = self._intake.parser.going and not (
                 self._state.bad_request or self._state.over_limit
             )
@@ -189,7 +189,9 @@
         if spec is None:
             return HandledRequest(None, self._client_error(400))
         request_id = request.headers[protocol.REQUEST_ID]
-        refusal = may_start(AdmissionFacts(self._state.closing, is_duplicate=request_id in self._context.ids))
+        refusal = may_start(
+            AdmissionFacts(self._state.closing, is_duplicate=request_id in self._context.request_ids)
+        )
         if refusal is Refusal.CONNECTION_CLOSING:
             # Guards against a request that arrives as its connection is closed: no response could be sent.
             return HandledRequest(None, None)
@@ -203,11 +205,11 @@
         if self._state.over_limit:
             self._context.counters.add("responses_rejected")
             return HandledRequest(None, Answer(503))
-        self._context.ids.add(request_id)
+        self._context.request_ids.add(request_id)
         try:
             return await self._balance(request, spec)
         finally:
-            self._context.ids.discard(request_id)
+            self._context.request_ids.discard(request_id)
 
     async def _balance(self, request: Request, spec: RequestSpec) -> HandledRequest:
         """Applies the fleet's quotas to a request, passes it to the balancer and returns the response."""
@@ -275,18 +277,18 @@
                 await self._closer.linger()
                 return True
             if self._migrator.is_due():
-                if self._migrator.move_upload(keep):
+                if self._migrator.migrate_upload(keep):
                     return True
                 await self._migrator.pause()
             if self._state.upload_rejected and self._migrator.must_stay():
                 break  # the node shuts down, and no other process can take the connection
             migration = asyncio.ensure_future(self._context.migrating.wait())
             reading = self._intake.read(self._context.streams.piece())
-            late = await self._intake.wait(reading, *([] if self._state.pinned else [migration]))
+            timed_out = await self._intake.wait(reading, *([] if self._state.pinned else [migration]))
             migration.cancel()
             if reading.done():
                 self._intake.feed()
-            elif late:
+            elif timed_out:
                 self._closer.end_sending()
         self._discarding = False
         return False
--- a/notchjunction/net/client_context.py
+++ b/notchjunction/net/client_context.py
@@ -43,9 +43,9 @@
     descriptors: Descriptors
     streams: StreamBuffers
     phases: ConnectionPhases
-    ids: set[str]  # of requests in flight
+    request_ids: set[str]  # ids of requests in flight
     draining: bool  # readiness checks are answered with 503
-    closing_announced: bool  # each response announces that its connection closes
+    closing_announced: bool  # responses announce that the connection closes
     migrate_stream: StreamMigrator | None
     migrating: asyncio.Event  # set while open responses migrate to another process
 
--- a/notchjunction/net/client_listener.py
+++ b/notchjunction/net/client_listener.py
@@ -36,12 +36,12 @@
     errno.ENETUNREACH,
     errno.EHOSTUNREACH,
 )
-# Between attempts to free a descriptor for a waiting client; a rejection takes less.
+# Pause between attempts to free a descriptor for a waiting client; a rejection takes less.
 ROOM_POLL_INTERVAL_S = 0.01
-# For a descriptor to become free before waiting clients are rejected; most deadlines are longer.
+# Clients that wait for a descriptor are rejected after this time; most deadlines are longer.
 ROOM_TIMEOUT_S = 0.3
 REJECTION_RESPONSE = encode_answer(Answer(503, keep=False))
-# Between log lines about accepts that failed for lack of a descriptor or memory.
+# At most one log line is written in this time about accepts that fail for lack of a descriptor or memory.
 SHORTAGE_LOG_INTERVAL_S = 10.0
 
 
--- a/notchjunction/net/client_migration.py
+++ b/notchjunction/net/client_migration.py
@@ -11,7 +11,7 @@
 from notchjunction.net.request_intake import RequestIntake
 from notchjunction.net.stream_state import MigratedResponse, MigratedUpload, ResponseFraming
 
-# Between attempts to migrate one connection.
+# Pause between attempts to migrate one connection.
 RETRY_INTERVAL_S = 0.02
 
 
@@ -42,7 +42,7 @@
         """Waits until the next attempt to migrate."""
         await asyncio.sleep(RETRY_INTERVAL_S)
 
-    def move_response(self, download: Download, framing: ResponseFraming, unsent: bytes) -> bool:
+    def migrate_response(self, download: Download, framing: ResponseFraming, unsent: bytes) -> bool:
         """Migrates a response between two of its pieces. Returns whether it did.
 
         A response is pinned if a further request or the end of either side has arrived: only this process has
@@ -71,7 +71,7 @@
         self._stream.close()
         return True
 
-    def move_upload(self, keep: bool) -> bool:
+    def migrate_upload(self, keep: bool) -> bool:
         """Migrates a client that still sends the body of an answered request. Returns whether it did."""
         migrate_stream = self._context.migrate_stream
         if migrate_stream is None or self._intake.has_read() or self._stream.closed():
--- a/notchjunction/net/client_registry.py
+++ b/notchjunction/net/client_registry.py
@@ -23,9 +23,9 @@
 
 log = logging.getLogger(__name__)
 
-# Of reading after the last response, so that no reset destroys it in transit.
+# A connection is read from for this long after its last response, so that no reset destroys that in transit.
 LINGER_TIMEOUT_S = 0.5
-# The same in the final phase of a shutdown, in which the kill may come after 0.3 s.
+# The same in the final phase of a shutdown: the kill may come 0.3 s after the start of that phase.
 LINGER_FINAL_S = 0.2
 
 
@@ -57,9 +57,9 @@
         self.descriptors = services.descriptors
         self.phases = ConnectionPhases()
         self.connections: dict[ClientConnection, asyncio.Task[None]] = {}
-        self.ids: set[str] = set()  # of requests in flight
+        self.request_ids: set[str] = set()  # ids of requests in flight
         self.draining = False  # readiness checks are answered with 503
-        self.closing_announced = False  # each response announces that its connection closes
+        self.closing_announced = False  # responses announce that the connection closes
         self.final_phase = False  # of a shutdown: each open request has to be answered now
         self.migrate_stream: StreamMigrator | None = None
         self.migrating = asyncio.Event()
@@ -129,7 +129,7 @@
         self.draining = True
 
     def announce_closing(self) -> None:
-        """Announces in each response from now on that its connection closes."""
+        """Announces in responses that the connection closes, unless a further request has arrived."""
         self.closing_announced = True
 
     def resume_service(self) -> None:
--- a/notchjunction/net/client_state.py
+++ b/notchjunction/net/client_state.py
@@ -28,9 +28,8 @@
     def __init__(self) -> None:
         self.silent: dict[ManagedConnection, float] = {}  # nothing received yet
         self.idle: dict[ManagedConnection, float] = {}  # between two requests
-        self.heads: dict[
-            ManagedConnection, float
-        ] = {}  # part of a head received, and no complete one pending
+        # Part of a head has been received, and no complete one is pending.
+        self.heads: dict[ManagedConnection, float] = {}
         self.lingering: dict[ManagedConnection, float] = {}  # half-closed, read from until the linger timeout
 
     def leave(self, connection: ManagedConnection) -> None:
--- a/notchjunction/net/client_stream.py
+++ b/notchjunction/net/client_stream.py
@@ -20,7 +20,10 @@
     arrived_at = 0.0  # s, monotonic; the earliest time at which the bytes read last may have arrived
 
     def read_from_fd(self, buf: bytearray | memoryview) -> int | None:
-        """Reads bytes, and records when they may have arrived. Returns their number, or None."""
+        """Reads bytes, and records when they may have arrived.
+
+        Returns their number; None if there are none.
+        """
         count = super().read_from_fd(buf)
         if count:
             self.arrived_at = time.monotonic() - max_unread_age()
--- a/notchjunction/net/descriptor_pressure.py
+++ b/notchjunction/net/descriptor_pressure.py
@@ -10,23 +10,23 @@
 from notchjunction.net.descriptors import Descriptors
 from notchjunction.telemetry.counters import Counters
 
-# Times that a connection has in a phase before it may be closed to free a descriptor.
-# Lingering: over most round trips.
+# Times that a connection spends in a phase before it may be closed to free a descriptor.
+# Lingering; longer than most round trips.
 MIN_LINGER_S = 0.1
-# Idle: ordinary clients connect again.
+# Idle; ordinary clients connect again.
 MIN_IDLE_S = 2.0
-# Silent since it connected: ordinary clients send at once.
+# Silent since the accept; ordinary clients send at once.
 MIN_SILENT_S = 0.5
 # The same times once part of the margin is in use as well.
-# By then an ordinary client's request has arrived from any zone.
+# Silent; by then the request of an ordinary client has arrived from any zone.
 MIN_SILENT_PAST_MARGIN_S = 0.1
-# Busy clients pause for less; for the others a new connection is acceptable.
+# Idle; busy clients pause for less, and the others can connect again.
 MIN_IDLE_PAST_MARGIN_S = 0.25
-# Since the first byte of an incomplete head.
+# With an incomplete head, since its first byte.
 MIN_HEAD_PAST_MARGIN_S = 1.0
-# Lingering connections up to which incomplete heads are rejected to free descriptors.
+# Incomplete heads are rejected to free descriptors only while fewer connections are lingering.
 MAX_LINGERING_FOR_REJECTED_HEADS = 16
-# Connections of a phase that are checked to close one; those longest in it are rarely about to send.
+# Connections of a phase that are checked in order to close one; those longest in it rarely have unread bytes.
 MAX_CANDIDATES = 4
 
 
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -16,20 +16,20 @@
 from notchjunction.net.upstream_connection import PIECE, read_piece
 from notchjunction.safety.preconditions import ConnectionFacts, may_close
 
-# From connecting, or from a later request's first byte, to a complete head. Some clients take 2 s.
+# A head has to be complete this long after the accept, or after its first byte. Some clients take 2 s.
 HEAD_TIMEOUT_S = 2.6
-# Bytes a second of a body, on average. Slow clients send 64 kB a second.
+# Bytes a second; a body has to arrive at this average rate. Slow clients send 64 kB a second.
 BODY_MIN_RATE = 48 * 1024
 # A body may be this much later than at BODY_MIN_RATE, as slow clients pause. A client that stops in the
 # middle of a request gets its response within 3 s.
 BODY_GRACE_S = 2.2
-# For the one request of a client over the descriptor limit, which is rejected.
+# A client over the descriptor limit has this time to send the one request that is rejected.
 REJECTED_TIMEOUT_S = 1.0
-# Between two requests; longer than pauses in traffic.
+# A connection without a request is closed after this time. Longer than pauses in traffic.
 IDLE_TIMEOUT_S = 120.0
-# Kept while a response is pending: a whole request and part of the next.
+# Limit of the bytes kept while a response is pending: a complete request and part of the next.
 MAX_READ_AHEAD_BYTES = 2 * PIECE
-# Discarded beyond those; a client that sends more is answered 413.
+# Limit of the bytes discarded beyond those. A client that sends more gets 413, as reading on has a cost.
 MAX_DISCARDED_BYTES = 1024 * 1024
 
 
--- a/notchjunction/net/response_writer.py
+++ b/notchjunction/net/response_writer.py
@@ -18,7 +18,7 @@
 from notchjunction.net.client_stream import ClientStream
 from notchjunction.net.stream_state import ResponseFraming
 
-# For a client to read a response or a piece of one; after that it counts as gone.
+# A client that takes longer to read a response, or a piece of one, counts as gone.
 WRITE_TIMEOUT_S = 10.0
 
 
@@ -64,7 +64,7 @@
         """
         while True:
             if self._migrator.is_due():
-                if self._migrator.move_response(download, framing, b""):
+                if self._migrator.migrate_response(download, framing, b""):
                     return False
                 await self._migrator.pause()
             piece = download.ready_piece()
@@ -89,7 +89,7 @@
         written = self.stream.write(wire)
         while not written.done() and not await self._wait_written(written):
             unsent = wire[len(wire) - (self._bytes_queued - self.stream.bytes_sent) :]
-            if self._migrator.move_response(download, framing, unsent):
+            if self._migrator.migrate_response(download, framing, unsent):
                 return True
             await self._migrator.pause()
         return False
--- a/notchjunction/net/socket_stream.py
+++ b/notchjunction/net/socket_stream.py
@@ -11,8 +11,9 @@
 
 # Errors of recv(2) and send(2) for a temporary shortage of memory; the connection persists.
 OUT_OF_MEMORY_ERRORS = (errno.ENOBUFS, errno.ENOMEM)
-# Read and discarded before a close; reading more is not worth its cost.
+# Bytes read and discarded before a close; reading more is not worth its cost.
 MAX_DISCARDED_BYTES = 1024 * 1024
+# Bytes of one such read.
 DISCARD_CHUNK_BYTES = 64 * 1024
 
 
