--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -68,7 +68,7 @@
             address: The address of discovery.
             watch: The state machine that decides when to poll and how to react to the result.
             clock: The node's clock (s).
-            free_descriptor: Called if no descriptor is left; closes a connection and returns whether it did.
+            free_descriptor: Called if no descriptor is left; closes a connection, and returns whether it did.
             recorder: Records the polls that ended; by default a new one.
         """
         self._address = address
@@ -155,7 +155,7 @@
         )
 
     def notified_in(self) -> float:
-        """Returns the time (s) until changes not received yet may count; negative if they may already."""
+        """Returns the time (s) until changes that may have been missed count; negative if they already do."""
         return self.watch.notified_by() - self._clock()
 
     async def _poll(self) -> EndpointList:
--- a/notchjunction/net/open_request.py
+++ b/notchjunction/net/open_request.py
@@ -55,7 +55,7 @@
         while not handler_task.done():
             upload = self.upload
             if upload is None or upload.ended:
-                # Reads on however much was sent ahead, as the client's end comes after it.
+                # Reading continues however much was sent ahead, because the client's end comes after it.
                 futures: set[asyncio.Future[Response | None] | asyncio.Future[bytes]]
                 futures = {handler_task, self._intake.read()}
                 await asyncio.wait(futures, return_when=asyncio.FIRST_COMPLETED)
@@ -121,7 +121,7 @@
         return None
 
     def _cancel_for_client(self) -> None:
-        """Withdraws the request because its client has gone: no response is needed, nor any more attempts."""
+        """Withdraws the request, as its client has gone: neither a response nor an attempt is needed."""
         self.handler.ledger.client_gone = True
         self._context.counters.recorder.note(Occurrence.CLIENT_GONE, self.handler.name)
         self.handler.withdraw()
--- a/notchjunction/net/request_intake.py
+++ b/notchjunction/net/request_intake.py
@@ -49,7 +49,7 @@
         state: ConnectionState,
     ) -> None:
         self.parser = RequestReader()
-        # s; when the request's last byte arrived; its first byte, if that came while another one was open.
+        # s; when the request's last byte arrived; its first byte, if it arrived while another one was open.
         self.arrived_at = context.clock()
         self.bytes_discarded = 0  # beyond the read-ahead limit; later bytes cannot be parsed
         # Weak: guards against closed connections that stay in memory until the cycle collector runs.
