--- a/notchjunction/net/descriptor_pressure.py
+++ b/notchjunction/net/descriptor_pressure.py
@@ -34,7 +34,7 @@
     """What to do with a client that has just been accepted."""
 
     SERVE = auto()
-    REJECT = auto()  # answer its one request with 503
+    REJECT = auto()  # respond 503 to its one request
     WAIT = auto()  # no descriptor can be used for it now
 
 
--- a/notchjunction/net/discovery_client.py
+++ b/notchjunction/net/discovery_client.py
@@ -181,11 +181,11 @@
 
         try:
             async with asyncio.timeout_at(times_out_at) as limit:
-                answer = await self._fetch(target, bytes_received)
-            if answer.status != 200:
+                response = await self._fetch(target, bytes_received)
+            if response.status != 200:
                 event = self.watch.classify_rejection(self._clock())
-                raise ListUnavailableError(f"status {answer.status}", event)
-            return read_list(_decode(answer.body))
+                raise ListUnavailableError(f"status {response.status}", event)
+            return read_list(_decode(response.body))
         except TimeoutError as error:
             self.close()
             raise ListUnavailableError("no response in time", WatchEvent.TIMED_OUT) from error
@@ -218,14 +218,14 @@
             connection = self._connection = connection_to(self._address, self._free_descriptor)
             await connection.open()
         request = Request("GET", target, {"host": text_of(self._address)})
-        answer = await connection.exchange(
+        response = await connection.exchange(
             request, AnswerReader(MAX_LIST_BYTES, MAX_LIST_BYTES), heard=bytes_received
         )
-        if answer.keep:
+        if response.keep:
             connection.rest(0.0)
         else:
             self.close()
-        return answer
+        return response
 
 
 def _decode(body: bytes) -> Any:
