--- a/notchjunction/net/admin.py
+++ b/notchjunction/net/admin.py
@@ -20,7 +20,7 @@
 from notchjunction.http1.messages import MalformedMessageError, Request, Response
 from notchjunction.http1.parser import RequestReader
 from notchjunction.net.descriptors import SHORTAGE_ERRNOS, SHORTAGE_PAUSE_S
-from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, give_up
+from notchjunction.net.socket_stream import NodeStream, Unread, end_sending, end_sending_and_discard
 from notchjunction.net.upstream_connection import MAX_BUFFER_BYTES, READ_CHUNK_BYTES, start_read
 from notchjunction.telemetry.counters import Counters
 from notchjunction.telemetry.logs import pairs
@@ -159,7 +159,7 @@
             # Guards against silent connections blocking others: the oldest of them is closed.
             oldest = next(iter(self._incomplete), None)
             if oldest is None:
-                give_up(connection)
+                end_sending_and_discard(connection)
                 connection.close()
                 return True
             self._counters.add("admin_calls_dropped")
@@ -173,7 +173,7 @@
 
     def _drop(self, stream: AdminStream) -> None:
         if not stream.closed():
-            give_up(stream.socket)
+            end_sending_and_discard(stream.socket)
             stream.close()
 
     def _done(self, task: asyncio.Task[None]) -> None:
--- a/notchjunction/node/node.py
+++ b/notchjunction/node/node.py
@@ -113,9 +113,9 @@
         self._fleet = self._create_fleet_transport(config) if config.fleet is not None else None
         services = ClientServices(
             clock=self.now,
-            take=self._start_request,
+            start_request=self._start_request,
             ready=lambda: self._ready,
-            profiles=frozenset(config.setting_names.request_classes),
+            request_classes=frozenset(config.setting_names.request_classes),
             descriptors=descriptors,
             counters=counters,
             streams=streams,
@@ -404,7 +404,7 @@
         elif action is ServingAction.RESUME:
             log.info("in service", extra=pairs(clients=self._client_listener.connected))
             self._cancel_drain_task()
-            self._clients.serve()
+            self._clients.resume_service()
         return action is not None
 
     def _cancel_drain_task(self) -> None:
@@ -415,7 +415,7 @@
     async def _drain_idle_clients(self) -> None:
         await asyncio.sleep(READINESS_NOTICE_S)
         if self._serving_state.handle(ServingEvent.NOTICE_TIME_OVER) is ServingAction.DRAIN_CLIENTS:
-            self._clients.part()
+            self._clients.announce_closing()
         while True:
             self._clients.close_idle(MIN_IDLE_S)
             await asyncio.sleep(DRAIN_CHECK_INTERVAL_S)
@@ -442,7 +442,7 @@
                 return
         before, self._config = self._config, config
         self._engine.apply_settings(config.balancer, config.setting_names)
-        self._clients.profiles = frozenset(config.setting_names.request_classes)
+        self._clients.request_classes = frozenset(config.setting_names.request_classes)
         self._upstreams.apply_settings(
             config.connect_timeout, config.connection_idle_timeout, config.load_path
         )
@@ -501,23 +501,23 @@
                         self._clients.drain()
                     case ShutdownAction.PAUSE_ACCEPTING:
                         self._client_listener.pause()
-                        self._clients.part()
+                        self._clients.announce_closing()
                         grace_until = now + IDLE_GRACE_S
                     case ShutdownAction.RESUME_ACCEPTING:
                         log.warning("successor lost", extra=pairs(left=shutdown.serve_time_left(now)))
-                        self._clients.serve()
+                        self._clients.resume_service()
                         self._client_listener.resume()
                         grace_until = math.inf
                         is_migrating = False
                         if sender is not None:
                             sender.close()
                             sender = None
-                            self._clients.keep_streams()
+                            self._clients.stop_migration()
                     case ShutdownAction.CLOSE_LISTENERS:
                         self._adopt_remaining()
                         self._client_listener.stop()
                     case ShutdownAction.DRAIN_CLIENTS:
-                        self._clients.part()
+                        self._clients.announce_closing()
                         grace_until = now + IDLE_GRACE_S
                     case ShutdownAction.MIGRATE_STREAMS:
                         is_migrating = True
@@ -528,7 +528,7 @@
             if is_migrating and sender is None and handover is not None and not shutdown.finished:
                 sender = handover.open_stream_sender()
                 if sender is not None:
-                    self._clients.move_streams(sender)
+                    self._clients.start_migration(sender)
             if grace_until < math.inf:
                 self._clients.close_idle(MIN_IDLE_S if now < grace_until else 0.0)
             if not shutdown.finished:
@@ -561,7 +561,7 @@
         streams_queued = False
         if not self._client_listener.connected and self._handover is not None:
             self._handover.accept_last_streams()
-            streams_queued = self._handover.has_queued_streams and not self._clients.final
+            streams_queued = self._handover.has_queued_streams and not self._clients.final_phase
         # Guards against resets for clients in a queue that found no descriptor while it was being closed.
         return self._client_listener.connected + (self._client_listener.queued or streams_queued)
 
