--- a/notchjunction/emulator/faults.py
+++ b/notchjunction/emulator/faults.py
@@ -72,13 +72,13 @@
 
 def _drain(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        server.presence = EndpointState.DRAINING
+        server.state = EndpointState.DRAINING
         target.discovery.changed(fault.tier, server)
 
 
 def _remove(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     for server in servers:
-        server.presence = EndpointState.REMOVED
+        server.state = EndpointState.REMOVED
         target.stop(server)
         target.discovery.changed(fault.tier, server)
 
@@ -92,32 +92,32 @@
 
 
 def _stop_discovery(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.down()
+    target.discovery.stop()
 
 
 def _resume_discovery(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.back()
+    target.discovery.resume()
 
 
 def _delay_changes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.late = fault.size
+    target.discovery.extra_delay = fault.size
 
 
 def _publish_in_time(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.late = 0.0
+    target.discovery.extra_delay = 0.0
 
 
 def _cut_off_nodes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     # By number, evenly over the nodes: the same nodes for as long as the fault lasts.
-    target.discovery.split(lambda node: (node * 0.618) % 1.0 < fault.size)
+    target.discovery.cut_off(lambda node: (node * 0.618) % 1.0 < fault.size)
 
 
 def _reconnect_nodes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.split(lambda node: False)
+    target.discovery.cut_off(lambda node: False)
 
 
 def _drop_open_watches(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    target.discovery.fall_silent()
+    target.discovery.drop_watches()
 
 
 def _do_nothing(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
--- a/notchjunction/emulator/node.py
+++ b/notchjunction/emulator/node.py
@@ -1,4 +1,4 @@
-"""A node in virtual time: the host of one real decision module, and its connections to servers."""
+"""A node in virtual time: the host of one real balancer, and its connections to servers."""
 
 from __future__ import annotations
 
@@ -24,8 +24,7 @@
 )
 from notchjunction.discovery.watch_state import ListWatch, WatchEvent
 from notchjunction.emulator.clock import Clock
-from notchjunction.emulator.discovery import Discovery
-from notchjunction.emulator.discovery import Heard as Listener
+from notchjunction.emulator.discovery import Discovery, OnResponse
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.servers import Call, Server
 from notchjunction.emulator.trace import (
@@ -39,19 +38,19 @@
     TraceRow,
 )
 
-TICK = 0.005  # s; what a node is told its timers may be late by
-ASK_WITHIN = 10.0  # s in which a node has to ask for the list
-PROBE_WITHIN = 0.3  # s that a probe may take
-MAX_DISPATCHES = 4
-CONNECTION_PRICE = 0.01  # told where connections cost something; its size decides nothing
-CROSSING_PRICE = 0.05  # told where zones lie apart
+TICK_S = 0.005  # resolution of timers in the balancer's settings; timers here are exact
+POLL_INTERVAL_S = 10.0  # at most, between polls of discovery
+PROBE_TIMEOUT_S = 0.3
+MAX_ATTEMPTS = 4  # per request
+CONNECTION_COST = 0.01  # where connections cost something; only whether it is 0 matters
+CROSS_ZONE_COST = 0.05  # where messages between zones take longer
 
-Make = Callable[[BalancerSettings, BalancerHost], RequestBalancer]
-NO_TRY = -1  # the first try of a call that a server makes
+BalancerFactory = Callable[[BalancerSettings, BalancerHost], RequestBalancer]
+NO_FIRST_REQUEST = -1  # the first try of a request that a server makes
 
 
-class Surroundings(Clock, Protocol):
-    """What a node needs of the world that it stands in."""
+class NodeEnvironment(Clock, Protocol):
+    """What a node needs of its world."""
 
     scenario: Scenario
     discovery: Discovery
@@ -60,98 +59,113 @@
     servers: list[Server]  # by number
     tiers: list[list[Server]]
 
-    def hop(self) -> float:
-        """Seconds that a message takes within a zone; drawn anew each time."""
+    def sample_latency(self) -> float:
+        """Return a random time (s) that a message takes within a zone."""
 
-    def carry(self, here: int, there: int, due: Callable[[], None]) -> None:
-        """A message from one zone to another, which calls `due` as it arrives."""
+    def deliver(self, source_zone: int, target_zone: int, on_arrival: Callable[[], None]) -> None:
+        """Send a message from one zone to another; call `on_arrival` if and when it arrives."""
 
 
 @dataclass(slots=True)
-class Asked:
-    """A job as its caller has it; `done` hears the final answer, and the advice of a turn-back."""
+class IncomingRequest:
+    """A request that a node receives.
 
-    profile: int
-    left: float
-    work: float
-    done: Callable[[FinalResponse, float], None]
-    operator: int = 0
-    first_try: int = NO_TRY
-    repeat: bool = False
+    `on_response` receives the final response, and after a rejection the time (s) after which to retry.
+    """
+
+    request_class: int
+    time_left: float  # s until its deadline
+    work: float  # s on a server of speed 1, in a tier of share 1
+    on_response: Callable[[FinalResponse, float], None]
+    tenant: int = 0
+    first_request: int = NO_FIRST_REQUEST  # number of the client's first try
+    is_retry: bool = False
 
 
 @dataclass(slots=True, eq=False)
-class Link:
+class Connection:
     """One connection to a server."""
 
     server: Server
-    life: int
+    generation: int
     idle_since: float = 0.0
 
 
 @dataclass(slots=True, eq=False)
-class Out:
-    """A dispatch that has no outcome yet."""
+class AttemptInFlight:
+    """An attempt that has no outcome yet."""
 
     call: Call
     server: Server
-    at: float
-    link: Link | None = None
+    sent_at: float
+    connection: Connection | None = None
 
 
 @dataclass(slots=True)
-class UnderWay:
-    """A call of a server's to the next tier."""
+class RequestHandle:
+    """A request at a node, for its client to cancel."""
 
     node: Node
-    job: int
+    request: int
 
-    def withdraw(self) -> None:
-        self.node.withdraw(self.job)
+    def cancel(self) -> None:
+        """Cancel the request if it has no final response yet."""
+        self.node.cancel(self.request)
 
 
 @dataclass(slots=True)
-class Links:
-    """The connections of one node; none is counted where they cost nothing."""
-
-    world: Surroundings
-    idle: dict[int, list[Link]] = field(default_factory=dict)
-
-    def take(self, server: Server) -> Link | None:
-        """The newest idle one that is fit."""
-        kept = self.idle.get(server.number, [])
-        while kept:
-            link = kept.pop()
-            if link.life == server.life:
-                return link
+class ConnectionPool:
+    """The idle connections of one node; unused in scenarios where connections cost nothing."""
+
+    world: NodeEnvironment
+    idle: dict[int, list[Connection]] = field(default_factory=dict)
+
+    def acquire(self, server: Server) -> Connection | None:
+        """Return the connection that became idle last, without those that a stop of the server has closed."""
+        idle = self.idle.get(server.number, [])
+        while idle:
+            connection = idle.pop()
+            if connection.generation == server.generation:
+                return connection
         return None
 
-    def give_back(self, link: Link) -> None:
-        link.idle_since = self.world.now
-        self.idle.setdefault(link.server.number, []).append(link)
-        self.world.after(self.world.scenario.connection_idle, partial(self._retire, link, link.idle_since))
+    def release(self, connection: Connection) -> None:
+        """Keep a connection for reuse until its idle timeout."""
+        connection.idle_since = self.world.now
+        self.idle.setdefault(connection.server.number, []).append(connection)
+        self.world.after(
+            self.world.scenario.connection_idle, partial(self._expire, connection, connection.idle_since)
+        )
 
-    def close(self, link: Link) -> None:
-        link.server.disconnect(link.life)
+    def close(self, connection: Connection) -> None:
+        """Close a connection that is not in the pool."""
+        connection.server.disconnect(connection.generation)
 
-    def _retire(self, link: Link, since: float) -> None:
-        kept = self.idle.get(link.server.number, [])
-        if link in kept and link.idle_since == since:
-            kept.remove(link)
-            self.close(link)
+    def _expire(self, connection: Connection, idle_since: float) -> None:
+        idle = self.idle.get(connection.server.number, [])
+        if connection in idle and connection.idle_since == idle_since:
+            idle.remove(connection)
+            self.close(connection)
 
     def close_all(self) -> None:
-        for kept in self.idle.values():
-            for link in kept:
-                self.close(link)
+        """Close all idle connections."""
+        for idle in self.idle.values():
+            for connection in idle:
+                self.close(connection)
         self.idle.clear()
 
 
 class Node:
-    """Before `tier`, in `zone`; `group` nodes stand there in all."""
+    """One of `group_size` nodes that balance the servers of `tier`; it is in `zone`."""
 
     def __init__(
-        self, world: Surroundings, number: int, tier: int, zone: int, group: int, make: Make
+        self,
+        world: NodeEnvironment,
+        number: int,
+        tier: int,
+        zone: int,
+        group_size: int,
+        make_balancer: BalancerFactory,
     ) -> None:
         self.world = world
         self.number, self.tier, self.zone = number, tier, zone
@@ -159,254 +173,293 @@
         scenario = world.scenario
         world.discovery.join(tier, number)
         self._version = world.discovery.version(tier)
-        # Calls wait for ever where none falls silent: to make them again would cost each run events.
-        self._following = ListWatch(ASK_WITHIN, seed=number) if scenario.has_unanswered_polls else None
-        self._call = 0  # the last call for the list; what comes of an earlier one is not heard
-        self._jobs = 0
-        self._asked: dict[int, Asked] = {}
-        self._out: dict[tuple[int, int], Out] = {}
-        self._count: dict[int, int] = {}
-        self._starts: dict[int, float] = {}  # of servers, as told
-        self._links = Links(world)
-        self._linked = scenario.connection_idle > 0
-        terms = BalancerSettings(
+        # Saves events: without unanswered polls to detect, each poll waits for ever.
+        self._watch = ListWatch(POLL_INTERVAL_S, seed=number) if scenario.has_unanswered_polls else None
+        self._poll = 0  # number of the last poll; the response to an earlier one is ignored
+        self._request_count = 0
+        self._requests: dict[int, IncomingRequest] = {}
+        self._in_flight: dict[tuple[int, int], AttemptInFlight] = {}
+        self._attempt_counts: dict[int, int] = {}
+        self._notified_starts: dict[int, float] = {}  # by server
+        self._connections = ConnectionPool(world)
+        self._pools_connections = scenario.connection_idle > 0
+        settings = BalancerSettings(
             seed=world.random.getrandbits(32),
             request_classes=scenario.profiles,
             tenant_quotas=() if tier else scenario.quotas,
-            node_count=group,
+            node_count=group_size,
             tier=tier,
             tier_count=len(scenario.effective_tiers),
             zone=zone,
             polls_list=True,
-            max_attempts=MAX_DISPATCHES,
-            poll_interval=ASK_WITHIN,
-            tick=TICK,
-            cross_zone_cost=CROSSING_PRICE if scenario.zone_latency else 0.0,
-            connection_cost=CONNECTION_PRICE if scenario.handshake_work else 0.0,
+            max_attempts=MAX_ATTEMPTS,
+            poll_interval=POLL_INTERVAL_S,
+            tick=TICK_S,
+            cross_zone_cost=CROSS_ZONE_COST if scenario.zone_latency else 0.0,
+            connection_cost=CONNECTION_COST if scenario.handshake_work else 0.0,
             connection_idle_timeout=scenario.connection_idle,
             slow_start_share=scenario.cold_share,
             slow_start_time=scenario.cold_time,
             overload_multiple=scenario.tip_multiple,
         )
-        self._core = make(terms, self)
-        self._hear(ListUpdate.CACHED, [world.discovery.entry(server) for server in world.tiers[tier]])
+        self._balancer = make_balancer(settings, self)
+        self._apply_update(ListUpdate.CACHED, [world.discovery.entry(server) for server in world.tiers[tier]])
 
-    # What the world calls.
+    # Called by the world.
 
-    def take(self, asked: Asked) -> UnderWay:
-        self._jobs += 1
-        job = self._jobs
-        self._asked[job] = asked
+    def accept(self, incoming: IncomingRequest) -> RequestHandle:
+        """Accept a request from a client or a server."""
+        self._request_count += 1
+        request = self._request_count
+        self._requests[request] = incoming
         now = self.world.now
         self.world.rows.append(
-            RequestAccepted(now, self.number, job, asked.profile, now + asked.left, asked.first_try)
+            RequestAccepted(
+                now,
+                self.number,
+                request,
+                incoming.request_class,
+                now + incoming.time_left,
+                incoming.first_request,
+            )
         )
-        self._core.request_arrived(
-            NewRequest(job, asked.profile, asked.operator, asked.left, is_client_retry=asked.repeat)
+        self._balancer.request_arrived(
+            NewRequest(
+                request,
+                incoming.request_class,
+                incoming.tenant,
+                incoming.time_left,
+                is_client_retry=incoming.is_retry,
+            )
         )
-        return UnderWay(self, job)
+        return RequestHandle(self, request)
 
-    def withdraw(self, job: int) -> None:
-        if self.alive and job in self._asked:
-            self._answer(job, FinalResponse.CANCELLED)
-            self._core.request_cancelled(job)
+    def cancel(self, request: int) -> None:
+        """Cancel a request for its client; no effect after the final response."""
+        if self.alive and request in self._requests:
+            self._respond(request, FinalResponse.CANCELLED)
+            self._balancer.request_cancelled(request)
 
-    def die(self) -> None:
-        """Goes with the server that it serves; nothing more is heard of it."""
+    def stop(self) -> None:
+        """Stop for good: cancel all requests and attempts, and close all connections."""
         self.alive = False
-        for job in list(self._asked):
-            self._answer(job, FinalResponse.CANCELLED)
-        for key, out in list(self._out.items()):
-            self._has_landed(key, out)
-            self._let_go(out)
-        self._out.clear()
-        self._links.close_all()
+        for request in list(self._requests):
+            self._respond(request, FinalResponse.CANCELLED)
+        for key, attempt in list(self._in_flight.items()):
+            self._record_attempt_end(key, attempt)
+            self._cancel_at_server(attempt)
+        self._in_flight.clear()
+        self._connections.close_all()
         self.world.discovery.forget(self.number)
 
-    # Dispatches.
+    # Attempts.
 
-    def send_attempt(self, job: int, server: int, within: float) -> None:
-        number = self._count.get(job, 0)
-        self._count[job] = number + 1
+    def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        """Send an attempt, over an idle or a new connection where connections cost something."""
+        attempt_number = self._attempt_counts.get(request, 0)
+        self._attempt_counts[request] = attempt_number + 1
         world, now = self.world, self.world.now
-        world.rows.append(AttemptSent(now, self.number, job, number, server, now + within))
-        asked = self._asked.get(job)
-        to = world.servers[server]
-        key = (job, number)
-        profile = asked.profile if asked else 0
+        world.rows.append(AttemptSent(now, self.number, request, attempt_number, endpoint, now + timeout))
+        incoming = self._requests.get(request)
+        server = world.servers[endpoint]
+        key = (request, attempt_number)
+        request_class = incoming.request_class if incoming else 0
         call = Call(
-            name=(self.number, job, number),
-            profile=profile,
-            seconds=asked.work if asked else 0.0,
-            until=now + within,
-            answer=lambda result: world.carry(to.zone, self.zone, partial(self.ended, key, result)),
-            number=(self.number, job)
-            if world.scenario.profiles[profile].idempotency is Idempotency.KEYED
+            attempt_id=(self.number, request, attempt_number),
+            request_class=request_class,
+            work=incoming.work if incoming else 0.0,
+            deadline=now + timeout,
+            on_result=lambda result: world.deliver(
+                server.zone, self.zone, partial(self._end_attempt, key, result)
+            ),
+            deduplication_key=(self.number, request)
+            if world.scenario.profiles[request_class].idempotency is Idempotency.KEYED
             else None,
         )
-        out = self._out[key] = Out(call, to, now)
-        world.after(within, partial(self.ended, key, AttemptResult.TIMED_OUT))
-        if self._linked:
-            out.link = self._links.take(to)
-            if out.link is None:
-                self._open(key, out)
+        attempt = self._in_flight[key] = AttemptInFlight(call, server, now)
+        world.after(timeout, partial(self._end_attempt, key, AttemptResult.TIMED_OUT))
+        if self._pools_connections:
+            attempt.connection = self._connections.acquire(server)
+            if attempt.connection is None:
+                self._connect(key, attempt)
                 return
-        world.carry(self.zone, to.zone, partial(self._reach, out))
+        world.deliver(self.zone, server.zone, partial(self._arrive, attempt))
 
-    def _open(self, key: tuple[int, int], out: Out) -> None:
-        """A connection comes up, is refused, or never does."""
-        scenario, to = self.world.scenario, out.server
+    def _connect(self, key: tuple[int, int], attempt: AttemptInFlight) -> None:
+        """Open a connection and send the attempt on it; end the attempt if that is refused or times out."""
+        scenario, server = self.world.scenario, attempt.server
 
-        def answered() -> None:
-            if key not in self._out:
+        def on_handshake() -> None:
+            if key not in self._in_flight:
                 return
-            if not to.up:
-                to_ended = AttemptResult.NO_CONNECTION
-            elif not to.connect():
-                to_ended = AttemptResult.REJECTED
+            if not server.up:
+                result = AttemptResult.NO_CONNECTION
+            elif not server.connect():
+                result = AttemptResult.REJECTED
             else:
-                out.link = Link(to, to.life)
-                out.call.seconds += scenario.handshake_work
-                self._reach(out)
+                attempt.connection = Connection(server, server.generation)
+                attempt.call.work += scenario.handshake_work
+                self._arrive(attempt)
                 return
-            self.world.carry(to.zone, self.zone, partial(self.ended, key, to_ended))
+            self.world.deliver(server.zone, self.zone, partial(self._end_attempt, key, result))
 
-        def silent() -> None:
-            if key in self._out and out.link is None:
-                self.ended(key, AttemptResult.NO_CONNECTION)
+        def on_connect_timeout() -> None:
+            if key in self._in_flight and attempt.connection is None:
+                self._end_attempt(key, AttemptResult.NO_CONNECTION)
 
-        self.world.carry(self.zone, to.zone, lambda: self.world.after(scenario.handshake_time, answered))
-        self.world.after(scenario.handshake_time + scenario.connect_within, silent)
+        self.world.deliver(
+            self.zone, server.zone, lambda: self.world.after(scenario.handshake_time, on_handshake)
+        )
+        self.world.after(scenario.handshake_time + scenario.connect_within, on_connect_timeout)
 
-    def _reach(self, out: Out) -> None:
-        out.call.knowing = self._starts.get(out.server.number, 0.0) >= out.server.started_at
-        out.server.reach(out.call)
+    def _arrive(self, attempt: AttemptInFlight) -> None:
+        attempt.call.informed = (
+            self._notified_starts.get(attempt.server.number, 0.0) >= attempt.server.started_at
+        )
+        attempt.server.receive(attempt.call)
 
-    def ended(self, key: tuple[int, int], result: AttemptResult) -> None:
-        out = self._out.pop(key, None)
-        if out is None or not self.alive:
+    def _end_attempt(self, key: tuple[int, int], result: AttemptResult) -> None:
+        attempt = self._in_flight.pop(key, None)
+        if attempt is None or not self.alive:
             return
-        self._has_landed(key, out)
-        job, number = key
-        gave_up = result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED)
-        if gave_up:
-            self._let_go(out)
-        if out.link is not None:
-            if gave_up or result is AttemptResult.RESET:
-                self._links.close(out.link)
+        self._record_attempt_end(key, attempt)
+        request, attempt_number = key
+        abandoned = result in (AttemptResult.TIMED_OUT, AttemptResult.CANCELLED)
+        if abandoned:
+            self._cancel_at_server(attempt)
+        if attempt.connection is not None:
+            if abandoned or result is AttemptResult.RESET:
+                self._connections.close(attempt.connection)
             else:
-                self._links.give_back(out.link)
-        if result is AttemptResult.SUCCEEDED and job in self._asked:
-            self._answer(job, FinalResponse.SUCCEEDED)
-        over = job not in self._asked
-        seconds = self.world.now - out.at
-        self._core.attempt_ended(AttemptOutcome(job, number, out.server.number, result, seconds, over))
-
-    def _has_landed(self, key: tuple[int, int], out: Out) -> None:
-        self.world.rows.append(AttemptEnded(self.world.now, self.number, *key, out.server.number))
-
-    def _let_go(self, out: Out) -> None:
-        self.world.carry(self.zone, out.server.zone, partial(out.server.drop, out.call))
-
-    def _answer(self, job: int, final: FinalResponse, advice: float = 0.0) -> None:
-        """Its caller's one final answer; a second one is a row too, which the checkers shall see."""
-        self.world.rows.append(RequestAnswered(self.world.now, self.number, job, final))
-        self._count.pop(job, None)
-        asked = self._asked.pop(job, None)
-        if asked is not None and final is not FinalResponse.CANCELLED:
-            asked.done(final, advice)
-
-    # The list.
-
-    def heard(self, call: int, news: Sequence[EndpointEntry] | None, version: int) -> None:
-        if not self.alive or call != self._call:
+                self._connections.release(attempt.connection)
+        if result is AttemptResult.SUCCEEDED and request in self._requests:
+            self._respond(request, FinalResponse.SUCCEEDED)
+        final = request not in self._requests
+        seconds = self.world.now - attempt.sent_at
+        self._balancer.attempt_ended(
+            AttemptOutcome(request, attempt_number, attempt.server.number, result, seconds, final)
+        )
+
+    def _record_attempt_end(self, key: tuple[int, int], attempt: AttemptInFlight) -> None:
+        self.world.rows.append(AttemptEnded(self.world.now, self.number, *key, attempt.server.number))
+
+    def _cancel_at_server(self, attempt: AttemptInFlight) -> None:
+        self.world.deliver(self.zone, attempt.server.zone, partial(attempt.server.cancel, attempt.call))
+
+    def _respond(self, request: int, response: FinalResponse, retry_after: float = 0.0) -> None:
+        """Give a request its final response; a second one is recorded too, for the checkers to find."""
+        self.world.rows.append(RequestAnswered(self.world.now, self.number, request, response))
+        self._attempt_counts.pop(request, None)
+        incoming = self._requests.pop(request, None)
+        if incoming is not None and response is not FinalResponse.CANCELLED:
+            incoming.on_response(response, retry_after)
+
+    # The endpoint list.
+
+    def _handle_poll_response(self, poll: int, changes: Sequence[EndpointEntry] | None, version: int) -> None:
+        if not self.alive or poll != self._poll:
             return
-        self._call += 1  # it has ended, and is not silent any more
-        if self._following is not None:
-            event = WatchEvent.REJECTED if news is None else WatchEvent.ANSWERED
-            self._following.poll_ended(event, self.world.now)
-        if news is None:
-            self._core.list_updated(ListUpdate.FAILED, ())
+        self._poll += 1  # the poll has ended, and its timeout no longer applies
+        if self._watch is not None:
+            event = WatchEvent.REJECTED if changes is None else WatchEvent.ANSWERED
+            self._watch.poll_ended(event, self.world.now)
+        if changes is None:
+            self._balancer.list_updated(ListUpdate.FAILED, ())
             return
         self._version = version
-        self._hear(ListUpdate.CHANGES, news)
-        # A kept watch costs discovery no work.
-        self._ask_for_list(self.world.discovery.watch)
+        self._apply_update(ListUpdate.CHANGES, changes)
+        # Continuing a watch costs discovery no work.
+        self._start_poll(self.world.discovery.watch)
 
-    def _heard(self, call: int, news: Sequence[EndpointEntry] | None, version: int) -> None:
-        self.world.after(self.world.hop(), partial(self.heard, call, news, version))
+    def _receive_poll_response(
+        self, poll: int, changes: Sequence[EndpointEntry] | None, version: int
+    ) -> None:
+        self.world.after(
+            self.world.sample_latency(), partial(self._handle_poll_response, poll, changes, version)
+        )
 
-    def _ask_for_list(self, ask: Callable[[int, int, int, Listener, float], None]) -> None:
+    def _start_poll(self, send: Callable[[int, int, int, OnResponse, float], None]) -> None:
         world, wait = self.world, inf
-        self._call += 1
-        if self._following is not None:
-            wait = self._following.next_wait(known=True)
-            world.after(self._following.poll_started(world.now, wait), partial(self._silent, self._call))
-        heard = partial(self._heard, self._call)
-        world.after(world.hop(), partial(ask, self.tier, self.number, self._version, heard, wait))
-
-    def _silent(self, call: int) -> None:
-        if self.alive and call == self._call and self._following is not None:
-            self._following.poll_ended(WatchEvent.TIMED_OUT, self.world.now)
-            self._ask_for_list(self.world.discovery.call)
-
-    def _hear(self, kind: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
+        self._poll += 1
+        if self._watch is not None:
+            wait = self._watch.next_wait(known=True)
+            world.after(self._watch.poll_started(world.now, wait), partial(self._on_poll_timeout, self._poll))
+        on_response = partial(self._receive_poll_response, self._poll)
+        world.after(
+            world.sample_latency(),
+            partial(send, self.tier, self.number, self._version, on_response, wait),
+        )
+
+    def _on_poll_timeout(self, poll: int) -> None:
+        if self.alive and poll == self._poll and self._watch is not None:
+            self._watch.poll_ended(WatchEvent.TIMED_OUT, self.world.now)
+            self._start_poll(self.world.discovery.poll)
+
+    def _apply_update(self, update: ListUpdate, entries: Sequence[EndpointEntry]) -> None:
         now = self.world.now
-        self._starts.update({entry.number: entry.started_at for entry in entries})
+        self._notified_starts.update({entry.number: entry.started_at for entry in entries})
         self.world.rows += [
             EndpointNotified(now, self.number, entry.number, entry.state) for entry in entries
         ]
-        self._core.list_updated(kind, entries)
+        self._balancer.list_updated(update, entries)
 
-    # The rest of the module's Host.
+    # The other methods of `BalancerHost`.
 
     def now(self) -> float:
+        """Return the world's time (s)."""
         return self.world.now
 
-    def cancel_attempt(self, job: int, dispatch: int) -> None:
-        if (job, dispatch) in self._out:
-            self.world.after(0.0, partial(self.ended, (job, dispatch), AttemptResult.CANCELLED))
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        """Cancel an attempt in flight; its outcome is reported in an event of its own."""
+        if (request, attempt) in self._in_flight:
+            self.world.after(0.0, partial(self._end_attempt, (request, attempt), AttemptResult.CANCELLED))
 
-    def send_probe(self, server: int) -> None:
-        world, to = self.world, self.world.servers[server]
-        world.rows.append(ProbeSent(world.now, self.number, server))
+    def send_probe(self, endpoint: int) -> None:
+        """Probe a server; the first of its response and the timeout counts."""
+        world, server = self.world, self.world.servers[endpoint]
+        world.rows.append(ProbeSent(world.now, self.number, endpoint))
         done = False
 
-        def answered(result: AttemptResult, load: LoadReport | None) -> None:
+        def end_probe(result: AttemptResult, load: LoadReport | None) -> None:
             nonlocal done
             if not done and self.alive:
                 done = True
-                self._core.probe_ended(server, result, load)
+                self._balancer.probe_ended(endpoint, result, load)
 
-        def reached() -> None:
-            seconds = to.probe_seconds()
-            if seconds is None and not to.up:
-                world.carry(to.zone, self.zone, partial(answered, AttemptResult.NO_CONNECTION, None))
+        def on_arrival() -> None:
+            seconds = server.probe_seconds()
+            if seconds is None and not server.up:
+                world.deliver(server.zone, self.zone, partial(end_probe, AttemptResult.NO_CONNECTION, None))
             elif seconds is not None:
                 world.after(
                     seconds,
-                    lambda: world.carry(
-                        to.zone, self.zone, partial(answered, AttemptResult.SUCCEEDED, to.report())
+                    lambda: world.deliver(
+                        server.zone, self.zone, partial(end_probe, AttemptResult.SUCCEEDED, server.report())
                     ),
                 )
 
-        world.carry(self.zone, to.zone, reached)
-        world.after(PROBE_WITHIN, partial(answered, AttemptResult.TIMED_OUT, None))
+        world.deliver(self.zone, server.zone, on_arrival)
+        world.after(PROBE_TIMEOUT_S, partial(end_probe, AttemptResult.TIMED_OUT, None))
 
-    def reject(self, job: int, come_back_in: float) -> None:
-        self._answer(job, FinalResponse.REJECTED, come_back_in)
+    def reject(self, request: int, retry_after: float) -> None:
+        """Reject a request."""
+        self._respond(request, FinalResponse.REJECTED, retry_after)
 
-    def fail(self, job: int) -> None:
-        self._answer(job, FinalResponse.FAILED)
+    def fail(self, request: int) -> None:
+        """Fail a request."""
+        self._respond(request, FinalResponse.FAILED)
 
     def set_timer(self, delay: float, token: int) -> None:
-        self.world.after(delay, lambda: self._core.timer_fired(token) if self.alive else None)
+        """Set a timer of the balancer, which a stop of the node disarms."""
+        self.world.after(delay, lambda: self._balancer.timer_fired(token) if self.alive else None)
 
     def poll_list(self) -> None:
-        self._ask_for_list(self.world.discovery.call)
+        """Poll discovery anew."""
+        self._start_poll(self.world.discovery.poll)
 
-    def report_ejection(self, server: int, seconds: float) -> None:
+    def report_ejection(self, endpoint: int, seconds: float) -> None:
+        """Do nothing: the emulator has no use for it."""
         pass
 
-    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
-        """Emulated nodes share nothing."""
+    def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
+        """Do nothing: emulated nodes do not gossip."""
--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -1,7 +1,9 @@
-"""A server as the emulator has it: workers, a queue, cold starts, tipping, overdrive, connections.
+"""The model of a server: workers, a queue, slow start, two kinds of overload, and connections.
 
-It knows a clock and its callers' callbacks alone, so that the same model serves in virtual time and behind a
-socket. Servers are simulated.
+A server that receives too much work during slow start goes down. A server whose queue stays too long becomes
+slower until it has been mostly idle for a while.
+
+The model depends only on a clock and callbacks, so the same model runs in virtual time and behind a socket.
 """
 
 from __future__ import annotations
@@ -24,65 +26,88 @@
 from notchjunction.emulator.clock import Clock
 from notchjunction.emulator.scenario import Scenario, Tier
 
-PROBE_WORK = 0.003  # s of a server's work that a probe costs
-HUNG_LOOK = 0.1  # s between looks of a job that is done whether its server still hangs
-ERROR_WORK = 0.002  # s that a job takes which fails at once
-REST_SHARE = 0.5  # of its workers that a server may use and still counts as mostly idle
+PROBE_WORK_S = 0.003  # work of a probe
+HUNG_CHECK_INTERVAL_S = 0.1  # between checks whether a server still hangs, before it responds
+ERROR_WORK_S = 0.002  # work of a request that fails at once
+MOSTLY_IDLE_SHARE = 0.5  # of its workers that a mostly idle server uses at most
 
 
-class Below(Protocol):
-    """A call to the next tier that is under way."""
+class DownstreamCall(Protocol):
+    """A server's request to the next tier, in flight."""
 
-    def withdraw(self) -> None: ...
+    def cancel(self) -> None:
+        """Cancel the request."""
 
 
 @dataclass(slots=True, eq=False)
 class Call:
-    """A request at a server. `answer` is told how it ended, once, as its server sees it."""
+    """An attempt at a server; `on_result` is called once, with its result as the server sees it."""
 
-    name: Hashable  # of the dispatch
-    profile: int
-    seconds: float  # of work on a server of speed 1, in a tier of share 1
-    until: float  # when its caller gives up
-    answer: Callable[[AttemptResult], None]
-    number: Hashable = None  # by which repeats are known; None where they are not dropped
-    knowing: bool = False  # whether its sender has been told of the server's last start
-    over: bool = False  # its sender no longer waits
-    below: Below | None = None
+    attempt_id: Hashable
+    request_class: int
+    work: float  # s on a server of speed 1, in a tier of share 1
+    deadline: float  # when its sender gives up
+    on_result: Callable[[AttemptResult], None]
+    deduplication_key: Hashable = None  # None if repeats are not dropped
+    informed: bool = False  # whether its sender had been notified of the server's last start
+    cancelled: bool = False  # by its sender
+    downstream: DownstreamCall | None = None
 
 
 @dataclass(slots=True)
-class Numbers:
-    """What a group of servers remembers of numbered jobs: until when a repeat of each is dropped."""
+class DeduplicationTable:
+    """The deduplication keys that a group of servers remembers, and until when it drops repeats of each."""
 
     window: float
-    known: dict[Hashable, float] = field(default_factory=dict)
+    expires_at: dict[Hashable, float] = field(default_factory=dict)
 
-    def seen(self, number: Hashable, now: float) -> bool:
-        """Whether it is a repeat; a first one is remembered."""
-        if self.known.get(number, 0.0) > now:
+    def is_repeat(self, key: Hashable, now: float) -> bool:
+        """Return whether the key is remembered; remember it if not."""
+        if self.expires_at.get(key, 0.0) > now:
             return True
-        self.known[number] = now + self.window
+        self.expires_at[key] = now + self.window
         return False
 
 
-class Memory:
-    """What each group of a scenario's servers remembers; each zone is a cell."""
+class DeduplicationTables:
+    """The deduplication tables of a scenario's servers; the servers of each zone are one group."""
 
-    def __init__(self, profiles: Sequence[RequestClass]) -> None:
-        self._profiles = profiles
-        self._numbers: dict[Hashable, Numbers] = {}
+    def __init__(self, request_classes: Sequence[RequestClass]) -> None:
+        self._request_classes = request_classes
+        self._tables: dict[Hashable, DeduplicationTable] = {}
 
-    def of(self, depth: int, server: Server, call: Call) -> Numbers | None:
-        """Of the group that drops the call's repeats; None where nobody does."""
-        profile = self._profiles[call.profile]
-        if call.number is None or profile.idempotency is not Idempotency.KEYED:
+    def find(self, depth: int, server: Server, call: Call) -> DeduplicationTable | None:
+        """Return the table of the group that drops the call's repeats; None if no group does."""
+        request_class = self._request_classes[call.request_class]
+        if call.deduplication_key is None or request_class.idempotency is not Idempotency.KEYED:
             return None
-        where = 0 if profile.deduplication_scope is DeduplicationScope.ALL else server.zone
-        return self._numbers.setdefault((depth, call.profile, where), Numbers(profile.deduplication_window))
+        group = 0 if request_class.deduplication_scope is DeduplicationScope.ALL else server.zone
+        return self._tables.setdefault(
+            (depth, call.request_class, group), DeduplicationTable(request_class.deduplication_window)
+        )
 
 
 class Server:
+    """One server of a tier.
+
+    Args:
+        number: The number among the servers of all tiers.
+        tier: The tier's settings.
+        zone: The number of the zone.
+        speed: The factor of the speed of an ordinary server.
+        scenario: The source of all other settings.
+        clock: The time and timers.
+        random: The source of random numbers.
+        on_executed: Called when the server begins to execute a call.
+        on_overloaded: Called when overload during slow start takes the server down, with the share of the
+            work that came from senders that had been notified of the server's start.
+        on_cold_load: Called with each call that arrives during slow start.
+        call_downstream: Makes a call to the next tier for this one, with a timeout (s) and a callback for
+            whether it succeeded; None in the last tier.
+        downstream_calls: The number of calls to the next tier for each call; the fraction is drawn.
+        find_table: Returns the table that knows the call's repeats, if there is one.
+    """
+
     def __init__(
         self,
         number: int,
@@ -92,259 +117,274 @@
         scenario: Scenario,
         clock: Clock,
         random: Random,
-        ran: Callable[[Server, Call], None] = lambda server, call: None,
-        tipped: Callable[[Server, float], None] = lambda server, knowing: None,
-        pushed: Callable[[Server, Call], None] = lambda server, call: None,
-        below: Callable[[Call, float, Callable[[bool], None]], Below] | None = None,
-        calls: float = 0.0,
-        numbers: Callable[[Server, Call], Numbers | None] = lambda server, call: None,
+        on_executed: Callable[[Server, Call], None] = lambda server, call: None,
+        on_overloaded: Callable[[Server, float], None] = lambda server, informed: None,
+        on_cold_load: Callable[[Server, Call], None] = lambda server, call: None,
+        call_downstream: Callable[[Call, float, Callable[[bool], None]], DownstreamCall] | None = None,
+        downstream_calls: float = 0.0,
+        find_table: Callable[[Server, Call], DeduplicationTable | None] = lambda server, call: None,
     ) -> None:
         self.number, self.tier, self.zone, self.speed = number, tier, zone, speed
         self._scenario, self._clock, self._random = scenario, clock, random
-        self._ran, self._tipped, self._below, self._numbers = ran, tipped, below, numbers
-        self._pushed = pushed
-        self._calls = calls  # that each job makes to the next tier
+        self._on_executed, self._on_overloaded, self._call_downstream, self._find_table = (
+            on_executed,
+            on_overloaded,
+            call_downstream,
+            find_table,
+        )
+        self._on_cold_load = on_cold_load
+        self._downstream_calls = downstream_calls
         self.started_at = 0.0
-        self.life = 0  # its starts; a connection belongs to one
-        self.links = 0  # connections that it holds
+        self.generation = 0  # changes with each stop; a connection belongs to one generation
+        self.connections = 0  # open ones
         self.up = True
-        self.presence = EndpointState.ACTIVE
-        self.falls = True  # when it is sent too much while cold; not where a study asks by how much it was
-        # What faults set.
+        self.state = EndpointState.ACTIVE
+        self.fails_on_overload = True  # during slow start; False where a test measures the overload
+        # Set by faults.
         self.hung = False
         self.slow = self.lies = 1.0
         self.errors = self.resets = self.losses = 0.0
         self.running: list[Call] = []  # on a worker
-        self.calling: list[Call] = []  # their own work is done; they hold a slot until the next tier answers
+        self.calling: list[Call] = []  # own work is done; each occupies a slot until the next tier responds
         self.waiting: deque[Call] = deque()
-        self.pushed: deque[tuple[float, float, bool]] = (
+        self.cold_load: deque[tuple[float, float, bool]] = (
             deque()
-        )  # when, work, by one who was told of its start
-        self.overdriven = False
-        self._over_since: float | None = None
-        self._rests_since: float | None = None
+        )  # time, work (s), and whether the sender had been notified of the start
+        self.degraded = False  # slower after an overload
+        self._overloaded_since: float | None = None
+        self._idle_since: float | None = None
         self._report: LoadReport | None = None
         self._reported_at = 0.0
 
-    # Life.
+    # Start and stop.
 
     def stop(self) -> None:
-        """Resets what it holds; it takes nothing until it is up again."""
+        """Go down: reset all calls and connections, and accept nothing until the next start."""
         self.up = False
-        held = [*self.running, *self.calling, *self.waiting]
+        calls = [*self.running, *self.calling, *self.waiting]
         self.running, self.calling, self.waiting = [], [], deque()
-        self.links = 0
-        self.life += 1
-        for call in held:
-            self._leave_below(call)
-            call.answer(AttemptResult.RESET)
+        self.connections = 0
+        self.generation += 1
+        for call in calls:
+            self._cancel_downstream(call)
+            call.on_result(AttemptResult.RESET)
 
     def start(self) -> None:
+        """Start again, in slow start."""
         self.up, self.started_at = True, self._clock.now
-        self.pushed.clear()
-        self.overdriven, self._over_since, self._rests_since = False, None, None
+        self.cold_load.clear()
+        self.degraded, self._overloaded_since, self._idle_since = False, None, None
 
-    def warmth(self) -> float:
-        """The share of its capacity that it has."""
+    def capacity_share(self) -> float:
+        """Return the share of its full speed that the server has now."""
         if self.started_at == 0.0:
             return 1.0
-        warmed = min((self._clock.now - self.started_at) / self._scenario.cold_time, 1.0)
-        return self._scenario.cold_share + (1 - self._scenario.cold_share) * warmed
+        progress = min((self._clock.now - self.started_at) / self._scenario.cold_time, 1.0)
+        return self._scenario.cold_share + (1 - self._scenario.cold_share) * progress
 
-    def bears(self, seconds: float = 0.0, care: float = 1.0) -> bool:
-        """Whether so much more work leaves it standing, with so much of its budget used."""
+    def is_within_cold_budget(self, extra_work: float = 0.0, budget_share: float = 1.0) -> bool:
+        """Return whether the server's load plus `extra_work` (s) is within a share of its budget.
+
+        After slow start there is no budget, and the result is always True.
+        """
         if self.started_at == 0.0 or self._clock.now > self.started_at + self._scenario.cold_time:
             return True
-        self._forget_pushes()
-        return sum(work for _, work, _ in self.pushed) + seconds <= care * self.allowed()
+        self._expire_cold_load()
+        return sum(work for _, work, _ in self.cold_load) + extra_work <= budget_share * self.cold_budget()
 
-    def allowed(self) -> float:
-        """Seconds of work that it bears over the span, as warm as it is now."""
+    def cold_budget(self) -> float:
+        """Return the work (s) that the server can receive over `tip_span`, at its present speed."""
         scenario = self._scenario
-        return scenario.tip_multiple * self.speed * self.tier.workers * scenario.tip_span * self.warmth()
+        return (
+            scenario.tip_multiple * self.speed * self.tier.workers * scenario.tip_span * self.capacity_share()
+        )
 
     # Connections.
 
     def connect(self) -> bool:
-        """A new connection; False where it holds as many as it can."""
-        if not self.up or (self.tier.connections_most and self.links >= self.tier.connections_most):
+        """Open a connection; return False if the server is down or at its connection limit."""
+        if not self.up or (self.tier.connections_most and self.connections >= self.tier.connections_most):
             return False
-        self.links += 1
+        self.connections += 1
         return True
 
-    def disconnect(self, life: int) -> None:
-        if life == self.life and self.links > 0:
-            self.links -= 1
+    def disconnect(self, generation: int) -> None:
+        """Close a connection; those of an earlier generation were closed by the stop."""
+        if generation == self.generation and self.connections > 0:
+            self.connections -= 1
 
-    # Work.
+    # Calls.
 
-    def reach(self, call: Call) -> None:
-        """The request's last byte has come."""
+    def receive(self, call: Call) -> None:
+        """Handle a call whose last byte has arrived: queue, reject or deduplicate it."""
         if self.up:
-            self._push(call)
+            self._add_cold_load(call)
         if not self.up:
-            call.answer(AttemptResult.NO_CONNECTION)
+            call.on_result(AttemptResult.NO_CONNECTION)
             return
         full = len(self.waiting) >= self.tier.queue_most
-        if full or self.presence is not EndpointState.ACTIVE or call.until <= self._clock.now:
-            call.answer(AttemptResult.REJECTED)
+        if full or self.state is not EndpointState.ACTIVE or call.deadline <= self._clock.now:
+            call.on_result(AttemptResult.REJECTED)
             return
-        numbers = self._numbers(self, call)
-        if numbers is not None and numbers.seen(call.number, self._clock.now):
-            call.answer(AttemptResult.SUCCEEDED)  # the answer that was made before
+        table = self._find_table(self, call)
+        if table is not None and table.is_repeat(call.deduplication_key, self._clock.now):
+            call.on_result(AttemptResult.SUCCEEDED)  # the response to the first one is sent again
             return
         self.waiting.append(call)
         self.start_queued()
-        self._look_at_load()
+        self._check_load()
 
-    def drop(self, call: Call) -> None:
-        """Its sender no longer waits: what waits or waits for the next tier is let go, work goes on."""
-        call.over = True
+    def cancel(self, call: Call) -> None:
+        """Cancel a call for its sender, unless its own work is running; that continues."""
+        call.cancelled = True
         if call in self.waiting:
             self.waiting.remove(call)
         elif call in self.calling:
-            self._leave_below(call)
+            self._cancel_downstream(call)
             self.calling.remove(call)
             self.start_queued()
-        self._look_at_load()
+        self._check_load()
 
-    def pace(self) -> float:
-        """Seconds for each second of work now."""
-        crowd = 1 + self._scenario.thrash * len(self.waiting)
-        driven = self._scenario.overdrive_times if self.overdriven else 1.0
-        return self.slow * crowd * driven / (self.speed * self.warmth())
+    def slowdown(self) -> float:
+        """Return the seconds that a second of work takes now."""
+        queue_factor = 1 + self._scenario.thrash * len(self.waiting)
+        degraded_factor = self._scenario.overdrive_times if self.degraded else 1.0
+        return self.slow * queue_factor * degraded_factor / (self.speed * self.capacity_share())
 
-    def _push(self, call: Call) -> None:
-        """A cold server that is sent more than it bears over a span goes down for good."""
+    def _add_cold_load(self, call: Call) -> None:
+        """Record work that arrives during slow start; go down for good if it exceeds the budget."""
         if self.started_at == 0.0 or self._clock.now > self.started_at + self._scenario.cold_time:
             return
-        self.pushed.append((self._clock.now, call.seconds * self.tier.share, call.knowing))
-        self._pushed(self, call)
-        if self.falls and not self.bears():
-            total = sum(work for _, work, _ in self.pushed)
-            knowing = sum(work for _, work, told in self.pushed if told)
-            self._tipped(self, knowing / total)
+        self.cold_load.append((self._clock.now, call.work * self.tier.share, call.informed))
+        self._on_cold_load(self, call)
+        if self.fails_on_overload and not self.is_within_cold_budget():
+            total = sum(work for _, work, _ in self.cold_load)
+            informed_work = sum(work for _, work, informed in self.cold_load if informed)
+            self._on_overloaded(self, informed_work / total)
             self.stop()
 
-    def _forget_pushes(self) -> None:
-        while self.pushed and self.pushed[0][0] < self._clock.now - self._scenario.tip_span:
-            self.pushed.popleft()
+    def _expire_cold_load(self) -> None:
+        while self.cold_load and self.cold_load[0][0] < self._clock.now - self._scenario.tip_span:
+            self.cold_load.popleft()
 
     def start_queued(self) -> None:
         """Start queued calls while a worker and a slot are free."""
-        while self.up and not self.hung and self.waiting and self._has_room():
+        while self.up and not self.hung and self.waiting and self._has_free_worker():
             call = self.waiting.popleft()
             self.running.append(call)
-            self._ran(self, call)
+            self._on_executed(self, call)
             if self.errors and self._random.random() < self.errors:
-                self._clock.after(ERROR_WORK * self.pace(), partial(self._end, call, AttemptResult.ERROR))
+                self._clock.after(
+                    ERROR_WORK_S * self.slowdown(), partial(self._finish, call, AttemptResult.ERROR)
+                )
                 continue
-            seconds = call.seconds * self.tier.share * self.pace()
-            self._clock.after(seconds, partial(self._worked, call))
+            seconds = call.work * self.tier.share * self.slowdown()
+            self._clock.after(seconds, partial(self._finish_own_work, call))
 
-    def _has_room(self) -> bool:
+    def _has_free_worker(self) -> bool:
         slots = self.tier.slots or self.tier.workers
         return len(self.running) < self.tier.workers and len(self.running) + len(self.calling) < slots
 
-    def _worked(self, call: Call) -> None:
-        """Its own work is done; what is left are the calls to the next tier."""
+    def _finish_own_work(self, call: Call) -> None:
+        """End the server's own work on a call; begin its calls to the next tier."""
         if call not in self.running:
-            return  # it went down meanwhile
+            return  # the server has stopped meanwhile
         if self.hung:
-            self._clock.after(HUNG_LOOK, lambda: self._worked(call))
+            self._clock.after(HUNG_CHECK_INTERVAL_S, lambda: self._finish_own_work(call))
             return
-        whole, part = divmod(self._calls, 1.0)
-        left = int(whole) + (self._random.random() < part)
-        if not left or self._below is None:
-            self._end(call, AttemptResult.SUCCEEDED)
+        count, fraction = divmod(self._downstream_calls, 1.0)
+        remaining = int(count) + (self._random.random() < fraction)
+        if not remaining or self._call_downstream is None:
+            self._finish(call, AttemptResult.SUCCEEDED)
             return
         self.running.remove(call)
         self.calling.append(call)
-        self._call_on(call, left)
+        self._call_next_tier(call, remaining)
         self.start_queued()
 
-    def _call_on(self, call: Call, left: int) -> None:
-        if left <= 0 or self._below is None or call.over:
-            self._end(call, AttemptResult.SUCCEEDED)
+    def _call_next_tier(self, call: Call, remaining: int) -> None:
+        """Make the remaining calls to the next tier, one after another; the first failure ends the call."""
+        if remaining <= 0 or self._call_downstream is None or call.cancelled:
+            self._finish(call, AttemptResult.SUCCEEDED)
             return
 
-        def done(honoured: bool) -> None:
-            call.below = None
+        def on_downstream_result(succeeded: bool) -> None:
+            call.downstream = None
             if call not in self.calling:
                 return
-            if honoured:
-                self._call_on(call, left - 1)
+            if succeeded:
+                self._call_next_tier(call, remaining - 1)
             else:
-                self._end(call, AttemptResult.ERROR)
+                self._finish(call, AttemptResult.ERROR)
 
-        time_left = call.until - self._clock.now
+        time_left = call.deadline - self._clock.now
         if time_left <= 0:
-            self._end(call, AttemptResult.ERROR)
+            self._finish(call, AttemptResult.ERROR)
             return
-        under_way = self._below(call, time_left, done)
-        if call in self.calling:  # else it has its answer already
-            call.below = under_way
+        downstream = self._call_downstream(call, time_left, on_downstream_result)
+        if call in self.calling:  # otherwise the result is already there
+            call.downstream = downstream
 
-    def _end(self, call: Call, result: AttemptResult) -> None:
-        place = self.running if call in self.running else self.calling
-        if call not in place:
+    def _finish(self, call: Call, result: AttemptResult) -> None:
+        calls = self.running if call in self.running else self.calling
+        if call not in calls:
             return
         if self.hung:
-            self._clock.after(HUNG_LOOK, lambda: self._end(call, result))
+            self._clock.after(HUNG_CHECK_INTERVAL_S, lambda: self._finish(call, result))
             return
-        place.remove(call)
+        calls.remove(call)
         if self.losses and self._random.random() < self.losses:
             pass
         elif self.resets and self._random.random() < self.resets:
-            call.answer(AttemptResult.RESET)
+            call.on_result(AttemptResult.RESET)
         else:
-            call.answer(result)
+            call.on_result(result)
         self.start_queued()
-        self._look_at_load()
+        self._check_load()
 
-    def _leave_below(self, call: Call) -> None:
-        below, call.below = call.below, None
-        if below is not None:
-            below.withdraw()
+    def _cancel_downstream(self, call: Call) -> None:
+        downstream, call.downstream = call.downstream, None
+        if downstream is not None:
+            downstream.cancel()
 
-    # Overdrive.
+    # Degradation after overload.
 
-    def _look_at_load(self) -> None:
-        """One that has far more waiting than workers for a while turns slow until it has rested."""
+    def _check_load(self) -> None:
+        """Degrade the server after a long overload; recover it once it has been mostly idle."""
         scenario, now = self._scenario, self._clock.now
         if not scenario.overdrive_jobs:
             return
         if len(self.waiting) <= scenario.overdrive_jobs * self.tier.workers:
-            self._over_since = None
-        elif self._over_since is None:
-            self._over_since = now
-            self._clock.after(scenario.overdrive_span, lambda: self._drive_over(now))
-        if len(self.running) + len(self.waiting) > REST_SHARE * self.tier.workers:
-            self._rests_since = None
-        elif self._rests_since is None:
-            self._rests_since = now
-            self._clock.after(scenario.rest_span, lambda: self._rest(now))
-
-    def _drive_over(self, since: float) -> None:
-        if self._over_since == since:
-            self.overdriven = True
-
-    def _rest(self, since: float) -> None:
-        if self._rests_since == since:
-            self.overdriven = False
+            self._overloaded_since = None
+        elif self._overloaded_since is None:
+            self._overloaded_since = now
+            self._clock.after(scenario.overdrive_span, lambda: self._degrade(now))
+        if len(self.running) + len(self.waiting) > MOSTLY_IDLE_SHARE * self.tier.workers:
+            self._idle_since = None
+        elif self._idle_since is None:
+            self._idle_since = now
+            self._clock.after(scenario.rest_span, lambda: self._recover(now))
+
+    def _degrade(self, since: float) -> None:
+        if self._overloaded_since == since:
+            self.degraded = True
+
+    def _recover(self, since: float) -> None:
+        if self._idle_since == since:
+            self.degraded = False
 
     # Probes.
 
     def probe_seconds(self) -> float | None:
-        """What a probe takes here; None where no answer comes."""
+        """Return the time (s) that a probe takes; None if it gets no response."""
         if not self.up or self.hung:
             return None
-        crowd = max(1.0, (len(self.running) + len(self.waiting)) / self.tier.workers)
-        driven = self._scenario.overdrive_times if self.overdriven else 1.0
-        return PROBE_WORK * crowd * driven * self.slow / (self.speed * self.warmth())
+        load_factor = max(1.0, (len(self.running) + len(self.waiting)) / self.tier.workers)
+        degraded_factor = self._scenario.overdrive_times if self.degraded else 1.0
+        return PROBE_WORK_S * load_factor * degraded_factor * self.slow / (self.speed * self.capacity_share())
 
     def report(self) -> LoadReport:
-        """What it says of itself, as old as its reports are, and as true."""
+        """Return the load report, renewed every `report_every` seconds and falsified by a fault."""
         now = self._clock.now
         if self._report is None or now - self._reported_at >= self._scenario.report_every:
             running, waiting = len(self.running), len(self.waiting)
@@ -357,22 +397,25 @@
         return self._report
 
 
-def build(
+def build_tiers(
     scenario: Scenario,
     clock: Clock,
     random: Random,
-    ran: Callable[[Server, Call], None],
-    tipped: Callable[[Server, float], None],
-    call_below: Callable[[int, Call, float, Callable[[bool], None]], Below],
-    pushed: Callable[[Server, Call], None] = lambda server, call: None,
+    on_executed: Callable[[Server, Call], None],
+    on_overloaded: Callable[[Server, float], None],
+    call_downstream: Callable[[int, Call, float, Callable[[bool], None]], DownstreamCall],
+    on_cold_load: Callable[[Server, Call], None] = lambda server, call: None,
 ) -> list[list[Server]]:
-    """A scenario's servers, tier by tier; `call_below` is told the number of the server that calls on."""
-    memory = Memory(scenario.profiles)
+    """Return a scenario's servers by tier.
+
+    The callbacks are those of `Server`; `call_downstream` also receives the number of the calling server.
+    """
+    tables = DeduplicationTables(scenario.profiles)
     tiers: list[list[Server]] = []
     number = 0
     for depth, tier in enumerate(scenario.effective_tiers):
         last = depth + 1 == len(scenario.effective_tiers)
-        row = []
+        servers = []
         for index in range(tier.servers):
             server = Server(
                 number,
@@ -382,14 +425,14 @@
                 scenario,
                 clock,
                 random,
-                ran=ran,
-                tipped=tipped,
-                pushed=pushed,
-                below=None if last else partial(call_below, number),
-                calls=0.0 if last else scenario.effective_tiers[depth + 1].calls,
-                numbers=partial(memory.of, depth),
+                on_executed=on_executed,
+                on_overloaded=on_overloaded,
+                on_cold_load=on_cold_load,
+                call_downstream=None if last else partial(call_downstream, number),
+                downstream_calls=0.0 if last else scenario.effective_tiers[depth + 1].calls,
+                find_table=partial(tables.find, depth),
             )
-            row.append(server)
+            servers.append(server)
             number += 1
-        tiers.append(row)
+        tiers.append(servers)
     return tiers
--- a/notchjunction/experiments/baselines.py
+++ b/notchjunction/experiments/baselines.py
@@ -158,7 +158,7 @@
         if not true.up or true.hung:
             return float("inf"), 0.0
         held = len(true.running) + len(true.waiting) + 1
-        return held * true.pace() / true.tier.workers, self.random.random()
+        return held * true.slowdown() / true.tier.workers, self.random.random()
 
     def true(self, server: int) -> Server:
         assert isinstance(self.host, Node)
@@ -181,7 +181,9 @@
         assert isinstance(self.host, Node)
         most = self.host.world.scenario.overdrive_jobs * server.tier.workers
         crowded = most and len(server.waiting) >= most
-        return server.up and not server.hung and not crowded and server.bears(0.0, BUDGET_USED)
+        return (
+            server.up and not server.hung and not crowded and server.is_within_cold_budget(0.0, BUDGET_USED)
+        )
 
 
 VARIANTS: dict[str, Callable[[BalancerSettings, BalancerHost], RequestBalancer]] = {
--- a/notchjunction/experiments/runs.py
+++ b/notchjunction/experiments/runs.py
@@ -14,7 +14,7 @@
 from typing import Any
 
 from notchjunction.emulator.checkers import breaches
-from notchjunction.emulator.node import NO_TRY
+from notchjunction.emulator.node import NO_FIRST_REQUEST
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import (
     AttemptSent,
@@ -24,7 +24,7 @@
     RequestAnswered,
     Trace,
 )
-from notchjunction.emulator.world import BEGAN, World
+from notchjunction.emulator.world import START_TIME, World
 from notchjunction.experiments.baselines import VARIANTS
 from notchjunction.experiments.files import Experiment
 
@@ -70,7 +70,7 @@
     return {**run.said(), "died": None, **figures(story, breaches(story))}
 
 
-def figures(story: Trace, broken: list[str], began: float = BEGAN) -> dict[str, Any]:
+def figures(story: Trace, broken: list[str], began: float = START_TIME) -> dict[str, Any]:
     """What a run came to, by clients' first tries: a retry belongs to the try that it repeats."""
     first_at: dict[int, float] = {}
     profile_of: dict[int, int] = {}
@@ -79,7 +79,7 @@
     counts: Counter[str] = Counter()
     responses: Counter[FinalResponse] = Counter()
     for row in story.rows:
-        if isinstance(row, RequestAccepted) and row.first_request != NO_TRY:
+        if isinstance(row, RequestAccepted) and row.first_request != NO_FIRST_REQUEST:
             first_at.setdefault(row.first_request, row.at)
             profile_of[row.first_request] = row.request_class
             tries[row.node, row.request] = row.first_request
--- a/notchjunction/testbed/client_request.py
+++ b/notchjunction/testbed/client_request.py
@@ -19,7 +19,7 @@
     request_class: int
     timeout: float  # s that the client waits
     work: float  # s of work on a server of speed 1
-    first: int  # the number of the client's first try; NO_TRY for a server's call
+    first: int  # the number of the client's first try; NO_FIRST_REQUEST for a server's call
     is_retry: bool = False
     tenant: int = 0
     cancel_after: float | None = None  # s after which the client closes, if it does
--- a/notchjunction/testbed/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -119,7 +119,7 @@
 
         if version < 0:
             # A snapshot: the call costs discovery its work like any other.
-            self._discovery.call(
+            self._discovery.poll(
                 view.tier,
                 view.node,
                 -1,
@@ -128,4 +128,4 @@
         elif self._clock.now - self._responded_at <= WATCH_CONTINUES_S:
             self._discovery.watch(view.tier, view.node, version, respond, wait)
         else:
-            self._discovery.call(view.tier, view.node, version, respond, wait)
+            self._discovery.poll(view.tier, view.node, version, respond, wait)
--- a/notchjunction/testbed/process.py
+++ b/notchjunction/testbed/process.py
@@ -16,7 +16,7 @@
 
 from notchjunction.addresses import Address, text_of
 from notchjunction.config.settings import DEDUPLICATION_SCOPES, IDEMPOTENCY
-from notchjunction.emulator.node import ASK_WITHIN, CONNECTION_PRICE, CROSSING_PRICE, MAX_DISPATCHES
+from notchjunction.emulator.node import CONNECTION_COST, CROSS_ZONE_COST, MAX_ATTEMPTS, POLL_INTERVAL_S
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.http1.messages import Request
 from notchjunction.testbed.client import FakeClients
@@ -52,7 +52,7 @@
         "tick": 5.0,
         "profiles": _request_classes(scenario),
         "limits": {
-            "max_dispatches": MAX_DISPATCHES,
+            "max_dispatches": MAX_ATTEMPTS,
             "cancel": True,
             "probes": True,
             "second_copies": True,
@@ -60,14 +60,14 @@
             "connect_timeout": scenario.connect_within * 1000,
         },
         "invariants": {
-            "ask_within": ASK_WITHIN * 1000,
+            "ask_within": POLL_INTERVAL_S * 1000,
             "start_capacity": scenario.cold_share,
             "cold": scenario.cold_time * 1000,
             "tip_multiple": scenario.tip_multiple,
         },
         "prices": {
-            "cross_zone": CROSSING_PRICE if scenario.zone_latency else 0.0,
-            "handshake": CONNECTION_PRICE if scenario.handshake_work else 0.0,
+            "cross_zone": CROSS_ZONE_COST if scenario.zone_latency else 0.0,
+            "handshake": CONNECTION_COST if scenario.handshake_work else 0.0,
         },
         "report": {"via": "pull", "fields": list(REPORTED_FIELDS.values())},
         "tenants": [
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -78,7 +78,7 @@
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         server = self._server.server
         self._writers.add(writer)
-        life = server.life
+        generation = server.generation
         accepted = server.connect()
         requests = RequestReader()
         call: Call | None = None
@@ -92,10 +92,10 @@
             pass
         finally:
             if call is not None:
-                server.drop(call)  # a client that closes waits no longer
+                server.cancel(call)  # a client that closes waits no longer
                 self._server.call_ended(self, call)
             if accepted:
-                server.disconnect(life)
+                server.disconnect(generation)
             self._writers.discard(writer)
             writer.close()
 
@@ -108,7 +108,7 @@
             self.send(writer, RESPONSES[AttemptResult.REJECTED])
             return None
         call = self._server.new_call(self, request, writer)
-        self._server.server.reach(call)
+        self._server.server.receive(call)
         return call
 
     def send(self, writer: asyncio.StreamWriter, response: Answer) -> None:
@@ -196,13 +196,13 @@
         headers = request.headers
         query = parse_qs(urlsplit(request.target).query)
         call = Call(
-            name=(port.node, headers.get(protocol.REQUEST_ID, ""), 0),
-            profile=int(headers.get(protocol.REQUEST_CLASS, "p0")[1:]),
-            seconds=float(query.get(WORK_PARAMETER, [str(DEFAULT_WORK_S)])[0]),
-            until=self._clock.now + remaining_time(request),
-            answer=lambda result: port.finish_call(writer, call, result),
-            number=headers.get(protocol.IDEMPOTENCY_KEY),
-            knowing=self._on_request(port.node, request),
+            attempt_id=(port.node, headers.get(protocol.REQUEST_ID, ""), 0),
+            request_class=int(headers.get(protocol.REQUEST_CLASS, "p0")[1:]),
+            work=float(query.get(WORK_PARAMETER, [str(DEFAULT_WORK_S)])[0]),
+            deadline=self._clock.now + remaining_time(request),
+            on_result=lambda result: port.finish_call(writer, call, result),
+            deduplication_key=headers.get(protocol.IDEMPOTENCY_KEY),
+            informed=self._on_request(port.node, request),
         )
         self._calls[call] = request
         return call
@@ -219,7 +219,7 @@
         seconds = self.server.probe_seconds()
         if seconds is None:
             return
-        healthy = self.server.presence is EndpointState.ACTIVE
+        healthy = self.server.state is EndpointState.ACTIVE
         load = self.server.report()
         report = {word: getattr(load, field) for field, word in REPORTED_FIELDS.items()}
         body = json.dumps(report).encode() if request.path == protocol.LOAD_PATH else b""
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -31,9 +31,9 @@
     told_in_time,
 )
 from notchjunction.emulator.discovery import Discovery
-from notchjunction.emulator.node import NO_TRY
+from notchjunction.emulator.node import NO_FIRST_REQUEST
 from notchjunction.emulator.scenario import Fault, Scenario, Stream
-from notchjunction.emulator.servers import Below, Call, Server, build
+from notchjunction.emulator.servers import Call, DownstreamCall, Server, build_tiers
 from notchjunction.emulator.trace import (
     AttemptEnded,
     AttemptExecuted,
@@ -74,13 +74,13 @@
     tier: int
 
 
-class _DownstreamCall:
+class _DownstreamTask:
     """A server's call to the next tier, as a task."""
 
     def __init__(self, task: asyncio.Task[None]) -> None:
         self._task = task
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         """Cancels the call."""
         self._task.cancel()
 
@@ -110,8 +110,8 @@
         self._placed_nodes: dict[int, PlacedNode] = {}
         self._zones: dict[int, int] = {}
         self.nodes: list[int] = []
-        self.below: dict[int, int] = {}  # the node behind each server above the deepest tier
-        self.tiers = build(
+        self.downstream_nodes: dict[int, int] = {}  # the node behind each server above the deepest tier
+        self.tiers = build_tiers(
             scenario, self.clock, self.random, self._on_effect, self._on_overload, self._call_below
         )
         self.servers = [server for row in self.tiers for server in row]
@@ -156,7 +156,9 @@
             self.nodes.append(await self._start_node(0, number % scenario.zones, scenario.nodes))
         for depth, row in enumerate(self.tiers[:-1]):
             for server in row:
-                self.below[server.number] = await self._start_node(depth + 1, server.zone, len(row))
+                self.downstream_nodes[server.number] = await self._start_node(
+                    depth + 1, server.zone, len(row)
+                )
 
     def _start_schedule(self) -> None:
         """Starts what happens from now on: the subclass's part, the clients and the faults."""
@@ -235,7 +237,7 @@
     def stop(self, server: Server) -> None:
         """Crashes a server, and kills the node behind it."""
         self._fake_servers[server.number].stop()
-        node = self.below.pop(server.number, None)
+        node = self.downstream_nodes.pop(server.number, None)
         if node is not None:
             placed = self._placed_nodes.pop(node)
             placed.process.kill()
@@ -254,7 +256,7 @@
         if depth + 1 < len(self.tiers):
             node = await self._start_node(depth + 1, server.zone, len(self.tiers[depth]))
             await self._placed_nodes[node].process.wait_until_ready(self._clients)
-            self.below[server.number] = node
+            self.downstream_nodes[server.number] = node
         await self._fake_servers[server.number].start()
 
     # What `faults.EFFECTS` sets.
@@ -341,17 +343,19 @@
         self.rows.append(RequestAnswered(self.clock.now, node, number, final))
         return final
 
-    def _call_below(self, server: int, call: Call, timeout: float, done: Callable[[bool], None]) -> Below:
+    def _call_below(
+        self, server: int, call: Call, timeout: float, done: Callable[[bool], None]
+    ) -> DownstreamCall:
         async def send() -> None:
-            node = self.below.get(server)
+            node = self.downstream_nodes.get(server)
             final = FinalResponse.FAILED
             if node is not None:
                 final = await self._send_request(
-                    ClientRequest(node, call.profile, timeout, call.seconds, NO_TRY)
+                    ClientRequest(node, call.request_class, timeout, call.work, NO_FIRST_REQUEST)
                 )
             done(final is FinalResponse.SUCCEEDED)
 
-        return _DownstreamCall(self._spawn(send()))
+        return _DownstreamTask(self._spawn(send()))
 
     # What the fakes saw.
 
@@ -375,8 +379,8 @@
         self.rows.append(ProbeSent(self.clock.now, node, server.number))
 
     def _on_effect(self, server: Server, call: Call) -> None:
-        assert isinstance(call.name, tuple)
-        node, name, _ = call.name
+        assert isinstance(call.attempt_id, tuple)
+        node, name, _ = call.attempt_id
         attempt = self._attempt_counts.get((node, name), 1) - 1
         self.rows.append(
             AttemptExecuted(
--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -18,7 +18,7 @@
 from notchjunction.config.settings import read_settings
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.discovery.watch_state import CHANGE_EFFECTIVE_AFTER_S
-from notchjunction.emulator.world import GRACE
+from notchjunction.emulator.world import DRAIN_GRACE_S
 from tests.helpers import PLAIN, FakeHost, make_request_class
 
 NON_IDEMPOTENT = Idempotency.NON_IDEMPOTENT
@@ -280,7 +280,7 @@
         for host in hosts:
             host.advance(step)
         now += step
-        assert now < back + CHANGE_EFFECTIVE_AFTER_S + GRACE
+        assert now < back + CHANGE_EFFECTIVE_AFTER_S + DRAIN_GRACE_S
 
 
 def test_probes_are_sent_with_and_without_requests() -> None:
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -42,7 +42,7 @@
     Trace,
     TraceRow,
 )
-from notchjunction.emulator.world import GRACE, World
+from notchjunction.emulator.world import DRAIN_GRACE_S, World
 
 CALM = Scenario("calm", length=12.0)
 FAULTS = {
@@ -269,17 +269,24 @@
     ("rows", "broken"),
     [
         # Reached all along, as with a watch that fell silent: its 6 s, and the grace.
-        ([JOINED, DRAINING, sent(COUNTS + GRACE)], False),
-        ([JOINED, DRAINING, sent(COUNTS + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + GRACE)], False),
+        ([JOINED, DRAINING, sent(COUNTS + DRAIN_GRACE_S)], False),
+        ([JOINED, DRAINING, sent(COUNTS + DRAIN_GRACE_S + 0.01)], True),
+        ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + DRAIN_GRACE_S)], False),
         ([JOINED, DRAINING, sent(COUNTS + 9.0, server=6)], False),
-        ([JOINED, EndpointPublished(HAS, 0, 5, EndpointState.REMOVED), sent(COUNTS + GRACE + 0.01)], True),
+        (
+            [
+                JOINED,
+                EndpointPublished(HAS, 0, 5, EndpointState.REMOVED),
+                sent(COUNTS + DRAIN_GRACE_S + 0.01),
+            ],
+            True,
+        ),
         (
             [
                 JOINED,
                 DRAINING,
                 EndpointPublished(HAS + 5.0, 0, 5, EndpointState.REMOVED),
-                sent(COUNTS + GRACE + 0.01),
+                sent(COUNTS + DRAIN_GRACE_S + 0.01),
             ],
             True,
         ),
@@ -291,10 +298,26 @@
         ),
         # Not to be reached: from the end of that.
         ([JOINED, BROKEN_OFF, DRAINING, sent(HAS + 30.0)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, DiscoveryReachable(HAS + 5.9, 1, 0, False), sent(COUNTS + GRACE + 1.0)], False),
-        ([JOINED, DRAINING, DiscoveryReachable(COUNTS + 0.1, 1, 0, False), sent(COUNTS + GRACE + 1.0)], True),
+        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + DRAIN_GRACE_S)], False),
+        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + DRAIN_GRACE_S + 0.01)], True),
+        (
+            [
+                JOINED,
+                DRAINING,
+                DiscoveryReachable(HAS + 5.9, 1, 0, False),
+                sent(COUNTS + DRAIN_GRACE_S + 1.0),
+            ],
+            False,
+        ),
+        (
+            [
+                JOINED,
+                DRAINING,
+                DiscoveryReachable(COUNTS + 0.1, 1, 0, False),
+                sent(COUNTS + DRAIN_GRACE_S + 1.0),
+            ],
+            True,
+        ),
         (
             [JOINED, DiscoveryReachable(0.0, 2, 0, True), BROKEN_OFF, DRAINING, sent(COUNTS + 9.0, node=2)],
             True,
@@ -309,7 +332,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + GRACE),
+                    sent(HAS + 9 + TOLD_AFTER + DRAIN_GRACE_S),
                 ),
             ],
             False,
@@ -319,7 +342,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01),
+                    sent(HAS + 9 + TOLD_AFTER + DRAIN_GRACE_S + 0.01),
                 ),
             ],
             True,
@@ -341,7 +364,7 @@
 def test_a_change_counts_6_s_after_discovery_had_it_and_could_be_reached(
     rows: list[TraceRow], broken: bool
 ) -> None:
-    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+    story = Trace(tuple(rows), CALM.profiles, DRAIN_GRACE_S, 0.01, rows[-1].at)
     assert bool(list(told_in_time(story))) is broken
 
 
@@ -367,7 +390,7 @@
     ],
 )
 def test_a_caller_that_has_closed_gets_no_attempt_later(rows: list[TraceRow], broken: bool) -> None:
-    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+    story = Trace(tuple(rows), CALM.profiles, DRAIN_GRACE_S, 0.01, rows[-1].at)
     assert bool(list(none_for_the_gone(story))) is broken
 
 
@@ -387,7 +410,7 @@
     end: FinalResponse, crossing: float, after: float, broken: bool
 ) -> None:
     rows = (RequestAccepted(9.0, 1, 1, 0, 12.0, 1), RequestAnswered(10.0, 1, 1, end), again(10.0 + after))
-    story = Trace(rows, CALM.profiles, GRACE, 0.01, 11.0, cancel_delay=crossing)
+    story = Trace(rows, CALM.profiles, DRAIN_GRACE_S, 0.01, 11.0, cancel_delay=crossing)
     assert bool(list(one_answer(story))) is broken
     late = end is FinalResponse.CANCELLED and after > max(GONE_AFTER, crossing)
     assert bool(list(none_for_the_gone(story))) is late
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -20,7 +20,7 @@
 from notchjunction.emulator.checkers import limit_held, use
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
 from notchjunction.emulator.trace import AttemptEnded, AttemptSent, ProbeSent, TraceRow
-from notchjunction.emulator.world import BEGAN, World
+from notchjunction.emulator.world import START_TIME, World
 from notchjunction.http1.messages import Request
 from notchjunction.testbed import links as of_links
 from notchjunction.testbed.client import FakeClients
@@ -225,7 +225,7 @@
 def test_what_is_out_is_measured_over_a_span() -> None:
     assert use(rows_of((0, 2, 9), (1, 3, 9), (5, 6, 9)), 0.0, 4.0) == (2, 1.0)
     rows = World(Scenario("calm", length=4.0)).play().rows
-    most = use(rows, BEGAN, BEGAN + 4).peak
+    most = use(rows, START_TIME, START_TIME + 4).peak
     assert 1 < most < 30 and not list(limit_held(rows, most)) and list(limit_held(rows, most - 1))
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -18,7 +18,7 @@
 from notchjunction.balancing.records import Endpoint
 from notchjunction.balancing.throughput import ServedRate
 from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
-from notchjunction.emulator.node import Make, Node
+from notchjunction.emulator.node import BalancerFactory, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.trace import ColdLoadReceived, FinalResponse, RequestAnswered, Trace
 from notchjunction.emulator.world import World
@@ -40,26 +40,26 @@
 class Fleet(World):
     """A world whose nodes have unequal parts of the traffic and are restarted."""
 
-    def __init__(self, scenario: Scenario, deals: tuple[Deal, ...], make: Make = Balancer) -> None:
+    def __init__(self, scenario: Scenario, deals: tuple[Deal, ...], make: BalancerFactory = Balancer) -> None:
         self._weights = [1.0] * scenario.nodes
         super().__init__(scenario, make)
         for server in self.servers:
-            server.falls = False
+            server.fails_on_overload = False
         for deal in deals:
             self.after(deal.at, partial(self._begin, deal))
 
-    def _deal(self) -> Node:
+    def _choose_node(self) -> Node:
         weights = [weight * node.alive for weight, node in zip(self._weights, self.nodes, strict=True)]
         return self.random.choices(self.nodes, weights)[0]
 
     def _begin(self, deal: Deal) -> None:
         self._weights = list(deal.weights[: self.scenario.nodes])
         for number in deal.restarted:
-            self.nodes[number].die()
+            self.nodes[number].stop()
             self.after(deal.away, partial(self._return, number))
 
     def _return(self, number: int) -> None:
-        self.nodes[number] = self._node(0, self.nodes[number].zone, self.scenario.nodes)
+        self.nodes[number] = self._make_node(0, self.nodes[number].zone, self.scenario.nodes)
 
 
 def drawn(seed: int) -> tuple[Scenario, tuple[Deal, ...]]:
--- a/tests/test_testbed.py
+++ b/tests/test_testbed.py
@@ -75,7 +75,7 @@
         ({"resets": 1.0}, None),
         ({"losses": 1.0}, None),
         ({"hung": True}, None),
-        ({"presence": EndpointState.DRAINING}, 503),
+        ({"state": EndpointState.DRAINING}, 503),
     ],
     ids=str,
 )
@@ -101,7 +101,7 @@
             assert await under_way is None
             assert await clients.request(at, job(), 0.3) is None
             await fake.start()
-            assert await clients.request(at, job(), 2.0) == 200 and fake.server.warmth() < 0.5
+            assert await clients.request(at, job(), 2.0) == 200 and fake.server.capacity_share() < 0.5
 
     run(story())
 
@@ -112,11 +112,11 @@
             first = asyncio.create_task(clients.request(at, job(0.5), 2.0))
             second = asyncio.create_task(clients.request(at, job(0.5), 0.1))
             await second
-            while fake.server.links > 1:
+            while fake.server.connections > 1:
                 await asyncio.sleep(0.001)
             assert len(fake.server.running) + len(fake.server.waiting) == 1
             third = asyncio.create_task(clients.request(at, job(), 2.0))
-            while fake.server.links < 2:
+            while fake.server.connections < 2:
                 await asyncio.sleep(0.001)
             assert await clients.request(at, job(), 2.0) == 503
             assert (await first, await third) == (200, 200)
@@ -171,7 +171,7 @@
         assert (status, nothing["index"], nothing["endpoints"]) == (200, 1, [])
         assert len(told) == 2
         await asyncio.sleep(0.25)  # a later call begins anew, and two at once are one too many
-        model.call(0, 9, 1, lambda news, version: None)
+        model.poll(0, 9, 1, lambda news, version: None)
         status, _ = await ask("/v1/endpoints?after=1&wait_ms=20")
         assert status == 503
         writer.close()
@@ -208,7 +208,9 @@
         return stage
 
     stage = asyncio.run(story())
-    assert len(stage.below) == 2 and max(stage.below.values()) > 2  # one was started anew
+    assert (
+        len(stage.downstream_nodes) == 2 and max(stage.downstream_nodes.values()) > 2
+    )  # one was started anew
     assert not any(unaccounted(counters) for counters in stage.counters)
 
 
--- a/tests/test_world.py
+++ b/tests/test_world.py
@@ -18,9 +18,9 @@
 from notchjunction.discovery.endpoints import EndpointState
 from notchjunction.emulator.checkers import breaches
 from notchjunction.emulator.discovery import Discovery
-from notchjunction.emulator.node import NO_TRY, Link, Links
+from notchjunction.emulator.node import NO_FIRST_REQUEST, Connection, ConnectionPool
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
-from notchjunction.emulator.servers import Call, Numbers, Server
+from notchjunction.emulator.servers import Call, DeduplicationTable, Server
 from notchjunction.emulator.trace import (
     AttemptSent,
     DiscoveryReachable,
@@ -95,8 +95,8 @@
     world = World(DEEP)
     story = world.play()
     taken = [row for row in story.rows if isinstance(row, RequestAccepted)]
-    first = [row for row in taken if row.first_request != NO_TRY]
-    tier_of = {node.number: node.tier for node in [*world.nodes, *world.below.values()]}
+    first = [row for row in taken if row.first_request != NO_FIRST_REQUEST]
+    tier_of = {node.number: node.tier for node in [*world.nodes, *world.downstream_nodes.values()]}
     second, third = (sum(tier_of[row.node] == depth for row in taken) for depth in (1, 2))
     assert 0.9 * len(first) < second <= len(first) and 1.1 * second < third < 1.5 * second
     # What a server calls on for has no more time than callers of its profile ever give.
@@ -107,9 +107,9 @@
 def test_a_server_that_goes_takes_its_node_and_the_calls_under_way_with_it() -> None:
     streams = (Stream(0, 30.0, work=0.4),)  # enough that calls are under way at each seed
     world = World(replace(DEEP, streams=streams, faults=(Fault(Kind.CRASH, 4.0, 6.0, (0, 1), tier=0),)))
-    before = world.below[0]
+    before = world.downstream_nodes[0]
     story = world.play()
-    after = world.below[0]
+    after = world.downstream_nodes[0]
     assert before is not after and not before.alive and after.alive
     assert not any(
         isinstance(row, AttemptSent) and row.node == before.number and row.at > 1_000_004.1
@@ -148,14 +148,14 @@
         clock, overdrive_jobs=2.0, overdrive_span=2.0, overdrive_times=3.0, rest_span=4.0
     )
     for _ in range(4):
-        driven.reach(call(results, seconds=5.0))
+        driven.receive(call(results, seconds=5.0))
     clock.on(1.9)
-    assert not driven.overdriven
+    assert not driven.degraded
     clock.on(0.2)
-    assert driven.overdriven and driven.pace() == 3.0
+    assert driven.degraded and driven.slowdown() == 3.0
     clock.on(100.0)  # all is done, the last one at a third of the pace
-    assert len(results) == 4 and not driven.overdriven
-    driven.reach(call(results, seconds=1.0))
+    assert len(results) == 4 and not driven.degraded
+    driven.receive(call(results, seconds=1.0))
     clock.on(1.0)
     assert len(results) == 5
 
@@ -164,15 +164,15 @@
     clock = Hand()
     driven, results = server(clock, overdrive_jobs=1.0, overdrive_span=1.0, rest_span=4.0)
     for _ in range(4):
-        driven.reach(call(results, seconds=1.5))
+        driven.receive(call(results, seconds=1.5))
     while len(results) < 4:
         clock.on(0.5)
     for _ in range(5):
-        driven.reach(call(results, seconds=0.3))
+        driven.receive(call(results, seconds=0.3))
         clock.on(2.0)
-        assert driven.overdriven
+        assert driven.degraded
     clock.on(4.0)
-    assert not driven.overdriven
+    assert not driven.degraded
 
 
 @pytest.mark.parametrize(("waits", "dropped"), [(True, False), (False, True)])
@@ -180,9 +180,9 @@
     clock = Hand()
     busy, results = server(clock)
     one, two = call(results), call(results)
-    busy.reach(one)
-    busy.reach(two)
-    busy.drop(two if waits else one)
+    busy.receive(one)
+    busy.receive(two)
+    busy.cancel(two if waits else one)
     clock.on(5.0)
     assert len(results) == (1 if waits else 2)
 
@@ -191,32 +191,32 @@
     clock = Hand()
     few, _ = server(clock, Tier(connections_most=2))
     assert few.connect() and few.connect() and not few.connect()
-    few.disconnect(few.life)
+    few.disconnect(few.generation)
     assert few.connect()
-    life = few.life
+    life = few.generation
     few.stop()
     assert not few.connect()
     few.start()
     few.disconnect(life)  # of a connection that its end has closed already
-    assert few.links == 0 and few.connect()
+    assert few.connections == 0 and few.connect()
 
 
 def test_a_kept_connection_is_used_again_retired_in_time_and_not_outlived() -> None:
     world = World(replace(CALM, connection_idle=2.0))
-    to, links = world.servers[0], Links(world)
+    to, links = world.servers[0], ConnectionPool(world)
     assert to.connect()
-    link = Link(to, to.life)
-    links.give_back(link)
-    assert links.take(to) is link and links.take(to) is None
-    links.give_back(link)
+    link = Connection(to, to.generation)
+    links.release(link)
+    assert links.acquire(to) is link and links.acquire(to) is None
+    links.release(link)
     world.env.run(world.now + 1.9)
-    held = to.links
+    held = to.connections
     assert links.idle[0] == [link]
     world.env.run(world.now + 0.2)
-    assert not links.idle[0] and to.links <= held
-    links.give_back(link)
+    assert not links.idle[0] and to.connections <= held
+    links.release(link)
     to.stop()
-    assert links.take(to) is None
+    assert links.acquire(to) is None
 
 
 def test_connections_that_are_scarce_and_dear_break_no_rule() -> None:
@@ -242,7 +242,9 @@
     world = World(replace(CALM, servers=4, zones=2, profiles=(profile,), streams=(Stream(0, 0.001),)))
     results: list[AttemptResult] = []
     for number in (0, at):
-        world.servers[number].reach(Call((0, 1, number), 0, 0.1, float("inf"), results.append, number=(0, 1)))
+        world.servers[number].receive(
+            Call((0, 1, number), 0, 0.1, float("inf"), results.append, deduplication_key=(0, 1))
+        )
     world.env.run(world.now + 1.0)
     ran = sum(type(row).__name__ == "AttemptExecuted" for row in world.rows)
     assert results == [AttemptResult.SUCCEEDED] * 2 and ran == runs
@@ -251,7 +253,7 @@
 class Nowhere:
     """A call to the next tier that never ends."""
 
-    def withdraw(self) -> None:
+    def cancel(self) -> None:
         pass
 
 
@@ -267,24 +269,26 @@
         replace(CALM, thrash=0.0),
         clock,
         Random(1),
-        ran=lambda _, call: began.append(call),
-        below=lambda call, left, done: Nowhere(),
-        calls=1.0,
+        on_executed=lambda _, call: began.append(call),
+        call_downstream=lambda call, left, done: Nowhere(),
+        downstream_calls=1.0,
     )
     calls = [call([], seconds=0.1) for _ in range(5)]
     for each in calls:
-        above.reach(each)
+        above.receive(each)
     clock.on(5.0)
     assert len(began) == ran
     if slots == 3:  # one that is given up makes room for the next
-        above.drop(calls[0])
+        above.cancel(calls[0])
         clock.on(1.0)
         assert len(began) == 4
 
 
 def test_a_number_is_forgotten_after_its_window() -> None:
-    numbers = Numbers(window=5.0)
-    assert not numbers.seen("n", 10.0) and numbers.seen("n", 14.9) and not numbers.seen("n", 15.1)
+    numbers = DeduplicationTable(window=5.0)
+    assert (
+        not numbers.is_repeat("n", 10.0) and numbers.is_repeat("n", 14.9) and not numbers.is_repeat("n", 15.1)
+    )
 
 
 def test_nothing_crosses_a_cut_and_all_goes_on_within_each_side() -> None:
@@ -293,7 +297,7 @@
     world.cut = frozenset({1})
     for here in range(3):
         for there in range(3):
-            world.carry(here, there, lambda here=here, there=there: came.append((here, there)))  # type: ignore[misc]
+            world.deliver(here, there, lambda here=here, there=there: came.append((here, there)))  # type: ignore[misc]
     world.env.run(world.now + 1.0)
     assert sorted(came) == [(0, 0), (0, 2), (1, 1), (2, 0), (2, 2)]
 
@@ -315,7 +319,7 @@
     discovery = Discovery(replace(CALM, list_rate=2.0, list_wait=0.9), clock, 1)
     heard: list[int | None] = []
     for asker in range(4):
-        discovery.call(0, asker, 0, lambda news, version, asker=asker: heard.append(news and asker))  # type: ignore[misc]
+        discovery.poll(0, asker, 0, lambda news, version, asker=asker: heard.append(news and asker))  # type: ignore[misc]
     assert heard == [None, None]  # the third and fourth would wait for a second
     clock.on(2.0)
     discovery.forget(1)
@@ -334,7 +338,7 @@
         assert news is not None
         heard.append((len(news), version))
 
-    discovery.call(0, 7, 0, answered, 0.0)
+    discovery.poll(0, 7, 0, answered, 0.0)
     clock.on(0.4)
     assert not heard  # not worked through
     clock.on(0.2)
@@ -343,7 +347,7 @@
     discovery.watch(0, 7, 0, answered, 3.0)
     clock.on(2.0)
     assert heard == [(0, 0)] * 2
-    discovery.fall_silent()
+    discovery.drop_watches()
     discovery.changed(0, server(clock)[0])
     clock.on(9.0)
     assert heard == [(0, 0)] * 2
@@ -358,10 +362,10 @@
     for asker in (1, 2, 3):
         discovery.join(0, asker)
     discovery.forget(3)
-    discovery.split(lambda asker: asker == 2)
-    discovery.down()
-    discovery.split(lambda asker: False)
-    discovery.back()
+    discovery.cut_off(lambda asker: asker == 2)
+    discovery.stop()
+    discovery.cut_off(lambda asker: False)
+    discovery.resume()
     seen = [(row.node, row.reachable) for row in rows if isinstance(row, DiscoveryReachable)]
     assert seen == [(1, True), (2, True), (3, True), (2, False), (1, False), (1, True), (2, True)]
 
