--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -37,6 +37,7 @@
 
     def cancel(self) -> None:
         """Cancel the request."""
+        ...
 
 
 @dataclass(slots=True, eq=False)
--- a/notchjunction/experiments/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -17,7 +17,7 @@
 
 from notchjunction.addresses import address_of
 from notchjunction.config import validation
-from notchjunction.emulator.checkers import limit_held, use
+from notchjunction.emulator.checkers import limit_held, measure_in_flight
 from notchjunction.emulator.scenario import Scenario
 from notchjunction.emulator.trace import Trace
 from notchjunction.experiments import report as reports
@@ -146,12 +146,12 @@
     """The same of nodes that are one fleet under a limit, with what was out at the servers by the second."""
     stage, story = await play_fleet(scenario, part, folder)
     began, seconds = stage.settled_at, int(scenario.length)
-    spans = (use(story.rows, began + second, began + second + 1) for second in range(seconds))
+    spans = (measure_in_flight(story.rows, began + second, began + second + 1) for second in range(seconds))
     over = [f"limit_held: {text}" for text in limit_held(story.rows, part.total_permits, OBSERVATION_LAG_S)]
     return {
         **figures(story, stage_breaches(sound(story, part)) + over, began),
         "limit": part.total_permits,
-        "most_out": use(story.rows, began, began + seconds).peak,
+        "most_out": measure_in_flight(story.rows, began, began + seconds).peak,
         "out_by_second": [round(span.mean, 1) for span in spans],
         "failures": sum(counters.get("internal_errors", 0.0) for counters in stage.counters),
     }
--- a/notchjunction/testbed/stage.py
+++ b/notchjunction/testbed/stage.py
@@ -21,7 +21,7 @@
 from notchjunction.balancing.interface import EndpointEntry, Idempotency
 from notchjunction.emulator import faults
 from notchjunction.emulator.checkers import (
-    GONE_AFTER,
+    CANCEL_GRACE_S,
     clean_drains,
     gentle_fail_back,
     no_double_effects,
@@ -145,7 +145,7 @@
             story_rows = tuple(self.rows)
         finally:
             await self._end_all()
-        crossing = GONE_AFTER + self._loop_stall
+        crossing = CANCEL_GRACE_S + self._loop_stall
         return Trace(
             story_rows, self.scenario.profiles, DRAIN_GRACE_S, DEADLINE_SLACK_S, ended, cancel_delay=crossing
         )
--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -22,8 +22,8 @@
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.emulator import node
 from notchjunction.emulator.checkers import (
-    GONE_AFTER,
-    TOLD_AFTER,
+    CANCEL_GRACE_S,
+    EFFECTIVE_AFTER_S,
     breaches,
     none_for_the_gone,
     one_answer,
@@ -255,7 +255,7 @@
 
 
 HAS = 10.0  # the moment at which discovery has the change
-COUNTS = HAS + TOLD_AFTER
+COUNTS = HAS + EFFECTIVE_AFTER_S
 JOINED = DiscoveryReachable(0.0, 1, 0, True)
 DRAINING = EndpointPublished(HAS, 0, 5, EndpointState.DRAINING)
 BROKEN_OFF, BACK = DiscoveryReachable(HAS - 1, 1, 0, False), DiscoveryReachable(HAS + 20, 1, 0, True)
@@ -298,8 +298,11 @@
         ),
         # Not to be reached: from the end of that.
         ([JOINED, BROKEN_OFF, DRAINING, sent(HAS + 30.0)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + DRAIN_GRACE_S)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + DRAIN_GRACE_S + 0.01)], True),
+        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + EFFECTIVE_AFTER_S + DRAIN_GRACE_S)], False),
+        (
+            [JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + EFFECTIVE_AFTER_S + DRAIN_GRACE_S + 0.01)],
+            True,
+        ),
         (
             [
                 JOINED,
@@ -332,7 +335,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + DRAIN_GRACE_S),
+                    sent(HAS + 9 + EFFECTIVE_AFTER_S + DRAIN_GRACE_S),
                 ),
             ],
             False,
@@ -342,7 +345,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + DRAIN_GRACE_S + 0.01),
+                    sent(HAS + 9 + EFFECTIVE_AFTER_S + DRAIN_GRACE_S + 0.01),
                 ),
             ],
             True,
@@ -398,12 +401,12 @@
     ("end", "crossing", "after", "broken"),
     [
         (FinalResponse.CANCELLED, 0.0, 0.0, True),
-        (FinalResponse.CANCELLED, GONE_AFTER, 0.09, False),
-        (FinalResponse.CANCELLED, GONE_AFTER, 0.11, True),
-        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.14, False),  # read by so much late at most
-        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.16, True),
-        (FinalResponse.SUCCEEDED, GONE_AFTER, 0.0, True),
-        (FinalResponse.REJECTED, GONE_AFTER, 0.09, True),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S, 0.09, False),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S, 0.11, True),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S + 0.05, 0.14, False),  # read by so much late at most
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S + 0.05, 0.16, True),
+        (FinalResponse.SUCCEEDED, CANCEL_GRACE_S, 0.0, True),
+        (FinalResponse.REJECTED, CANCEL_GRACE_S, 0.09, True),
     ],
 )
 def test_a_send_may_cross_its_callers_close_on_sockets_and_no_other_end(
@@ -412,7 +415,7 @@
     rows = (RequestAccepted(9.0, 1, 1, 0, 12.0, 1), RequestAnswered(10.0, 1, 1, end), again(10.0 + after))
     story = Trace(rows, CALM.profiles, DRAIN_GRACE_S, 0.01, 11.0, cancel_delay=crossing)
     assert bool(list(one_answer(story))) is broken
-    late = end is FinalResponse.CANCELLED and after > max(GONE_AFTER, crossing)
+    late = end is FinalResponse.CANCELLED and after > max(CANCEL_GRACE_S, crossing)
     assert bool(list(none_for_the_gone(story))) is late
 
 
--- a/tests/test_links.py
+++ b/tests/test_links.py
@@ -17,7 +17,7 @@
 
 from notchjunction.balancing.interface import EndpointEntry, Idempotency, RequestClass
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.emulator.checkers import limit_held, use
+from notchjunction.emulator.checkers import limit_held, measure_in_flight
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream
 from notchjunction.emulator.trace import AttemptEnded, AttemptSent, ProbeSent, TraceRow
 from notchjunction.emulator.world import START_TIME, World
@@ -223,9 +223,9 @@
 
 
 def test_what_is_out_is_measured_over_a_span() -> None:
-    assert use(rows_of((0, 2, 9), (1, 3, 9), (5, 6, 9)), 0.0, 4.0) == (2, 1.0)
+    assert measure_in_flight(rows_of((0, 2, 9), (1, 3, 9), (5, 6, 9)), 0.0, 4.0) == (2, 1.0)
     rows = World(Scenario("calm", length=4.0)).play().rows
-    most = use(rows, START_TIME, START_TIME + 4).peak
+    most = measure_in_flight(rows, START_TIME, START_TIME + 4).peak
     assert 1 < most < 30 and not list(limit_held(rows, most)) and list(limit_held(rows, most - 1))
 
 
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,7 +17,7 @@
 from notchjunction.balancing.interface import Idempotency, RequestClass
 from notchjunction.balancing.records import Endpoint
 from notchjunction.balancing.throughput import ServedRate
-from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
+from notchjunction.emulator.checkers import MAX_EXCESS_ROOTS, MIN_INFORMED_SHARE, cold_sum, cold_windows
 from notchjunction.emulator.node import BalancerFactory, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.trace import ColdLoadReceived, FinalResponse, RequestAnswered, Trace
@@ -124,11 +124,11 @@
 
 
 def seen(story: Trace) -> Seen:
-    windows = [window for window in cold_windows(story) if window.knowing >= KNOWING_SHARE]
+    windows = [window for window in cold_windows(story) if window.informed >= MIN_INFORMED_SHARE]
     excesses = [window.excess for window in windows]
-    used = sum(window.pushed / window.allowed for window in windows) / max(1, len(windows))
+    used = sum(window.load / window.allowed for window in windows) / max(1, len(windows))
     finals = [row.final for row in story.rows if isinstance(row, RequestAnswered)]
-    over = sum(excess > CHANCE_ROOTS for excess in excesses)
+    over = sum(excess > MAX_EXCESS_ROOTS for excess in excesses)
     honoured = finals.count(FinalResponse.SUCCEEDED) / max(1, len(finals))
     return Seen(len(windows), over, max(excesses, default=-inf), used, honoured)
 
@@ -182,7 +182,7 @@
     ]
     story = Trace(tuple(rows[1:]), (), 0.0, 0.0, 10.0, overload_window=1.0)
     assert bool(list(cold_sum(story))) is is_over
-    summed = [round(window.pushed, 6) for window in cold_windows(replace(story, rows=tuple(rows)))]
+    summed = [round(window.load, 6) for window in cold_windows(replace(story, rows=tuple(rows)))]
     assert summed == [90.0, round(pushed - 2.0, 6), pushed]
     untold = replace(story, rows=tuple(replace(row, informed=False) for row in rows[1:]))
     assert list(cold_sum(untold)) == []
