--- a/notchjunction/emulator/__init__.py
+++ b/notchjunction/emulator/__init__.py
@@ -1,1 +1,1 @@
-"""A world in virtual time that hosts the real decisions, for experiments; the node never imports it."""
+"""An emulator that runs the real balancer in virtual time, for experiments; the node never imports it."""
--- a/notchjunction/emulator/checkers.py
+++ b/notchjunction/emulator/checkers.py
@@ -201,7 +201,7 @@
 
 
 def cold_sum(trace: Trace) -> Iterator[str]:
-    """Rule 4 for the fleet: the load of all nodes on a server in slow start is within its budget and chance."""
+    """Rule 4 for the fleet: all nodes' load on a server in slow start exceeds its budget by chance only."""
     for window in cold_windows(trace):
         if window.excess > MAX_EXCESS_ROOTS and window.informed >= MIN_INFORMED_SHARE:
             allowed = f"{window.allowed:.1f} and chance"
--- a/notchjunction/emulator/clock.py
+++ b/notchjunction/emulator/clock.py
@@ -1,4 +1,4 @@
-"""What the emulator needs of time: virtual in a world, real where the testbed runs it on sockets."""
+"""The clock of the emulator's models: virtual in a `World`, real where the testbed runs them on sockets."""
 
 from __future__ import annotations
 
@@ -7,11 +7,11 @@
 
 
 class Clock(Protocol):
-    """The time, and timers on it."""
+    """A clock with timers."""
 
     @property
     def now(self) -> float:
-        """Unix time in seconds that never jumps."""
+        """Unix time (s) without jumps."""
 
     def after(self, delay: float, due: Callable[[], None]) -> None:
-        """Call `due` in `delay` seconds; timers due at once run in order, never inside this call."""
+        """Call `due` in `delay` seconds, never inside this call; timers due at the same time run in order."""
--- a/notchjunction/emulator/faults.py
+++ b/notchjunction/emulator/faults.py
@@ -1,4 +1,4 @@
-"""The effects of each kind of fault on the emulated world, as it begins and as it ends."""
+"""The effects of each kind of fault, at its beginning and at its end."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class FaultTarget(Protocol):
-    """Where faults happen: the world in virtual time, or the testbed's stage on sockets."""
+    """What a fault acts on: the world in virtual time, or the testbed's stage on sockets."""
 
     discovery: Discovery
     cut: frozenset[int]  # the zones that are partitioned from all others
@@ -28,14 +28,14 @@
 
 
 class FaultEffects(NamedTuple):
-    """What a kind of fault does as it begins and as it ends."""
+    """The effects of a kind of fault at its beginning and at its end."""
 
     begins: Effect
     ends: Effect
 
 
 def _set_attribute(name: str, normal: float) -> FaultEffects:
-    """Set an attribute of the fault's servers to the fault's size while the fault lasts."""
+    """Return effects that set an attribute of the fault's servers to its size while it lasts."""
 
     def apply(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
         for server in servers:
@@ -103,12 +103,12 @@
     target.discovery.extra_delay = fault.size
 
 
-def _publish_in_time(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+def _end_change_delay(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     target.discovery.extra_delay = 0.0
 
 
 def _cut_off_nodes(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    # By number, evenly over the nodes: the same nodes for as long as the fault lasts.
+    # Spreads the choice evenly over the nodes by number; the same nodes stay cut off while the fault lasts.
     target.discovery.cut_off(lambda node: (node * 0.618) % 1.0 < fault.size)
 
 
@@ -116,12 +116,12 @@
     target.discovery.cut_off(lambda node: False)
 
 
-def _drop_open_watches(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
+def _drop_watches(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
     target.discovery.drop_watches()
 
 
 def _do_nothing(target: FaultTarget, fault: Fault, servers: list[Server]) -> None:
-    """End a fault that happens at one moment: there is nothing to undo."""
+    """End a fault that only has an effect at its beginning."""
 
 
 EFFECTS = {
@@ -135,7 +135,7 @@
     Kind.DRAIN: FaultEffects(_drain, _remove),
     Kind.CUT: FaultEffects(_partition, _heal_partition),
     Kind.LIST_DOWN: FaultEffects(_stop_discovery, _resume_discovery),
-    Kind.LIST_LATE: FaultEffects(_delay_changes, _publish_in_time),
+    Kind.LIST_LATE: FaultEffects(_delay_changes, _end_change_delay),
     Kind.LIST_SPLIT: FaultEffects(_cut_off_nodes, _reconnect_nodes),
-    Kind.LIST_SILENT: FaultEffects(_drop_open_watches, _do_nothing),
+    Kind.LIST_SILENT: FaultEffects(_drop_watches, _do_nothing),
 }
--- a/notchjunction/emulator/trace.py
+++ b/notchjunction/emulator/trace.py
@@ -1,4 +1,4 @@
-"""The trace of a run: one row an event, the only input of the checkers and of the result tables."""
+"""The trace of a run, with one row per event: the only input of the checkers and of the result tables."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestAccepted:
-    """A node accepted a request from a client or from a server that calls another tier."""
+    """A node accepted a request from a client, or from a server of the tier above."""
 
     at: float
     node: int
     request: int
     request_class: int
     deadline: float
-    first_request: int  # number of the client's first try, the same for all its tries; -1: a server's call
+    first_request: int  # number of the client's first try, the same for all retries; -1: from a server
 
 
 @dataclass(frozen=True, slots=True)
@@ -40,12 +40,15 @@
     request: int
     attempt: int
     server: int
-    timeout_at: float = inf  # when the time that the attempt was given is over
+    timeout_at: float = inf  # when the attempt times out
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptEnded:
-    """An attempt is no longer in flight: answered, reset or closed, as the row's writer saw it."""
+    """An attempt is no longer in flight: it got a response, was reset, or its connection was closed.
+
+    The emulator's rows are written as the node sees the end, the testbed's as the server sees it.
+    """
 
     at: float
     node: int
@@ -56,7 +59,7 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptExecuted:
-    """The server began to execute an attempt; a duplicate that it dropped has no row."""
+    """A server began to execute an attempt; a repeat that it dropped has no row."""
 
     at: float
     node: int
@@ -105,11 +108,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ServerOverloaded:
-    """A server in slow start received more than it bears, and is down for good."""
+    """A server in slow start received more work than its budget, and goes down."""
 
     at: float
     server: int
-    informed: float  # share of the work that came from nodes that had been notified of its start
+    informed: float  # share of the work from nodes that had been notified of its start
 
 
 @dataclass(frozen=True, slots=True)
@@ -119,13 +122,13 @@
     at: float
     server: int
     work: float  # in requests of mean work
-    allowed: float  # the same, as the settings allow over their span at the server's present warmth
+    allowed: float  # the same, by the settings, for a window that ends now
     informed: bool  # whether the sender had been notified of its start
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointPublished:
-    """Discovery has an endpoint's new state, whichever nodes have been notified of it."""
+    """Discovery has an endpoint's new state, of which nodes may not have been notified yet."""
 
     at: float
     tier: int
@@ -135,7 +138,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DiscoveryReachable:
-    """Whether a node's polls can reach discovery from now on; a node's first row is its start."""
+    """Whether a node can reach discovery from now on; the first row of a node marks its start."""
 
     at: float
     node: int
@@ -161,12 +164,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """A run's rows in order, and what is needed to judge them; all times are in seconds."""
+    """A run's rows in order, and what the checkers need besides; all times are in seconds."""
 
     rows: tuple[TraceRow, ...]
     request_classes: tuple[RequestClass, ...]
-    drain_grace: float  # after notice of a drain, in which an attempt is forgiven
-    deadline_slack: float  # past the deadline, in which a final response is forgiven
+    drain_grace: float  # after notice of a drain, in which attempts are allowed
+    deadline_slack: float  # after the deadline, in which a final response is allowed
     ended_at: float
-    overload_window: float = 0.0  # over which load on a cold server adds up; 0: no such load was recorded
-    cancel_delay: float = 0.0  # after a client cancelled, in which an attempt already on its way may be read
+    overload_window: float = 0.0  # over which load in slow start is added up; 0: no such load was recorded
+    cancel_delay: float = (
+        0.0  # after a client cancelled, in which a server may read an attempt that was on its way
+    )
