--- a/notchjunction/testbed/__init__.py
+++ b/notchjunction/testbed/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins on loopback that play a scenario against real node processes; the node never imports it."""
+"""Fake clients, servers and discovery on loopback for real node processes; the node never imports it."""
--- a/notchjunction/testbed/client.py
+++ b/notchjunction/testbed/client.py
@@ -1,4 +1,4 @@
-"""HTTP clients of a testbed: one request to a connection at a time, connections kept and opened as needed."""
+"""HTTP clients of the testbed: one request at a time per connection, and a pool of idle connections."""
 
 from __future__ import annotations
 
@@ -10,22 +10,22 @@
 from notchjunction.http1.messages import Malformed, Request
 from notchjunction.http1.parser import AnswerReader
 
-MAX_IDLE_CONNECTIONS = 64  # to one address; a connection beyond these is closed after its response
-READ_SIZE = 65536  # bytes read at once
+MAX_IDLE_CONNECTIONS = 64  # per address; a further connection is closed after its response
+READ_SIZE = 65536  # bytes per read
 Connection = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
 
 class FakeClients:
     """A pool of client connections by address.
 
-    Shares no code with the node but the parsers, so that it does not share its faults.
+    It shares no code with the node except the parsers, so that the node's faults do not hide here too.
     """
 
     def __init__(self) -> None:
         self._idle: dict[Address, deque[Connection]] = {}
 
     async def request(self, address: Address, request: Request, timeout: float) -> int | None:
-        """Sends a request; the response's status, or None without a response in `timeout` seconds."""
+        """Sends a request; returns the response's status, or None without one in `timeout` seconds."""
         try:
             async with asyncio.timeout(timeout):
                 return await self.exchange(address, request)
@@ -33,11 +33,11 @@
             return None
 
     async def exchange(self, address: Address, request: Request) -> int:
-        """Sends a request and waits without a bound for the response's status.
+        """Sends a request and returns the response's status, without a timeout.
 
         Raises:
-            OSError: The connection failed or ended before the whole response.
-            Malformed: What came is no response.
+            OSError: The connection failed, or ended before the end of the response.
+            Malformed: The bytes received are no response.
         """
         idle = self._idle.setdefault(address, deque())
         while idle and not _is_reusable(idle[-1]):
@@ -61,7 +61,7 @@
         return response.status
 
     def forget(self, address: Address) -> None:
-        """Closes the idle connections to an address whose server has gone."""
+        """Closes the idle connections to an address that is no longer in use."""
         for _, writer in self._idle.pop(address, ()):
             writer.close()
 
@@ -72,6 +72,6 @@
 
 
 def _is_reusable(connection: Connection) -> bool:
-    """Whether the peer has not ended the connection."""
+    """Returns whether the connection is still open at both ends."""
     reader, writer = connection
     return not (reader.at_eof() or reader.exception() or writer.is_closing())
--- a/notchjunction/testbed/client_request.py
+++ b/notchjunction/testbed/client_request.py
@@ -1,4 +1,4 @@
-"""What a client of a scenario sends, and the HTTP request that it becomes."""
+"""A client's request in a scenario, and its HTTP form."""
 
 from __future__ import annotations
 
@@ -13,20 +13,20 @@
 
 @dataclass(frozen=True, slots=True)
 class ClientRequest:
-    """One request of a client, or of a server to the next tier."""
+    """One try of a client's request, or a server's request to the next tier."""
 
     node: int
     request_class: int
-    timeout: float  # s that the client waits
+    timeout: float  # s that the client waits for the response
     work: float  # s of work on a server of speed 1
-    first: int  # the number of the client's first try; NO_FIRST_REQUEST for a server's call
+    first_request: int  # number of the client's first try; NO_FIRST_REQUEST if a server sends it
     is_retry: bool = False
     tenant: int = 0
-    cancel_after: float | None = None  # s after which the client closes, if it does
+    cancel_after: float | None = None  # s after which the client cancels; None: never
 
 
 def http_request(name: str, sent: ClientRequest, scenario: Scenario) -> Request:
-    """The request named `name` as the protocol has it."""
+    """Returns the HTTP request, with `name` as its request ID and idempotency key."""
     idempotency = scenario.profiles[sent.request_class].idempotency
     headers = {
         "host": "app",
--- a/notchjunction/testbed/clock.py
+++ b/notchjunction/testbed/clock.py
@@ -1,4 +1,4 @@
-"""The emulator's clock on a real event loop: the same server model serves behind a socket."""
+"""The clock of the emulator's models on a real event loop, for models behind sockets."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
     @property
     def now(self) -> float:
-        """Seconds since the epoch; steps of the system's clock after the start are not seen."""
+        """Unix time (s); steps of the system clock after the start have no effect on it."""
         return time.monotonic() + self._offset
 
     def after(self, delay: float, due: Callable[[], None]) -> None:
-        """Calls `due` in `delay` seconds, at once where that is negative."""
+        """Calls `due` in `delay` seconds, or as soon as possible if that is negative."""
         self._loop.call_later(max(0.0, delay), due)
--- a/notchjunction/testbed/discovery.py
+++ b/notchjunction/testbed/discovery.py
@@ -1,4 +1,4 @@
-"""The discovery service of a testbed: the emulator's model, with a listener for each node."""
+"""The fake discovery service of the testbed: the emulator's model, with a listener for each node."""
 
 from __future__ import annotations
 
@@ -20,26 +20,26 @@
 from notchjunction.testbed.client import READ_SIZE
 from notchjunction.testbed.server import HOST
 
-WATCH_CONTINUES_S = 0.2  # after a response; a poll within it costs discovery no work (the protocol's figure)
+WATCH_CONTINUES_S = 0.2  # a poll this soon after a response costs discovery no work; set by the protocol
 
-AddressOf = Callable[[int], Address]  # a server's address, as one node sees it
-OnNotified = Callable[[int, Sequence[EndpointEntry]], None]  # a node, and the entries written to it
+AddressOf = Callable[[int], Address]  # a server's number -> its address for one node
+OnNotified = Callable[[int, Sequence[EndpointEntry]], None]  # (node, entries sent to it)
 
 
 def zone_name(zone: int) -> str:
-    """A zone's name in the list and in the nodes' settings."""
+    """Returns a zone's name in the list and in the nodes' settings."""
     return f"z{zone}"
 
 
 def server_name(server: int) -> str:
-    """A server's name in the list."""
+    """Returns a server's name in the list."""
     return f"s{server}"
 
 
 def encode_list(
     entries: Sequence[EndpointEntry], version: int, is_snapshot: bool, address_of: AddressOf
 ) -> bytes:
-    """The body of discovery's response, as the protocol has it."""
+    """Returns the body of a response, in the protocol's format."""
     rows = []
     for entry in entries:
         endpoint = ListedEndpoint(
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NodeView:
-    """What discovery serves to one node: the list of the tier behind it, with the addresses that it sees."""
+    """What discovery serves to one node: the list of the tier that it balances, with its own addresses."""
 
     node: int
     tier: int
@@ -65,7 +65,7 @@
 
 
 class FakeDiscovery:
-    """One node's discovery service; the view's `on_notified` is called with all entries sent to the node."""
+    """One node's discovery service; it calls the view's `on_notified` with all entries that it sends."""
 
     def __init__(self, discovery: Discovery, clock: Clock, view: NodeView) -> None:
         self._discovery, self._clock, self._view = discovery, clock, view
@@ -73,7 +73,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def open(self) -> Address:
-        """Listens on a free port; its address."""
+        """Listens on a free port; returns the address."""
         self._listener = await asyncio.start_server(self._serve, HOST, 0)
         address: Address = self._listener.sockets[0].getsockname()
         return address
@@ -118,7 +118,7 @@
             writer.write(encode_answer(Answer(200, body=body)))
 
         if version < 0:
-            # A snapshot: the call costs discovery its work like any other.
+            # A snapshot costs discovery as much work as any other new poll.
             self._discovery.poll(
                 view.tier,
                 view.node,
--- a/notchjunction/testbed/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -1,7 +1,7 @@
-"""A stage whose nodes are one fleet, with faults on their links and processes paused, killed and restarted.
+"""A stage whose nodes are one fleet, with faults of their links and processes.
 
-The nodes are the program; servers, clients and links are fakes. What the fleet promises is checked from the
-servers' rows.
+The nodes are real processes; servers, clients and links are fakes. The fleet's guarantees are checked from
+the servers' rows of the trace.
 """
 
 from __future__ import annotations
@@ -22,19 +22,19 @@
 from notchjunction.testbed.server import HOST, bind_free_port
 from notchjunction.testbed.stage import Stage
 
-SECRET = "5a" * 16  # the testbed's key; an operator's fleet has one of its own
-SETTLE_TIMEOUT_S = 60.0  # for all nodes to know one another and their quotas, on a busy machine
-OBSERVATION_LAG_S = 0.3  # by which a stage on a busy machine may see an attempt's end later than its node did
+SECRET = "5a" * 16  # the key of the fleets in the testbed, for tests only
+SETTLE_TIMEOUT_S = 60.0  # for all nodes to learn of one another and settle their quotas, on a busy machine
+OBSERVATION_LAG_S = 0.3  # on a busy machine, an attempt's end may be recorded this long after its node saw it
 POLL_INTERVAL_S = 0.1  # of a node's fleet state, until the fleet has settled
-DEFAULT_CLOCK_DRIFT = 0.01  # share by which the nodes' settings say that clocks may drift
-QUOTA_NAME = "out"  # the one quota of the fleet
+DEFAULT_CLOCK_DRIFT = 0.01  # share by which clocks may drift, in the nodes' configuration
+QUOTA_NAME = "out"  # the only quota of the fleet
 
 
 class ProcessKind(Enum):
-    """What is done to a node process."""
+    """The kinds of faults of a node process."""
 
-    PAUSE = "pause"  # stopped, and resumed at the end
-    KILL = "kill"  # killed outright, and restarted at the end
+    PAUSE = "pause"  # suspended, and resumed at the end
+    KILL = "kill"  # killed without a shutdown, and restarted at the end
 
 
 @dataclass(frozen=True, slots=True)
@@ -49,9 +49,10 @@
 
 @dataclass(frozen=True, slots=True)
 class FleetPart:
-    """What makes a scenario's nodes a fleet.
+    """The part of an experiment that makes a scenario's nodes a fleet.
 
-    `owners` has the permits that each node owns, `rates` the rate of each node's clock; empty: all 1.0.
+    `owners` has the number of permits that each node owns; `rates` has the rates of their clocks (empty: all
+    1.0).
     """
 
     owners: tuple[int, ...]
@@ -62,12 +63,12 @@
 
     @property
     def total_permits(self) -> int:
-        """The fleet's quota."""
+        """The permits of all nodes: the fleet's quota."""
         return sum(self.owners)
 
 
 def free_datagram_port() -> Address:
-    """A UDP address on loopback that nothing uses."""
+    """Returns an unused UDP address on loopback."""
     with socket.socket(socket.AF_INET, socket.SOCK_DGRAM) as free:
         free.bind((HOST, 0))
         address: Address = free.getsockname()
@@ -75,41 +76,41 @@
 
 
 class FleetStage(Stage):
-    """A stage with management addresses and a section `fleet` for each node."""
+    """A stage whose nodes have an admin API and a section `fleet` in their configuration files."""
 
     def __init__(self, scenario: Scenario, part: FleetPart, folder: Path, links: Links) -> None:
         super().__init__(scenario, folder)
         self.part = part
         self.links = links
-        self.settled_at = 0.0  # the stage's time
-        self._management: dict[int, Address] = {}
+        self.settled_at = 0.0  # s, on the stage's clock
+        self._admin_addresses: dict[int, Address] = {}
         self._private = [free_datagram_port() for _ in range(scenario.nodes)]
 
     def fleet_section(self, number: int) -> dict[str, Any]:
-        """A node's section `fleet` of its file; the peers' addresses are those of the links."""
+        """Returns a node's section `fleet`; the peers' addresses are the public ones of the links."""
         name = f"n{number}"
         listen = self._private[number]
         self.links.join(name, listen)
-        owners = {f"n{each}": count for each, count in enumerate(self.part.owners)}
+        owners = {f"n{node}": count for node, count in enumerate(self.part.owners)}
         return {
             "listen": text_of(listen),
             "advertise": text_of(self.links.public(name)),
-            "seeds": [text_of(self.links.public(f"n{each}")) for each in range(min(3, self.scenario.nodes))],
+            "seeds": [text_of(self.links.public(f"n{node}")) for node in range(min(3, self.scenario.nodes))],
             "keys": [{"number": 1, "secret": SECRET}],
             "clock_drift": self.part.drift,
             "clock_rate": self.part.rates[number] if self.part.rates else 1.0,
-            "places": {f"n{each}": text_of(address) for each, address in enumerate(self._private)},
+            "places": {f"n{node}": text_of(address) for node, address in enumerate(self._private)},
             "limits": [{"name": QUOTA_NAME, "revision": 1, "owners": owners}],
         }
 
     def _config_sections(self, number: int) -> Mapping[str, Any]:
         listener = bind_free_port()
-        self._management[number] = listener.getsockname()
+        self._admin_addresses[number] = listener.getsockname()
         listener.close()
-        return {"mgmt": text_of(self._management[number]), "fleet": self.fleet_section(number)}
+        return {"mgmt": text_of(self._admin_addresses[number]), "fleet": self.fleet_section(number)}
 
-    async def _all_ready(self) -> None:
-        await super()._all_ready()
+    async def _wait_until_ready(self) -> None:
+        await super()._wait_until_ready()
         async with asyncio.timeout(SETTLE_TIMEOUT_S):
             while not all([self._is_settled(await self.fleet_state(number)) for number in self.nodes]):
                 await asyncio.sleep(POLL_INTERVAL_S)
@@ -121,10 +122,10 @@
         return all(limit["settled"] for limit in state["limits"].values())
 
     async def fleet_state(self, number: int) -> dict[str, Any] | None:
-        """A node's report of its fleet; None where it does not answer within a second."""
+        """Returns a node's report of its fleet; None without a response within a second."""
         try:
             async with asyncio.timeout(1.0):
-                reader, writer = await asyncio.open_connection(*self._management[number])
+                reader, writer = await asyncio.open_connection(*self._admin_addresses[number])
                 writer.write(b"GET /control/fleet HTTP/1.1\r\nHost: n\r\n\r\n")
                 response = await reader.read()
                 writer.close()
@@ -136,9 +137,9 @@
     def _on_started(self) -> None:
         self.links.schedule(self.part.links)
         for fault in self.part.processes:
-            self._spawn(self._play_fault(fault))
+            self._spawn(self._apply_process_fault(fault))
 
-    async def _play_fault(self, fault: ProcessFault) -> None:
+    async def _apply_process_fault(self, fault: ProcessFault) -> None:
         process = self._placed_nodes[fault.node].process
         await asyncio.sleep(fault.at)
         match fault.kind:
@@ -154,11 +155,11 @@
 
 
 async def play_fleet(scenario: Scenario, part: FleetPart, folder: Path) -> tuple[FleetStage, Trace]:
-    """Plays a scenario with its fleet; the stage, and the story of its rows."""
+    """Plays a scenario with its fleet; returns the stage and the trace."""
     links = await Links([f"n{number}" for number in range(scenario.nodes)], scenario.seed).open()
     stage = FleetStage(scenario, part, folder, links)
     try:
-        story = await stage.play()
+        trace = await stage.play()
     finally:
         await links.close()
-    return stage, story
+    return stage, trace
--- a/notchjunction/testbed/links.py
+++ b/notchjunction/testbed/links.py
@@ -1,8 +1,9 @@
-"""Links between node processes on loopback, for datagrams and for streams, with faults injected on schedule.
+"""Links between node processes on loopback, for datagrams and streams, with scheduled faults.
 
-Each node has a public address here, which its peers know, and a private one, where its process listens. A
-datagram to one node's public address from another's private one is on the link between the two. It is
-forwarded to the private address from the sender's public one, so a node sees each peer at its known address.
+Each node has a public address, which its peers know, and a private one, where its process listens. A datagram
+that arrives at one node's public address from another node's private one belongs to the link between the two.
+It is forwarded to the private address, from the sender's public one. So a node sees each peer at the address
+that it knows.
 """
 
 from __future__ import annotations
@@ -22,28 +23,28 @@
 from notchjunction.addresses import Address
 from notchjunction.testbed.server import HOST, reset
 
-REORDER_DELAY_S = 0.05  # by which a reordered datagram is late; longer than the gaps in a burst
-READ_SIZE = 64 * 1024  # bytes of a stream read at once
-MAX_CHUNKS_UNDER_WAY = 16  # of a stream in one direction; then its sender has to wait, as on any network
+REORDER_DELAY_S = 0.05  # delay of a reordered datagram; longer than the gaps in a burst
+READ_SIZE = 64 * 1024  # bytes per read from a stream
+MAX_CHUNKS_IN_FLIGHT = 16  # of a stream in one direction; above that its sender has to wait
 
 
 @dataclass(frozen=True, slots=True)
 class Impairment:
-    """What is wrong with one direction of a link; streams know delay and cut alone. Shares from 0 to 1."""
+    """The impairment of one direction of a link; streams have only `delay` and `cut`. Shares from 0 to 1."""
 
-    loss: float = 0.0  # share of datagrams that never arrive
-    delay: float = 0.0  # s on the way
-    jitter: float = 0.0  # s more at most, uniform for each datagram, so that they overtake one another
-    repeats: float = 0.0  # share that arrive twice
-    reorder: float = 0.0  # share that arrive after later ones
-    cut: bool = False  # no datagram arrives; streams stand still
+    loss: float = 0.0  # share of datagrams that are lost
+    delay: float = 0.0  # s
+    jitter: float = 0.0  # s at most, uniform for each datagram, in addition; so datagrams may be reordered
+    repeats: float = 0.0  # share of datagrams that arrive twice
+    reorder: float = 0.0  # share of datagrams that arrive after later ones
+    cut: bool = False  # no datagram arrives; streams stop
 
 
 NO_IMPAIRMENT = Impairment()
 
 
 class Kind(Enum):
-    """The property of a link that a fault sets to its `size`; a cut has none."""
+    """The property of a link that a fault sets to its `size`; CUT has no size."""
 
     CUT = "cut"
     LOSE = "lose"
@@ -65,9 +66,10 @@
 
 @dataclass(frozen=True, slots=True)
 class LinkFault:
-    """A fault between nodes of different `sides`, both ways, and on `pairs` of a source and a target.
+    """A fault of links between nodes of different `sides`, and of `pairs` of a source and a target.
 
-    It is on all links where neither is given. `at` and `until` are seconds after the schedule began.
+    Without sides and pairs it affects all links. `at` and `until` are in seconds from the start of the
+    schedule.
     """
 
     kind: Kind
@@ -78,15 +80,17 @@
     pairs: Sequence[tuple[str, str]] = ()
 
     def applies_to(self, source: str, to: str) -> bool:
-        """Whether the fault is on the direction from `source` to `to`."""
-        apart = any(source in one and to in other for one, other in permutations(self.sides, 2))
-        return apart or (source, to) in self.pairs or not (self.sides or self.pairs)
+        """Returns whether the fault affects the direction from `source` to `to`."""
+        on_different_sides = any(
+            source in side and to in other for side, other in permutations(self.sides, 2)
+        )
+        return on_different_sides or (source, to) in self.pairs or not (self.sides or self.pairs)
 
 
 class Count(Enum):
-    """What a link counts.
+    """The counters of a link.
 
-    Each datagram SEEN is one of PASSED, LOST and CUT; one that PASSED may be REPEATED and DELAYED, too.
+    Each datagram is SEEN, and one of PASSED, LOST and CUT; one that PASSED may also be REPEATED and DELAYED.
     """
 
     SEEN = auto()
@@ -98,53 +102,60 @@
 
 
 class Link:
-    """One direction between two nodes, with a random generator of its own: same arrivals, same fates."""
+    """One direction between two nodes.
+
+    It has its own random generator, so with the same seed the same datagrams are lost, repeated and delayed.
+    """
 
     def __init__(self, seed: str) -> None:
         self.datagrams: Counter[Count] = Counter()
         self.bytes: Counter[Count] = Counter()
         self._random = Random(seed)
         self._impairment = NO_IMPAIRMENT
-        self._is_whole = asyncio.Event()
-        self._is_whole.set()
+        self._passable = asyncio.Event()
+        self._passable.set()
 
     @property
     def impairment(self) -> Impairment:
-        """What is wrong with the link now."""
+        """The present impairment."""
         return self._impairment
 
     @impairment.setter
     def impairment(self, impairment: Impairment) -> None:
         self._impairment = impairment
         if impairment.cut:
-            self._is_whole.clear()
+            self._passable.clear()
         else:
-            self._is_whole.set()
+            self._passable.set()
 
     def copy_delays(self, size: int) -> list[float]:
-        """The delays in seconds of the copies of a datagram of `size` bytes; empty where it is lost."""
-        now = self._impairment
-        # Guards against a fault that shifts the chances of all after it: each datagram draws as many.
+        """Counts a datagram of `size` bytes; returns the delays (s) of its copies, none if it is lost."""
+        impairment = self._impairment
+        # Guards against a fault that shifts the random numbers of later datagrams: each datagram draws four.
         loss, repeat, reorder, jitter = (self._random.random() for _ in range(4))
-        delay = now.delay + now.jitter * jitter + (REORDER_DELAY_S if reorder < now.reorder else 0.0)
-        if now.cut:
+        delay = (
+            impairment.delay
+            + impairment.jitter * jitter
+            + (REORDER_DELAY_S if reorder < impairment.reorder else 0.0)
+        )
+        if impairment.cut:
             counts = [Count.CUT]
-        elif loss < now.loss:
+        elif loss < impairment.loss:
             counts = [Count.LOST]
         else:
             counts = [Count.PASSED]
-            counts += [Count.REPEATED] if repeat < now.repeats else []
+            counts += [Count.REPEATED] if repeat < impairment.repeats else []
             counts += [Count.DELAYED] if delay else []
         for count in (Count.SEEN, *counts):
             self.datagrams[count] += 1
             self.bytes[count] += size
         return [delay for count in counts if count in (Count.PASSED, Count.REPEATED)]
 
-    async def wait_until_whole(self) -> bool:
-        """Waits while the link is cut; whether it was."""
+    async def wait_while_cut(self) -> bool:
+        """Waits while the link is cut; returns whether it was."""
         was_cut = self._impairment.cut
         while self._impairment.cut:
-            await self._is_whole.wait()
+            await self._passable.wait()
         return was_cut
 
 
@@ -155,21 +166,21 @@
         self._on_datagram = on_datagram
 
     def datagram_received(self, data: bytes, addr: Address) -> None:
-        """Hands on the datagram and its sender."""
+        """Passes on the datagram and its sender's address."""
         self._on_datagram(data, addr)
 
 
 class Links:
     """All links between the named nodes.
 
-    Faults of several kinds add up; of several of one kind the last to begin counts.
+    Active faults of different kinds combine; of several of the same kind the last to begin applies.
     """
 
     def __init__(self, names: Sequence[str], seed: int = 0) -> None:
         self.strays = 0  # datagrams from an unknown sender, or to a node that has not joined
         self._names = tuple(names)
         self._links = {pair: Link(f"{seed} {pair}") for pair in permutations(names, 2)}
-        self._standing = dict.fromkeys(self._links, NO_IMPAIRMENT)
+        self._base_impairments = dict.fromkeys(self._links, NO_IMPAIRMENT)
         self._active_faults: list[LinkFault] = []
         self._transports: dict[str, asyncio.DatagramTransport] = {}
         self._private: dict[str, Address] = {}
@@ -194,7 +205,7 @@
             await relay.close()
 
     def public(self, name: str) -> Address:
-        """The address at which a node's peers find it."""
+        """Returns the address at which a node's peers reach it."""
         address: Address = self._transports[name].get_extra_info("sockname")
         return address
 
@@ -203,11 +214,11 @@
         self._private[name] = private
 
     def link(self, source: str, to: str) -> Link:
-        """The direction from one node to another."""
+        """Returns the link from one node to another."""
         return self._links[source, to]
 
     async def open_stream(self, source: str, to: str, address: Address, resets: bool = False) -> Address:
-        """The TCP address at which `source` reaches what `to` has at `address`, over their links."""
+        """Returns a TCP address at which `source` reaches `address` of `to`, over their links."""
         relay = StreamRelay(address, self.link(source, to), self.link(to, source), resets)
         self._relays.append(relay)
         return await relay.open()
@@ -215,16 +226,16 @@
     # Faults.
 
     def impair(self, source: str, to: str, impairment: Impairment) -> None:
-        """Sets what is wrong with this direction while no fault is active on it."""
-        self._standing[source, to] = impairment
+        """Sets the impairment of a direction without an active fault."""
+        self._base_impairments[source, to] = impairment
         self._apply_faults()
 
     def partition(self, *sides: Collection[str]) -> None:
-        """Cuts the links between nodes of different sides; nodes of no side reach all."""
+        """Cuts the links between nodes of different sides; nodes on no side keep all links."""
         self.begin_fault(LinkFault(Kind.CUT, sides=sides))
 
     def partition_one_way(self, sources: Collection[str], targets: Collection[str]) -> None:
-        """Cuts the directions from each source to each target."""
+        """Cuts the direction from each source to each target."""
         pairs = [(source, target) for source in sources for target in targets if source != target]
         self.begin_fault(LinkFault(Kind.CUT, pairs=pairs))
 
@@ -240,13 +251,13 @@
 
     def end_fault(self, fault: LinkFault) -> None:
         """Ends an active fault."""
-        # Guards against a fault that `heal` has ended before its time.
+        # Guards against a fault that `heal` has already ended.
         if fault in self._active_faults:
             self._active_faults.remove(fault)
             self._apply_faults()
 
     def schedule(self, faults: Iterable[LinkFault]) -> None:
-        """Begins and ends faults at their times, counted from now by the loop's clock."""
+        """Schedules the beginning and end of faults, in seconds from now."""
         loop = asyncio.get_running_loop()
         for fault in faults:
             self._timers.append(loop.call_later(fault.at, self.begin_fault, fault))
@@ -255,7 +266,7 @@
 
     def _apply_faults(self) -> None:
         for pair, link in self._links.items():
-            impairment = self._standing[pair]
+            impairment = self._base_impairments[pair]
             for fault in self._active_faults:
                 if fault.applies_to(*pair):
                     impairment = APPLY[fault.kind](impairment, fault.size)
@@ -276,29 +287,29 @@
 
     def _forward(self, source: str, to: str, data: bytes) -> None:
         transport = self._transports[source]
-        # Guards against a delayed datagram that is due after `close`.
+        # Guards against sending a delayed datagram after `close`.
         if not transport.is_closing():
             transport.sendto(data, self._private[to])
 
 
-# Empty bytes are the end of the stream, None is a reset.
-ChunkQueue = asyncio.Queue[tuple[float, bytes | None]]  # when a chunk is due, and its bytes
+# Chunks of a stream with the time at which each is due; empty bytes end the stream, None resets it.
+ChunkQueue = asyncio.Queue[tuple[float, bytes | None]]
 
 
 class StreamRelay:
-    """Connections to one address, each direction over a link.
+    """Forwards connections to one address, each direction over a link.
 
-    While a link is cut it delays bytes, ends and resets, and new connections are accepted but not connected
-    on. Once it is whole they continue; with `resets`, those that had something to send meanwhile are reset.
+    While a link is cut, bytes, ends and resets wait, and new connections are accepted but not forwarded.
+    After the cut they continue; with `resets`, those that had something to send meanwhile are reset instead.
     """
 
-    def __init__(self, target: Address, outward: Link, homeward: Link, resets: bool = False) -> None:
+    def __init__(self, target: Address, to_target: Link, from_target: Link, resets: bool = False) -> None:
         self._target, self._resets = target, resets
-        self._outward, self._homeward = outward, homeward
+        self._to_target, self._from_target = to_target, from_target
         self._tasks: set[asyncio.Task[None]] = set()
 
     async def open(self) -> Address:
-        """Listens on a free port; its address."""
+        """Listens on a free port; returns the address."""
         self._listener = await asyncio.start_server(self._serve, HOST, 0)
         address: Address = self._listener.sockets[0].getsockname()
         return address
@@ -316,16 +327,16 @@
         self._tasks.add(task)
         writers = [writer]
         try:
-            await self._cross(self._outward)
-            await self._cross(self._homeward)
+            await self._wait_while_cut(self._to_target)
+            await self._wait_while_cut(self._from_target)
             target_reader, target_writer = await asyncio.open_connection(*self._target)
             writers.append(target_writer)
             async with asyncio.TaskGroup() as both_ways:
                 for source, to, link in (
-                    (reader, target_writer, self._outward),
-                    (target_reader, writer, self._homeward),
+                    (reader, target_writer, self._to_target),
+                    (target_reader, writer, self._from_target),
                 ):
-                    queue: ChunkQueue = asyncio.Queue(MAX_CHUNKS_UNDER_WAY)
+                    queue: ChunkQueue = asyncio.Queue(MAX_CHUNKS_IN_FLIGHT)
                     both_ways.create_task(self._read(source, link, queue))
                     both_ways.create_task(self._write(queue, link, to))
         except* OSError:
@@ -350,10 +361,10 @@
         while chunk:
             due, chunk = await queue.get()
             await asyncio.sleep(due - asyncio.get_running_loop().time())
-            await self._cross(link)
+            await self._wait_while_cut(link)
             if chunk and not writer.is_closing():
                 writer.write(chunk)
-                # A failure here is reported to the sender over the link back, by the other direction.
+                # The other direction reports a failure here to the sender, over its own link.
                 with suppress(OSError):
                     await writer.drain()
         if chunk is None:
@@ -361,6 +372,6 @@
         else:
             writer.write_eof()
 
-    async def _cross(self, link: Link) -> None:
-        if await link.wait_until_whole() and self._resets:
+    async def _wait_while_cut(self, link: Link) -> None:
+        if await link.wait_while_cut() and self._resets:
             raise ConnectionResetError
--- a/notchjunction/testbed/process.py
+++ b/notchjunction/testbed/process.py
@@ -1,4 +1,4 @@
-"""A real node as a process of its own, configured from a scenario."""
+"""A real node in a process of its own, configured from a scenario."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 from notchjunction.testbed.discovery import zone_name
 from notchjunction.testbed.server import REPORTED_FIELDS
 
-READY_TIMEOUT_S = 20.0  # for a node to be ready, where many start on few cores
+READY_TIMEOUT_S = 20.0  # for a node to be ready, on a machine where many start on few cores
 READY_POLL_INTERVAL_S = 0.05
-EXIT_POLL_INTERVAL_S = 0.01  # a scenario waits for little else
+EXIT_POLL_INTERVAL_S = 0.01  # short, because the end of a scenario waits mainly for this
 PROGRAM = [sys.executable, "-m", "notchjunction"]
-IDEMPOTENCY_WORDS = {idempotency: word for word, idempotency in IDEMPOTENCY.items()}
-SCOPE_WORDS = {scope: word for word, scope in DEDUPLICATION_SCOPES.items()}
+IDEMPOTENCY_NAMES = {idempotency: name for name, idempotency in IDEMPOTENCY.items()}
+SCOPE_NAMES = {scope: name for name, scope in DEDUPLICATION_SCOPES.items()}
 
 
 @dataclass(frozen=True, slots=True)
 class NodePlacement:
-    """Where a node stands: before which tier, in which zone, as one of how many."""
+    """The tier that a node balances, its zone, and the number of nodes of its tier."""
 
     tier: int
     zone: int
@@ -41,7 +41,7 @@
 
 
 def node_settings(scenario: Scenario, placement: NodePlacement) -> dict[str, Any]:
-    """The settings that the platform would give to a node of the scenario, in the file's words."""
+    """Returns the section `settings` of the configuration file, as the platform would write it."""
     return {
         "layers": [f"tier{depth}" for depth in range(len(scenario.effective_tiers))],
         "layer": placement.tier,
@@ -81,12 +81,12 @@
     return [
         {
             "name": f"p{index}",
-            "effect": IDEMPOTENCY_WORDS[request_class.idempotency],
+            "effect": IDEMPOTENCY_NAMES[request_class.idempotency],
             "contract_time": request_class.latency_objective * 1000,
             "abandon_time": request_class.deadline * 1000,
             "revenue": request_class.priority_weight,
             "tardy_revenue": request_class.late_weight,
-            "dedup_scope": SCOPE_WORDS[request_class.deduplication_scope],
+            "dedup_scope": SCOPE_NAMES[request_class.deduplication_scope],
             "window": request_class.deduplication_window * 1000,
         }
         for index, request_class in enumerate(scenario.profiles)
@@ -94,12 +94,12 @@
 
 
 class NodeProcess:
-    """A node's program with its configuration file and its log, which both outlive a restart."""
+    """A node's process with its configuration file and its log, which both remain after a restart."""
 
     def __init__(self, number: int, listen: Address, folder: Path) -> None:
         self.number = number
         self.listen = listen
-        self.config: dict[str, Any] = {}  # the content of its file
+        self.config: dict[str, Any] = {}  # the content of the file
         self._file = folder / f"node-{number}.json"
         self._log = folder / f"node-{number}.log"
         self._process: subprocess.Popen[bytes] | None = None
@@ -116,10 +116,10 @@
 
         Args:
             scenario: The source of the settings.
-            placement: Where the node stands.
+            placement: The node's tier and zone.
             discovery: The address of its discovery service.
-            known: The list that it starts with, as discovery would give it.
-            sections: Further parts of its file, as a section `fleet`.
+            known: The endpoint list that it starts with, in the format of discovery's responses.
+            sections: Further sections of the file, such as `fleet`.
         """
         self.write_config(
             {
@@ -135,14 +135,14 @@
         self.launch()
 
     def write_config(self, config: Mapping[str, Any]) -> None:
-        """Replaces the file in one step."""
+        """Replaces the file atomically."""
         self.config = dict(config)
         written = self._file.with_suffix(".new")
         written.write_text(json.dumps(self.config))
         written.replace(self._file)
 
     def launch(self) -> None:
-        """Starts the program with the file as it is."""
+        """Starts the program with the present file."""
         environment = {"PATH": os.environ.get("PATH", ""), "GW_CONFIG": str(self._file)}
         with self._log.open("ab") as log:
             self._process = subprocess.Popen(
@@ -153,11 +153,11 @@
             )
 
     async def wait_until_ready(self, clients: FakeClients) -> None:
-        """Waits until the node says that it is ready.
+        """Waits until the node reports that it is ready.
 
         Raises:
-            TimeoutError: It did not within `READY_TIMEOUT_S`.
-            RuntimeError: Its process ended first.
+            TimeoutError: It was not ready within `READY_TIMEOUT_S`.
+            RuntimeError: Its process ended before.
         """
         async with asyncio.timeout(READY_TIMEOUT_S):
             while await clients.request(self.listen, Request("GET", "/ready", {"host": "n"}), 1.0) != 200:
@@ -166,11 +166,11 @@
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
 
     def pause(self) -> None:
-        """Stops the process until `resume`; its connections stay, and its clock runs."""
+        """Suspends the process until `resume`; its connections stay open and its clock continues."""
         self._signal(signal.SIGSTOP)
 
     def resume(self) -> None:
-        """Lets a paused process run on."""
+        """Continues a paused process."""
         self._signal(signal.SIGCONT)
 
     def reload(self, config: Mapping[str, Any]) -> None:
@@ -179,30 +179,30 @@
         self._signal(signal.SIGHUP)
 
     def kill(self) -> None:
-        """Kills the process outright."""
+        """Kills the process without a shutdown."""
         self._signal(signal.SIGKILL)
 
     async def wait_until_exited(self) -> None:
-        """Waits until no process of the node is left."""
+        """Waits until the process has ended."""
         while self._process is not None and self._process.poll() is None:
             await asyncio.sleep(EXIT_POLL_INTERVAL_S)
 
     async def restart(self) -> None:
-        """Kills the process where it still runs, and starts it with the same file."""
+        """Kills the process if it still runs, and starts it with the same file."""
         self.kill()
         await self.wait_until_exited()
         self.launch()
 
     async def terminate(self) -> Mapping[str, float]:
-        """Ends the process as the platform does; the counters that it logs at its exit."""
+        """Ends the process as the platform does; returns the counters that it logs at its exit."""
         self._signal(signal.SIGTERM)
-        # Guards against a paused process, which would not receive the signal.
+        # Guards against waiting for ever for a paused process, which does not handle the signal.
         self.resume()
         await self.wait_until_exited()
         return parse_counters(self.log_lines())
 
     def log_lines(self) -> list[str]:
-        """The log so far, over all starts."""
+        """Returns the lines of the log, since the first start."""
         return self._log.read_text().splitlines() if self._log.exists() else []
 
     def _signal(self, number: signal.Signals) -> None:
@@ -211,12 +211,12 @@
 
 
 def parse_counters(lines: Sequence[str]) -> dict[str, float]:
-    """The last counters in a node's log; empty where it has none."""
+    """Returns the last counters in a node's log; empty if it has none."""
     last = next((line for line in reversed(lines) if "event=counters" in line), "")
     counters: dict[str, float] = {}
     for word in last.split():
         name, _, value = word.partition("=")
-        # Other words of the line, as its time and level, are no numbers.
+        # Other words of the line, such as its time and level, are no numbers.
         with suppress(ValueError):
             counters[name] = float(value)
     return counters
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -1,4 +1,4 @@
-"""Servers of a testbed: the emulator's model behind sockets, with a port for each node that sends."""
+"""Fake servers of the testbed: the emulator's model behind sockets, with a port for each node."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 from notchjunction.testbed.client import READ_SIZE
 
 HOST = "127.0.0.1"
-WORK_PARAMETER = "work"  # in the query: seconds of work of the request on a server of speed 1
-DEFAULT_WORK_S = 0.001  # where a request has no such parameter
+WORK_PARAMETER = "work"  # in the query: work (s) of the request on a server of speed 1
+DEFAULT_WORK_S = 0.001  # of a request without this parameter
 REPORTED_FIELDS = {
-    field: word
-    for word, field in LOAD_REPORT_FIELDS.items()
+    field: wire_name
+    for wire_name, field in LOAD_REPORT_FIELDS.items()
     if field in ("in_flight", "queued", "utilization")
 }
 RESPONSES = {
@@ -35,14 +35,18 @@
     AttemptResult.ERROR: Answer(500),
     AttemptResult.REJECTED: Answer(503, {protocol.DECLINED: "1"}),
 }
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER on with no time: a close resets the connection
+LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER, 0 s: closing resets the connection
 
-OnRequest = Callable[[int, Request], bool]  # a node, its request; whether it knows of the server's last start
-OnCallEnded = Callable[[int, Request], None]  # the same, as it is answered or its connection ends
+OnRequest = Callable[
+    [int, Request], bool
+]  # (node, request) -> whether the node was notified of the last start
+OnCallEnded = Callable[
+    [int, Request], None
+]  # (node, request), as its response is sent or its connection ends
 
 
 def bind_free_port() -> socket.socket:
-    """A TCP socket bound to a free port of the loopback address."""
+    """Returns a TCP socket that is bound to a free port of the loopback address."""
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     listener.bind((HOST, 0))
@@ -50,9 +54,9 @@
 
 
 class ServerPort:
-    """The address at which one node finds one server.
+    """The address at which one node reaches one server.
 
-    While it is `partitioned`, neither requests nor responses pass.
+    While it is `partitioned`, it drops requests and responses.
     """
 
     def __init__(self, server: FakeServer, node: int, address: Address) -> None:
@@ -68,7 +72,7 @@
         self._listener = await asyncio.start_server(self._serve, *self.address, reuse_address=True)
 
     def close(self) -> None:
-        """Refuses new connections and resets those there are."""
+        """Refuses new connections and resets the open ones."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -92,7 +96,7 @@
             pass
         finally:
             if call is not None:
-                server.cancel(call)  # a client that closes waits no longer
+                server.cancel(call)  # its client has closed the connection
                 self._server.call_ended(self, call)
             if accepted:
                 server.disconnect(generation)
@@ -100,7 +104,7 @@
             writer.close()
 
     def _handle(self, request: Request, writer: asyncio.StreamWriter, accepted: bool) -> Call | None:
-        """The call that the request begins; None for a probe, and over the server's connection limit."""
+        """Handles a request; returns its call, or None for a probe or over the connection limit."""
         if request.path != protocol.REQUEST_PATH:
             self._server.answer_probe(self, request, writer)
             return None
@@ -112,12 +116,12 @@
         return call
 
     def send(self, writer: asyncio.StreamWriter, response: Answer) -> None:
-        """Writes a response, unless the port is partitioned or the connection closing."""
+        """Writes a response unless the port is partitioned or the connection is closing."""
         if not self.partitioned and not writer.is_closing():
             writer.write(encode_answer(response))
 
     def finish_call(self, writer: asyncio.StreamWriter, call: Call, result: AttemptResult) -> None:
-        """Shows the node how a call ended: by a response, or by a reset where the result has none."""
+        """Sends the response for a call's result, or resets the connection if there is none for it."""
         if self.partitioned:
             return
         self._server.call_ended(self, call)
@@ -128,7 +132,7 @@
 
 
 def remaining_time(request: Request) -> float:
-    """Seconds to the request's deadline, as its header has it."""
+    """Returns the time (s) to the request's deadline, from its header."""
     return int(request.headers.get(protocol.DEADLINE_MS, "1000")) / 1000
 
 
@@ -140,10 +144,10 @@
 
 
 class FakeServer:
-    """One server of a scenario, on a port for each node.
+    """One server of a scenario, with a port for each node.
 
-    `on_request` is called with each request that is no probe, `on_call_ended` with the same as it leaves
-    flight, `on_probe` with the node of each probe.
+    `on_request` is called with each request that is no probe, `on_call_ended` as it is no longer in flight,
+    and `on_probe` with the node of each probe.
     """
 
     def __init__(
@@ -161,7 +165,7 @@
         self.ports: dict[int, ServerPort] = {}
 
     async def open_port(self, node: int) -> Address:
-        """Listens for one node; the address, which stays while the server is down."""
+        """Listens for one node; returns the address, which stays the same after a restart."""
         listener = bind_free_port()
         address: Address = listener.getsockname()
         listener.close()
@@ -181,7 +185,7 @@
             await port.open()
 
     def close_port(self, node: int) -> None:
-        """Closes the port of a node that has gone for good."""
+        """Closes the port of a node that has stopped for good."""
         port = self.ports.pop(node, None)
         if port is not None:
             port.close()
@@ -192,7 +196,7 @@
             port.close()
 
     def new_call(self, port: ServerPort, request: Request, writer: asyncio.StreamWriter) -> Call:
-        """A request as the emulator's model takes it; its result goes to the writer."""
+        """Returns a request as a call of the emulator's model; its result goes to the writer."""
         headers = request.headers
         query = parse_qs(urlsplit(request.target).query)
         call = Call(
@@ -208,20 +212,20 @@
         return call
 
     def call_ended(self, port: ServerPort, call: Call) -> None:
-        """Notes that a call is no longer in flight; a second report of it is ignored."""
+        """Reports that a call is no longer in flight; only the first report of a call counts."""
         request = self._calls.pop(call, None)
         if request is not None:
             self._on_call_ended(port.node, request)
 
     def answer_probe(self, port: ServerPort, request: Request, writer: asyncio.StreamWriter) -> None:
-        """Answers a health check or a load poll after the model's time, or never where the server hangs."""
+        """Responds to a health check or a load poll after the model's time; a hung server never responds."""
         self._on_probe(port.node)
         seconds = self.server.probe_seconds()
         if seconds is None:
             return
         healthy = self.server.state is EndpointState.ACTIVE
         load = self.server.report()
-        report = {word: getattr(load, field) for field, word in REPORTED_FIELDS.items()}
+        report = {wire_name: getattr(load, field) for field, wire_name in REPORTED_FIELDS.items()}
         body = json.dumps(report).encode() if request.path == protocol.LOAD_PATH else b""
         response = Answer(200 if healthy else 503, body=body)
         self._clock.after(seconds, lambda: port.send(writer, response))
