--- a/notchjunction/emulator/scenario.py
+++ b/notchjunction/emulator/scenario.py
@@ -23,7 +23,7 @@
     LOSE = "lose"  # executes a share `size` of the requests without a response
     LIE = "lie"  # multiplies the values of load reports by `size`
     DRAIN = "drain"  # listed as draining; stopped and listed as removed at the end
-    CUT = "cut"  # no messages pass between these zones and the others
+    CUT = "cut"  # no messages pass between the fault's zones and the others
     LIST_DOWN = "list-down"  # polls of discovery fail
     LIST_LATE = "list-late"  # changes are published `size` seconds later
     LIST_SPLIT = "list-split"  # polls of a share `size` of the nodes fail
@@ -47,7 +47,7 @@
 class Stream:
     """Requests of one class, at random times: `rate` per second over all nodes, from `at` to `until`."""
 
-    profile: int
+    profile: int  # number of the request class
     rate: float
     at: float = 0.0
     until: float = float("inf")
@@ -65,7 +65,7 @@
     workers: int = 2  # requests that a server executes at the same time
     slots: int = 0  # requests that it executes or that wait for the next tier; 0: as many as workers
     queue_most: int = 20  # requests that a server queues in addition
-    speeds: tuple[float, ...] = (0.7, 1.0, 1.4)
+    speeds: tuple[float, ...] = (0.7, 1.0, 1.4)  # one is drawn at random for each server
     connections_most: int = 0  # connections that a server accepts; 0: no limit
 
 
@@ -81,9 +81,7 @@
     """One run: its servers, network, discovery service, clients and faults."""
 
     name: str
-    nodes: int = (
-        3  # before the first tier; each server above the last tier has one more, before the next tier
-    )
+    nodes: int = 3  # before the first tier; before each later tier, one per server of the tier above
     servers: int = 10  # of the only tier if `tiers` is empty
     tiers: tuple[Tier, ...] = ()
     zones: int = 1
@@ -96,9 +94,7 @@
     workers: int = 2  # of the only tier, like `queue_most`
     queue_most: int = 20
     thrash: float = 0.05  # share by which each queued request slows a server down
-    overdrive_jobs: float = (
-        0.0  # queued requests per worker above which a server is overloaded; 0: no overload
-    )
+    overdrive_jobs: float = 0.0  # queued requests per worker above which a server is overloaded; 0: never
     overdrive_span: float = 2.0  # s of overload after which the server becomes slower
     overdrive_times: float = 3.0  # factor by which it becomes slower
     rest_span: float = 3.0  # s of being mostly idle after which it recovers
@@ -111,20 +107,16 @@
     connect_within: float = 0.1  # s after which connecting times out
     cold_share: float = 0.4  # of its full speed that a server has at its start
     cold_time: float = 6.0  # s of slow start
-    tip_multiple: float = 3.0  # multiple of its present capacity that takes a server in slow start down
+    tip_multiple: float = 3.0  # multiple of its capacity above which a server in slow start goes down
     tip_span: float = 2.0  # s over which its load is added up for that
     report_every: float = 0.0  # s between renewals of a server's load report; 0: always up to date
     list_delay: float = 0.5  # s until discovery publishes a change
     list_rate: float = 4.0  # polls a second that discovery serves
-    list_wait: float = (
-        1.0  # s that a poll may be queued; one that would be queued for longer is rejected at once
-    )
+    list_wait: float = 1.0  # s that a poll may be queued; one that would exceed it is rejected at once
     client_tries: int = 3  # at most, per request
     client_pause: float = 0.2  # s before a retry at least, and as much again at random
     client_patience: float = 1.0  # share of the deadline after which a client gives up a try
-    client_leaves: float = (
-        0.0  # share of tries that the client cancels after a random part of its time, without a retry
-    )
+    client_leaves: float = 0.0  # share of tries that a client cancels at a random time, without a retry
 
     @property
     def mean_work(self) -> float:
--- a/notchjunction/emulator/servers.py
+++ b/notchjunction/emulator/servers.py
@@ -135,7 +135,7 @@
         )
         self._on_cold_load = on_cold_load
         self._downstream_calls = downstream_calls
-        self.started_at = 0.0
+        self.started_at = 0.0  # s; 0: long before the run, so there is no slow start
         self.generation = 0  # changes with each stop; a connection belongs to one generation
         self.connections = 0  # open ones
         self.up = True
--- a/notchjunction/emulator/world.py
+++ b/notchjunction/emulator/world.py
@@ -28,7 +28,7 @@
     TraceRow,
 )
 
-START_TIME = 1_000_000.0  # s; Unix time at the start of a run: start times of 0 would mean "unknown"
+START_TIME = 1_000_000.0  # s; Unix time at the start of a run. A server start near 0 would mean "long ago".
 DRAIN_GRACE_S = 0.5  # after notice of a drain, in which attempts are allowed
 RETRYABLE = (FinalResponse.REJECTED,)  # after which a client may retry any request
 RETRYABLE_IF_IDEMPOTENT = (FinalResponse.REJECTED, FinalResponse.FAILED)
--- a/notchjunction/testbed/fleet_stage.py
+++ b/notchjunction/testbed/fleet_stage.py
@@ -51,8 +51,7 @@
 class FleetPart:
     """The part of an experiment that makes a scenario's nodes a fleet.
 
-    `owners` has the number of permits that each node owns; `rates` has the rates of their clocks (empty: all
-    1.0).
+    `owners` has the number of permits that each node owns; `rates` has the clocks' rates (empty: all 1.0).
     """
 
     owners: tuple[int, ...]
@@ -84,12 +83,12 @@
         self.links = links
         self.settled_at = 0.0  # s, on the stage's clock
         self._admin_addresses: dict[int, Address] = {}
-        self._private = [free_datagram_port() for _ in range(scenario.nodes)]
+        self._private_addresses = [free_datagram_port() for _ in range(scenario.nodes)]
 
     def fleet_section(self, number: int) -> dict[str, Any]:
         """Returns a node's section `fleet`; the peers' addresses are the public ones of the links."""
         name = f"n{number}"
-        listen = self._private[number]
+        listen = self._private_addresses[number]
         self.links.join(name, listen)
         owners = {f"n{node}": count for node, count in enumerate(self.part.owners)}
         return {
@@ -99,7 +98,7 @@
             "keys": [{"number": 1, "secret": SECRET}],
             "clock_drift": self.part.drift,
             "clock_rate": self.part.rates[number] if self.part.rates else 1.0,
-            "places": {f"n{node}": text_of(address) for node, address in enumerate(self._private)},
+            "places": {f"n{node}": text_of(address) for node, address in enumerate(self._private_addresses)},
             "limits": [{"name": QUOTA_NAME, "revision": 1, "owners": owners}],
         }
 
--- a/notchjunction/testbed/links.py
+++ b/notchjunction/testbed/links.py
@@ -30,7 +30,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Impairment:
-    """The impairment of one direction of a link; streams have only `delay` and `cut`. Shares from 0 to 1."""
+    """The impairment of one direction of a link; `delay` and `cut` also affect streams. Shares: 0 to 1."""
 
     loss: float = 0.0  # share of datagrams that are lost
     delay: float = 0.0  # s
--- a/notchjunction/testbed/server.py
+++ b/notchjunction/testbed/server.py
@@ -37,12 +37,8 @@
 }
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER, 0 s: closing resets the connection
 
-OnRequest = Callable[
-    [int, Request], bool
-]  # (node, request) -> whether the node was notified of the last start
-OnCallEnded = Callable[
-    [int, Request], None
-]  # (node, request), as its response is sent or its connection ends
+OnRequest = Callable[[int, Request], bool]  # (node, request) -> whether notified of the last start
+OnCallEnded = Callable[[int, Request], None]  # (node, request), after the response or with the connection
 
 
 def bind_free_port() -> socket.socket:
