--- a/notchjunction/emulator/checkers.py
+++ b/notchjunction/emulator/checkers.py
@@ -195,8 +195,8 @@
             window_rows.append(row)
             while window_rows[0].at < row.at - trace.overload_window:
                 window_rows.popleft()
-            total = sum(each.work for each in window_rows)
-            informed_work = sum(each.work for each in window_rows if each.informed)
+            total = sum(window_row.work for window_row in window_rows)
+            informed_work = sum(window_row.work for window_row in window_rows if window_row.informed)
             yield ColdWindow(row.at, row.server, total, row.allowed, informed_work / total)
 
 
