--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -17,8 +17,8 @@
 from notchjunction.balancing.interface import Idempotency, RequestClass
 from notchjunction.balancing.records import Endpoint
 from notchjunction.balancing.throughput import ServedRate
-from notchjunction.emulator.checkers import CHANCE_ROOTS, KNOWING_SHARE, cold_sum, cold_windows
-from notchjunction.emulator.node import Make, Node
+from notchjunction.emulator.checkers import MAX_EXCESS_ROOTS, MIN_INFORMED_SHARE, cold_sum, cold_windows
+from notchjunction.emulator.node import BalancerFactory, Node
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.trace import ColdLoadReceived, FinalResponse, RequestAnswered, Trace
 from notchjunction.emulator.world import World
@@ -40,26 +40,26 @@
 class Fleet(World):
     """A world whose nodes have unequal parts of the traffic and are restarted."""
 
-    def __init__(self, scenario: Scenario, deals: tuple[Deal, ...], make: Make = Balancer) -> None:
+    def __init__(self, scenario: Scenario, deals: tuple[Deal, ...], make: BalancerFactory = Balancer) -> None:
         self._weights = [1.0] * scenario.nodes
         super().__init__(scenario, make)
         for server in self.servers:
-            server.falls = False
+            server.fails_on_overload = False
         for deal in deals:
             self.after(deal.at, partial(self._begin, deal))
 
-    def _deal(self) -> Node:
+    def _choose_node(self) -> Node:
         weights = [weight * node.alive for weight, node in zip(self._weights, self.nodes, strict=True)]
         return self.random.choices(self.nodes, weights)[0]
 
     def _begin(self, deal: Deal) -> None:
         self._weights = list(deal.weights[: self.scenario.nodes])
         for number in deal.restarted:
-            self.nodes[number].die()
+            self.nodes[number].stop()
             self.after(deal.away, partial(self._return, number))
 
     def _return(self, number: int) -> None:
-        self.nodes[number] = self._node(0, self.nodes[number].zone, self.scenario.nodes)
+        self.nodes[number] = self._make_node(0, self.nodes[number].zone, self.scenario.nodes)
 
 
 def drawn(seed: int) -> tuple[Scenario, tuple[Deal, ...]]:
@@ -124,11 +124,11 @@
 
 
 def seen(story: Trace) -> Seen:
-    windows = [window for window in cold_windows(story) if window.knowing >= KNOWING_SHARE]
+    windows = [window for window in cold_windows(story) if window.informed >= MIN_INFORMED_SHARE]
     excesses = [window.excess for window in windows]
-    used = sum(window.pushed / window.allowed for window in windows) / max(1, len(windows))
+    used = sum(window.load / window.allowed for window in windows) / max(1, len(windows))
     finals = [row.final for row in story.rows if isinstance(row, RequestAnswered)]
-    over = sum(excess > CHANCE_ROOTS for excess in excesses)
+    over = sum(excess > MAX_EXCESS_ROOTS for excess in excesses)
     honoured = finals.count(FinalResponse.SUCCEEDED) / max(1, len(finals))
     return Seen(len(windows), over, max(excesses, default=-inf), used, honoured)
 
@@ -182,7 +182,7 @@
     ]
     story = Trace(tuple(rows[1:]), (), 0.0, 0.0, 10.0, overload_window=1.0)
     assert bool(list(cold_sum(story))) is is_over
-    summed = [round(window.pushed, 6) for window in cold_windows(replace(story, rows=tuple(rows)))]
+    summed = [round(window.load, 6) for window in cold_windows(replace(story, rows=tuple(rows)))]
     assert summed == [90.0, round(pushed - 2.0, 6), pushed]
     untold = replace(story, rows=tuple(replace(row, informed=False) for row in rows[1:]))
     assert list(cold_sum(untold)) == []
