--- a/notchjunction/soak/backend.py
+++ b/notchjunction/soak/backend.py
@@ -17,7 +17,7 @@
 from notchjunction.addresses import Address
 from notchjunction.http1.messages import Malformed, Request
 from notchjunction.http1.parser import RequestReader
-from notchjunction.soak.events import Attempt, ColdStart, Disposition, Journal
+from notchjunction.soak.events import Attempt, BackendStart, Disposition, Journal
 
 HOST = "127.0.0.1"
 LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
@@ -128,7 +128,7 @@
     async def restart(self, unix_now: float) -> None:
         """Comes back cold, at the same address."""
         self.started_at_ms = unix_now * 1000
-        self.journal.cold_starts.append(ColdStart(asyncio.get_running_loop().time(), self.name))
+        self.journal.backend_starts.append(BackendStart(asyncio.get_running_loop().time(), self.name))
         if self._listener is None:
             await self.open()
 
@@ -210,7 +210,7 @@
         if self._transport is None or self._transport.is_closing():
             return
         if self._open_request is not None:
-            self._backend.journal.cut_by_backend.add(self._open_request)
+            self._backend.journal.truncated_by_backend.add(self._open_request)
         with suppress(OSError):
             opened = self._transport.get_extra_info("socket")
             opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
@@ -262,11 +262,11 @@
         wire = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
         whole = trouble not in INCOMPLETE
         if whole:
-            self._backend.journal.answers_made.setdefault(name, set()).add(body)
+            self._backend.journal.response_bodies.setdefault(name, set()).add(body)
         if whole and trouble is not Trouble.DRIP:
             self._open_request = None
         else:
-            self._backend.journal.cut_by_backend.add(name)
+            self._backend.journal.truncated_by_backend.add(name)
         RESPONDERS.get(trouble, BackendConnection._send_whole)(self, wire, body)
         self._restart_idle_timer()
 
--- a/notchjunction/soak/client.py
+++ b/notchjunction/soak/client.py
@@ -86,7 +86,7 @@
     except TimeoutError:
         exchange.ended_at = loop.time()
     except asyncio.CancelledError:
-        exchange.client_left_at = loop.time()
+        exchange.cancelled_at = loop.time()
         raise
     except (OSError, Malformed):
         exchange.closed_at = loop.time()
@@ -174,7 +174,7 @@
                 return
             exchange = self._new_exchange(connection, effect, deadline)
             await self._exchange(connection, exchange, style, key)
-            crossed = exchange.closed_at is not None and exchange.client_left_at is None
+            crossed = exchange.closed_at is not None and exchange.cancelled_at is None
             if not crossed or style is not WritingStyle.PLAIN:
                 return
             connection = None
@@ -272,7 +272,7 @@
             async with asyncio.timeout(self._random.random() * exchange.deadline_seconds):
                 return await self._read_response(connection, exchange)
         except TimeoutError:
-            exchange.client_left_at = asyncio.get_running_loop().time()
+            exchange.cancelled_at = asyncio.get_running_loop().time()
         if style is WritingStyle.RESETS:
             connection.abort()
         elif style is WritingStyle.HALF_CLOSES:
@@ -344,7 +344,7 @@
             chunk = await connection.reader.read(65536)
             if not chunk:
                 raise ConnectionResetError
-            exchange.answer_begun = True
+            exchange.response_begun = True
             responses.feed(chunk)
         exchange.ended_at = asyncio.get_running_loop().time()
         exchange.status, exchange.body = response.status, response.body
--- a/notchjunction/soak/events.py
+++ b/notchjunction/soak/events.py
@@ -1,4 +1,7 @@
-"""What a soak run observed, as typed events on one monotonic clock (s); the oracle reads nothing else."""
+"""The observations of a soak run as typed events; the oracle reads nothing else.
+
+All times are seconds on one monotonic clock.
+"""
 
 from __future__ import annotations
 
@@ -9,7 +12,11 @@
 
 
 class Effect(Enum):
-    """What a second execution of a request does."""
+    """Whether a request may execute more than once.
+
+    A SAFE request may. A KEYED one has an idempotency key by which backends deduplicate it. An UNSAFE one
+    must execute at most once.
+    """
 
     SAFE = "safe"
     KEYED = "keyed"
@@ -17,49 +24,49 @@
 
 
 class Disposition(Enum):
-    """What a backend did with an attempt that it read whole."""
+    """What a backend did with an attempt that it read completely."""
 
-    EXECUTED = "executed"  # it ran, or may have run, whatever became of its answer
-    DECLINED = "declined"  # turned away before any work
+    EXECUTED = "executed"  # it ran or may have run, whether or not its response arrived
+    DECLINED = "declined"  # rejected before any work
 
 
 @dataclass(frozen=True, slots=True)
 class Attempt:
-    """A request as one backend read it."""
+    """A request as a backend received it."""
 
     first_byte_at: float
     last_byte_at: float
     backend: str
     zone: str
     request: RequestId
-    told_seconds: float  # the time left, as the node told the backend
+    time_left_seconds: float  # until its deadline, as the node reported it to the backend
     disposition: Disposition
 
 
 @dataclass(slots=True)
 class Exchange:
-    """One request as its client saw it, from its first byte to its end."""
+    """A request as its client saw it, from its first byte to its end."""
 
     request: RequestId
     node: str
     effect: Effect
     deadline_seconds: float
     began_at: float
-    sent_at: float | None = None  # its last byte was written; None while it was not
+    sent_at: float | None = None  # when its last byte was written; None before that
     first_on_connection: bool = True
-    ended_at: float | None = None
-    status: int | None = None  # of a whole answer
+    ended_at: float | None = None  # when the complete response arrived or the client's timeout expired
+    status: int | None = None  # of a complete response
     body: bytes = b""
-    client_left_at: float | None = None
-    closed_at: float | None = None  # the node ended the connection without a whole answer
-    answer_begun: bool = False  # part of an answer came
-    closing: bool = False  # the answer says that the connection closes after it
-    malformed: bool = False  # not a request that the protocol allows
+    cancelled_at: float | None = None  # when the client closed the connection
+    closed_at: float | None = None  # when the node closed the connection without a complete response
+    response_begun: bool = False  # part of a response arrived
+    closing: bool = False  # the response has Connection: close
+    malformed: bool = False  # the protocol does not allow the request
 
 
 @dataclass(frozen=True, slots=True)
 class Notified:
-    """Discovery wrote to a node that a backend has this status."""
+    """Discovery wrote the status of a backend to a node."""
 
     at: float
     node: str
@@ -69,7 +76,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """Discovery has a change, whoever hears of it."""
+    """The status of a backend changed in discovery's list, whether or not any node was notified."""
 
     at: float
     backend: str
@@ -78,7 +85,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Reachable:
-    """Whether a node's calls can reach discovery from now on."""
+    """A node became able or unable to reach discovery."""
 
     at: float
     node: str
@@ -86,61 +93,63 @@
 
 
 @dataclass(frozen=True, slots=True)
-class ColdStart:
-    """A backend started: until it is warm, all nodes together may send it a budget alone."""
+class BackendStart:
+    """A backend started; during its slow start, all nodes together must keep within its budget."""
 
     at: float
     backend: str
 
 
 @dataclass(frozen=True, slots=True)
-class Killed:
-    """A node process ended: by SIGKILL after a SIGTERM, by SIGKILL out of the blue, or by itself."""
+class ProcessExit:
+    """A node process exited: after SIGTERM, by SIGKILL, or by itself."""
 
     at: float
     node: str
-    terminated_at: float | None  # when it got SIGTERM
+    terminated_at: float | None  # when SIGTERM was sent to it; None if it wasn't
     exit_code: int
 
 
 @dataclass(frozen=True, slots=True)
 class Upgrade:
-    """Two processes of a node ran side by side; what discovery wrote to one, the other may not know."""
+    """Two processes of a node ran side by side.
+
+    A notification that discovery wrote to one of them may be unknown to the other.
+    """
 
     node: str
     began_at: float
-    ready_at: float  # the later one said yes, or ended
+    ready_at: float  # when the successor became ready or exited
 
 
 @dataclass(slots=True)
 class Journal:
-    """All observations of one run, in order of time within each list."""
+    """All observations of one run; each list is in order of time."""
 
     attempts: list[Attempt] = field(default_factory=list)
     exchanges: list[Exchange] = field(default_factory=list)
     notified: list[Notified] = field(default_factory=list)
     published: list[Published] = field(default_factory=list)
     reachable: list[Reachable] = field(default_factory=list)
-    cold_starts: list[ColdStart] = field(default_factory=list)
-    killed: list[Killed] = field(default_factory=list)
+    backend_starts: list[BackendStart] = field(default_factory=list)
+    process_exits: list[ProcessExit] = field(default_factory=list)
     upgrades: list[Upgrade] = field(default_factory=list)
-    answers_made: dict[RequestId, set[bytes]] = field(default_factory=dict)
-    cut_by_backend: set[RequestId] = field(default_factory=set)  # whose answer a backend broke off
+    response_bodies: dict[RequestId, set[bytes]] = field(default_factory=dict)  # generated by backends
+    # Requests whose response a backend truncated or may still truncate.
+    truncated_by_backend: set[RequestId] = field(default_factory=set)
     node_errors: list[str] = field(default_factory=list)
-    stalls: list[tuple[float, float]] = field(
-        default_factory=list
-    )  # when, and by how much the harness was late
-    pauses: list[tuple[float, float, str]] = field(
-        default_factory=list
-    )  # from, until: a node that was stopped
-
-    def lateness(self, since: float, until: float) -> float:
-        """Seconds by which this harness may have seen something late that happened in that span."""
-        late = (seconds for at, seconds in self.stalls if since - 1.0 <= at <= until + 1.0)
-        return max(late, default=0.0)
-
-    def held_up(self, node: str, since: float, until: float) -> float:
-        """Seconds for which a node was stopped within that span."""
+    # When the harness's event loop was late, and by how many seconds.
+    stalls: list[tuple[float, float]] = field(default_factory=list)
+    # Beginning, end and name of a node that was stopped by SIGSTOP.
+    pauses: list[tuple[float, float, str]] = field(default_factory=list)
+
+    def harness_delay(self, since: float, until: float) -> float:
+        """Returns the seconds by which the harness may have observed an event of this span late."""
+        delays = (seconds for at, seconds in self.stalls if since - 1.0 <= at <= until + 1.0)
+        return max(delays, default=0.0)
+
+    def paused_seconds(self, node: str, since: float, until: float) -> float:
+        """Returns the seconds for which a node was stopped within this span."""
         return sum(
             max(0.0, min(end, until) - max(begin, since)) for begin, end, name in self.pauses if name == node
         )
--- a/notchjunction/soak/node.py
+++ b/notchjunction/soak/node.py
@@ -14,7 +14,7 @@
 
 from notchjunction.addresses import Address, text_of
 from notchjunction.soak import shim
-from notchjunction.soak.events import Journal, Killed, Upgrade
+from notchjunction.soak.events import Journal, ProcessExit, Upgrade
 from notchjunction.testbed.process import parse_counters
 
 READY_TIMEOUT_S = 30.0  # for a node to be ready, on a busy machine
@@ -220,7 +220,7 @@
 
     def _record_end(self, exit_code: int) -> None:
         now = asyncio.get_running_loop().time()
-        self._journal.killed.append(Killed(now, self.name, self.terminated_at, exit_code))
+        self._journal.process_exits.append(ProcessExit(now, self.name, self.terminated_at, exit_code))
         self.terminated_at = None
 
     async def _wait_until_exited(self, process: subprocess.Popen[bytes]) -> None:
--- a/notchjunction/soak/oracle.py
+++ b/notchjunction/soak/oracle.py
@@ -1,6 +1,6 @@
-"""The invariants that a soak run is judged by, from its observations alone.
+"""The invariants that the observations of a soak run must satisfy.
 
-It shares no code with the node, so that it does not share its faults.
+The checks share no code with the node, so a fault in the node's code can't hide itself here.
 """
 
 from __future__ import annotations
@@ -11,24 +11,34 @@
 from dataclasses import dataclass
 from math import inf, sqrt
 
-from notchjunction.soak.events import Attempt, ColdStart, Disposition, Effect, Exchange, Journal, RequestId
-
-RESPONSE_SLACK_S = (
-    0.5  # s past its deadline up to which an answer only earns nothing; later it counts as lost
-)
-CANCEL_SLACK_S = 0.1  # s after its client closed from which no attempt may begin
-DEADLINE_SLACK_S = 0.15  # s by which the time told to a backend may exceed what the client has left
-DRAIN_GRACE_S = 0.55  # s after a node was notified within which it may still send; the rule's, on sockets
-UPGRADE_GRACE_S = 2.0  # s after the later process's yes from which word to either of a node's two binds both
-NOTIFICATION_LIMIT_S = 6.0  # s after discovery had a change and could be reached from which it counts
-UNREAD_SPAN_S = 0.05  # s after its last byte within which a close may have crossed a request
-NETWORK_SLACK_S = 0.02  # s that a byte may take on loopback between two busy processes
-SMALL_BUDGET = 30  # calls under which a cold backend's budget is widened by three roots instead of two
+from notchjunction.soak.events import Attempt, BackendStart, Disposition, Effect, Exchange, Journal, RequestId
+
+# A response up to this long past the deadline earns nothing; a later one counts as lost.
+RESPONSE_SLACK_S = 0.5
+# No attempt may begin later than this after the client closed its connection.
+CANCEL_SLACK_S = 0.1
+# The time left that a node reports to a backend may exceed the client's by this much.
+DEADLINE_SLACK_S = 0.15
+# A node may still send to a backend for this long after it was notified that the backend drains; the
+# protocol's limit for nodes on sockets.
+DRAIN_GRACE_S = 0.55
+# During an upgrade, a notification written to either process of a node applies to both processes from this
+# long after the successor became ready.
+UPGRADE_GRACE_S = 2.0
+# A node counts as notified of a change this long after discovery had it and the node could reach discovery.
+NOTIFICATION_LIMIT_S = 6.0
+# The node may have closed its connection before it read a request whose last byte was sent this recently.
+UNREAD_SPAN_S = 0.05
+# Delay of a byte on loopback between two busy processes.
+NETWORK_SLACK_S = 0.02
+# Requests; a smaller budget of a backend in slow start is exceeded by chance more easily, so three square
+# roots are added to it instead of two.
+SMALL_BUDGET = 30
 
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """One broken invariant."""
+    """A violated invariant."""
 
     invariant: str
     at: float
@@ -40,289 +50,357 @@
 
 @dataclass(frozen=True, slots=True)
 class Limits:
-    """What the settings of the run allow."""
+    """The limits that the settings of the run define."""
 
-    key_window: float  # s for which a zone remembers a key
-    cold_time: float  # s until a backend is warm
-    cold_share: float  # of its capacity that a backend has as it starts
-    fall_multiple: float
-    fall_span: float  # s
-    capacity: float  # calls a second of a warm backend
+    deduplication_window: float  # seconds for which the backends of a zone remember an idempotency key
+    slow_start_time: float  # seconds from the start of a backend until it has its full capacity
+    slow_start_share: float  # capacity of a backend right after its start, as a share of the full one
+    overload_multiple: float  # times its capacity that a backend in slow start may receive
+    overload_span: float  # seconds over which the requests to a backend in slow start are counted
+    capacity: float  # requests per second of a backend past its slow start
 
 
 Check = Callable[[Journal, Limits], Iterator[Violation]]
 
 
 def violations(journal: Journal, limits: Limits) -> list[Violation]:
-    """All that was broken, in order of time."""
+    """Returns all violations in order of time."""
     found = [violation for check in CHECKS for violation in check(journal, limits)]
     return sorted(found, key=lambda violation: violation.at)
 
 
 def attempts_by_request(journal: Journal) -> Mapping[RequestId, list[Attempt]]:
-    found: dict[RequestId, list[Attempt]] = defaultdict(list)
+    """Groups the attempts by request."""
+    grouped: dict[RequestId, list[Attempt]] = defaultdict(list)
     for attempt in journal.attempts:
-        found[attempt.request].append(attempt)
-    return found
+        grouped[attempt.request].append(attempt)
+    return grouped
 
 
-def every_request_is_answered(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """Each request that a node took gets one whole answer, at the latest half a second past its deadline."""
+def check_requests_are_answered(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """Each request that a node read gets one complete response, at most 0.5 s past its deadline."""
     attempts = attempts_by_request(journal)
-    killed = _kills_without_notice(journal)
-    for each in journal.exchanges:
-        if each.malformed or each.sent_at is None or each.client_left_at is not None:
+    kills = _kills_without_notice(journal)
+    for exchange in journal.exchanges:
+        if exchange.malformed or exchange.sent_at is None or exchange.cancelled_at is not None:
             continue
-        due = each.sent_at + each.deadline_seconds + RESPONSE_SLACK_S
-        ended = each.ended_at if each.ended_at is not None else each.closed_at
-        if any(each.sent_at <= at <= (ended or inf) + 1.0 for at in killed.get(each.node, ())):
+        due = exchange.sent_at + exchange.deadline_seconds + RESPONSE_SLACK_S
+        ended = exchange.ended_at if exchange.ended_at is not None else exchange.closed_at
+        if any(exchange.sent_at <= at <= (ended or inf) + 1.0 for at in kills.get(exchange.node, ())):
             continue
-        slack = journal.lateness(each.sent_at, due) + journal.held_up(each.node, each.sent_at, due)
-        if each.status is not None:
-            assert each.ended_at is not None
-            if each.ended_at > due + slack:
+        slack = journal.harness_delay(exchange.sent_at, due) + journal.paused_seconds(
+            exchange.node, exchange.sent_at, due
+        )
+        if exchange.status is not None:
+            assert exchange.ended_at is not None
+            if exchange.ended_at > due + slack:
                 yield Violation(
-                    "lost", each.ended_at, f"{_name(each)} answered {each.ended_at - due:.3f} s late"
+                    "lost",
+                    exchange.ended_at,
+                    f"{_describe(exchange)} answered {exchange.ended_at - due:.3f} s late",
                 )
-        elif each.closed_at is not None:
-            if each.answer_begun and each.request in journal.cut_by_backend:
-                continue  # the client can tell that it is not whole, and the node is not to blame
-            forwarded = attempts.get(each.request, [])
-            unread = each.closed_at <= each.sent_at + UNREAD_SPAN_S + slack
+        elif exchange.closed_at is not None:
+            if exchange.response_begun and exchange.request in journal.truncated_by_backend:
+                continue  # the backend truncated the response, and the close shows that to the client
+            forwarded = attempts.get(exchange.request, [])
+            unread = exchange.closed_at <= exchange.sent_at + UNREAD_SPAN_S + slack
             if forwarded:
-                yield Violation("lost", each.closed_at, f"{_name(each)} forwarded, then closed unanswered")
+                yield Violation(
+                    "lost", exchange.closed_at, f"{_describe(exchange)} forwarded, then closed unanswered"
+                )
             elif not unread:
-                yield Violation("lost", each.closed_at, f"{_name(each)} read, then closed unanswered")
-        elif each.ended_at is not None:
-            yield Violation("lost", each.ended_at, f"{_name(each)} got no answer by its deadline")
+                yield Violation(
+                    "lost", exchange.closed_at, f"{_describe(exchange)} read, then closed unanswered"
+                )
+        elif exchange.ended_at is not None:
+            yield Violation("lost", exchange.ended_at, f"{_describe(exchange)} timed out without a response")
 
 
-def answers_are_what_a_backend_made(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """A success carries the body that some backend made for this very request."""
-    for each in journal.exchanges:
+def check_bodies_are_from_backends(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """A response with status 200 has the body that some backend generated for this request."""
+    for exchange in journal.exchanges:
         if (
-            each.status == 200
-            and not each.malformed
-            and each.body not in journal.answers_made.get(each.request, ())
+            exchange.status == 200
+            and not exchange.malformed
+            and exchange.body not in journal.response_bodies.get(exchange.request, ())
         ):
-            assert each.ended_at is not None
+            assert exchange.ended_at is not None
             yield Violation(
-                "lost", each.ended_at, f"{_name(each)} answered with {each.body[:60]!r}, made by nobody"
+                "lost",
+                exchange.ended_at,
+                f"{_describe(exchange)} answered with {exchange.body[:60]!r}, which no backend sent",
             )
 
 
-def nothing_is_sent_after_its_end(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """No attempt begins after its request was answered, or over 0.1 s after its client closed."""
+def check_nothing_is_sent_after_the_end(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """No attempt begins after the response to its request, or over 0.1 s after its client closed."""
     attempts = attempts_by_request(journal)
-    for each in journal.exchanges:
-        left = each.client_left_at
-        for attempt in attempts.get(each.request, ()):
-            late = journal.lateness(attempt.first_byte_at, attempt.last_byte_at) + NETWORK_SLACK_S
-            late += journal.held_up(each.node, attempt.first_byte_at - 1.0, attempt.first_byte_at)
-            if left is not None and attempt.first_byte_at > left + CANCEL_SLACK_S + late:
-                after = attempt.first_byte_at - left
+    for exchange in journal.exchanges:
+        cancelled_at = exchange.cancelled_at
+        for attempt in attempts.get(exchange.request, ()):
+            slack = journal.harness_delay(attempt.first_byte_at, attempt.last_byte_at) + NETWORK_SLACK_S
+            slack += journal.paused_seconds(exchange.node, attempt.first_byte_at - 1.0, attempt.first_byte_at)
+            if cancelled_at is not None and attempt.first_byte_at > cancelled_at + CANCEL_SLACK_S + slack:
+                delay = attempt.first_byte_at - cancelled_at
                 yield Violation(
-                    "lost", attempt.first_byte_at, f"{_name(each)} sent {after:.3f} s after its client closed"
+                    "lost",
+                    attempt.first_byte_at,
+                    f"{_describe(exchange)} sent {delay:.3f} s after its client closed",
+                )
+            answered_at = exchange.ended_at if exchange.status is not None else None
+            if answered_at is not None and attempt.first_byte_at > answered_at + slack:
+                yield Violation(
+                    "lost", attempt.first_byte_at, f"{_describe(exchange)} sent after its response"
                 )
-            answered = each.ended_at if each.status is not None else None
-            if answered is not None and attempt.first_byte_at > answered + late:
-                yield Violation("lost", attempt.first_byte_at, f"{_name(each)} sent after its answer")
 
 
-def deadlines_told_are_true(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """The time left that a backend is told is at most what the client has left, with 0.15 s of slack."""
-    by_request = {each.request: each for each in journal.exchanges}
+def check_reported_deadlines(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """The time left that a node reports to a backend exceeds the client's by at most 0.15 s."""
+    exchanges = {exchange.request: exchange for exchange in journal.exchanges}
     for attempt in journal.attempts:
-        each = by_request.get(attempt.request)
-        if each is None or each.sent_at is None:
+        exchange = exchanges.get(attempt.request)
+        if exchange is None or exchange.sent_at is None:
             continue
-        left = each.sent_at + each.deadline_seconds - attempt.first_byte_at
-        slack = DEADLINE_SLACK_S + NETWORK_SLACK_S + journal.lateness(each.sent_at, attempt.first_byte_at)
-        slack += journal.held_up(each.node, each.sent_at, attempt.first_byte_at)
-        if attempt.told_seconds > left + slack:
-            text = f"{_name(each)} told {attempt.told_seconds:.3f} s with {left:.3f} s left"
+        time_left = exchange.sent_at + exchange.deadline_seconds - attempt.first_byte_at
+        slack = (
+            DEADLINE_SLACK_S
+            + NETWORK_SLACK_S
+            + journal.harness_delay(exchange.sent_at, attempt.first_byte_at)
+        )
+        slack += journal.paused_seconds(exchange.node, exchange.sent_at, attempt.first_byte_at)
+        if attempt.time_left_seconds > time_left + slack:
+            text = (
+                f"{_describe(exchange)} sent with a deadline of {attempt.time_left_seconds:.3f} s"
+                f" when {time_left:.3f} s were left"
+            )
             yield Violation("lost", attempt.first_byte_at, text)
 
 
-def effects_happen_at_most_once(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """An unsafe request executes once; a keyed one again only where, and while, its repeat is dropped."""
+def check_effects_happen_once(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """A request without a key executes once; one with a key again only where backends deduplicate it.
+
+    Backends deduplicate within a zone, for the length of the deduplication window.
+    """
     attempts = attempts_by_request(journal)
-    for each in journal.exchanges:
-        executed = [one for one in attempts.get(each.request, ()) if one.disposition is Disposition.EXECUTED]
-        executed.sort(key=lambda one: one.last_byte_at)
-        for again in executed[1:]:
-            if each.effect is Effect.UNSAFE:
+    for exchange in journal.exchanges:
+        executed = [
+            attempt
+            for attempt in attempts.get(exchange.request, ())
+            if attempt.disposition is Disposition.EXECUTED
+        ]
+        executed.sort(key=lambda attempt: attempt.last_byte_at)
+        for repeat in executed[1:]:
+            if exchange.effect is Effect.UNSAFE:
                 yield Violation(
-                    "duplicate", again.last_byte_at, f"{_name(each)} executed again at {again.backend}"
+                    "duplicate",
+                    repeat.last_byte_at,
+                    f"{_describe(exchange)} executed again at {repeat.backend}",
                 )
-            elif each.effect is Effect.KEYED:
+            elif exchange.effect is Effect.KEYED:
                 first = executed[0]
-                late = journal.lateness(first.first_byte_at, again.last_byte_at)
-                after = again.last_byte_at - first.last_byte_at
-                if again.zone != first.zone:
-                    text = f"{_name(each)} executed in {first.zone} and {again.zone}"
-                    yield Violation("duplicate", again.last_byte_at, text)
-                elif after > limits.key_window + late:
-                    text = f"{_name(each)} executed again {after:.3f} s later, past its window"
-                    yield Violation("duplicate", again.last_byte_at, text)
-        refused = each.status in (429, 503) and each.effect is not Effect.SAFE
-        if refused and executed:
-            assert each.ended_at is not None
-            yield Violation("duplicate", each.ended_at, f"{_name(each)} refused though it was executed")
-
-
-def nothing_goes_to_drained_backends(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """Past the grace after a node was notified, or counts as notified, it sends nothing to that backend."""
-    nodes = {each.request: each.node for each in journal.exchanges}
-    notified = _drained_since(journal)
+                slack = journal.harness_delay(first.first_byte_at, repeat.last_byte_at)
+                delay = repeat.last_byte_at - first.last_byte_at
+                if repeat.zone != first.zone:
+                    text = f"{_describe(exchange)} executed in {first.zone} and {repeat.zone}"
+                    yield Violation("duplicate", repeat.last_byte_at, text)
+                elif delay > limits.deduplication_window + slack:
+                    text = (
+                        f"{_describe(exchange)} executed again {delay:.3f} s later,"
+                        " past its deduplication window"
+                    )
+                    yield Violation("duplicate", repeat.last_byte_at, text)
+        rejected = exchange.status in (429, 503) and exchange.effect is not Effect.SAFE
+        if rejected and executed:
+            assert exchange.ended_at is not None
+            yield Violation(
+                "duplicate", exchange.ended_at, f"{_describe(exchange)} rejected although it was executed"
+            )
+
+
+def check_draining_backends_get_nothing(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """A node sends nothing to a draining backend once the grace after its notification has passed."""
+    nodes = {exchange.request: exchange.node for exchange in journal.exchanges}
+    notified_since = _notified_of_drain(journal)
     for attempt in journal.attempts:
         node = nodes.get(attempt.request)
         if node is None:
             continue
         at = attempt.first_byte_at
-        late = journal.lateness(at - DRAIN_GRACE_S, at) + NETWORK_SLACK_S
-        since = _binding(journal, node, notified(node, attempt.backend, at))
-        if since is not None and at > since + DRAIN_GRACE_S + late:
+        slack = journal.harness_delay(at - DRAIN_GRACE_S, at) + NETWORK_SLACK_S
+        since = _after_upgrade(journal, node, notified_since(node, attempt.backend, at))
+        if since is not None and at > since + DRAIN_GRACE_S + slack:
             text = f"{node} sent {attempt.request} to {attempt.backend}, notified {at - since:.3f} s ago"
             yield Violation("drain", at, text)
 
 
-def _binding(journal: Journal, node: str, since: float | None) -> float | None:
-    """The same, or what comes later: when it binds both processes of a node, where two ran side by side."""
+def _after_upgrade(journal: Journal, node: str, since: float | None) -> float | None:
+    """Postpones a notification received during an upgrade until it applies to both processes of the node."""
     for upgrade in journal.upgrades:
-        binds_at = upgrade.ready_at + UPGRADE_GRACE_S
-        if since is not None and upgrade.node == node and upgrade.began_at <= since < binds_at:
-            since = binds_at
+        applies_at = upgrade.ready_at + UPGRADE_GRACE_S
+        if since is not None and upgrade.node == node and upgrade.began_at <= since < applies_at:
+            since = applies_at
     return since
 
 
-def cold_backends_are_spared(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """All nodes that were told of it stay within a cold backend's budget over each span, with the slack."""
+def check_slow_start_budgets(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """All nodes together keep within the budget of a backend in slow start.
+
+    Counted are the attempts of nodes that were notified of its start, over each span of `overload_span`
+    seconds. Random arrivals may exceed the budget by a few of its square roots.
+    """
     arrivals: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in journal.attempts:
         arrivals[attempt.backend].append(attempt)
-    knows = _knows_start(journal)
-    for start in journal.cold_starts:
+    was_notified = _notified_of_start(journal)
+    for start in journal.backend_starts:
         times = sorted(
             attempt.last_byte_at
             for attempt in arrivals.get(start.backend, ())
-            if attempt.last_byte_at >= start.at and knows(attempt, start)
+            if attempt.last_byte_at >= start.at and was_notified(attempt, start)
         )
         for index, at in enumerate(times):
             age = at - start.at
-            if age > limits.cold_time:
+            if age > limits.slow_start_time:
                 break
-            warm = limits.cold_share + (1 - limits.cold_share) * age / limits.cold_time
-            budget = limits.fall_multiple * limits.capacity * warm * limits.fall_span
-            roots = 3 * sqrt(budget) + 3 if budget < SMALL_BUDGET else 2 * sqrt(budget) + 2
-            sent = index + 1 - bisect_right(times, at - limits.fall_span)
-            if sent > budget + roots:
-                text = f"{start.backend} got {sent} calls cold, for {budget:.1f} and {roots:.1f} of chance"
+            share = limits.slow_start_share + (1 - limits.slow_start_share) * age / limits.slow_start_time
+            budget = limits.overload_multiple * limits.capacity * share * limits.overload_span
+            tolerance = 3 * sqrt(budget) + 3 if budget < SMALL_BUDGET else 2 * sqrt(budget) + 2
+            count = index + 1 - bisect_right(times, at - limits.overload_span)
+            if count > budget + tolerance:
+                text = (
+                    f"{start.backend} got {count} requests in slow start,"
+                    f" over a budget of {budget:.1f} plus {tolerance:.1f} for chance"
+                )
                 yield Violation("failback", at, text)
                 break
 
 
-def _knows_start(journal: Journal) -> Callable[[Attempt, ColdStart], bool]:
-    """Whether the node of an attempt was told that its backend started, or counts as told."""
-    nodes = {each.request: each.node for each in journal.exchanges}
-    told: dict[tuple[str, str], list[float]] = defaultdict(list)
-    for row in journal.notified:
-        told[row.node, row.backend].append(row.at)
+def _notified_of_start(journal: Journal) -> Callable[[Attempt, BackendStart], bool]:
+    """Returns a function that tells whether an attempt's node was notified of a start, or counts as such."""
+    nodes = {exchange.request: exchange.node for exchange in journal.exchanges}
+    notifications: dict[tuple[str, str], list[float]] = defaultdict(list)
+    for notification in journal.notified:
+        notifications[notification.node, notification.backend].append(notification.at)
 
-    def knows(attempt: Attempt, start: ColdStart) -> bool:
+    def was_notified(attempt: Attempt, start: BackendStart) -> bool:
         at = attempt.first_byte_at
-        times = told.get((nodes.get(attempt.request, ""), start.backend), [])
-        return at >= start.at + NOTIFICATION_LIMIT_S or any(start.at <= heard <= at for heard in times)
+        times = notifications.get((nodes.get(attempt.request, ""), start.backend), [])
+        return at >= start.at + NOTIFICATION_LIMIT_S or any(
+            start.at <= notified_at <= at for notified_at in times
+        )
 
-    return knows
+    return was_notified
 
 
-def nodes_end_soundly(journal: Journal, limits: Limits) -> Iterator[Violation]:
-    """A node ends with 0 after SIGTERM and never by itself, and fails at nothing of its own."""
-    for killed in journal.killed:
-        if killed.terminated_at is None and killed.exit_code != -9:
-            yield Violation("crash", killed.at, f"{killed.node} ended by itself with {killed.exit_code}")
-        elif killed.terminated_at is not None and killed.exit_code not in (0, -9):
-            yield Violation("crash", killed.at, f"{killed.node} ended with {killed.exit_code} after SIGTERM")
+def check_nodes_exit_cleanly(journal: Journal, limits: Limits) -> Iterator[Violation]:
+    """A node exits only after SIGTERM, and with 0; it logs no error."""
+    for process_exit in journal.process_exits:
+        if process_exit.terminated_at is None and process_exit.exit_code != -9:
+            yield Violation(
+                "crash",
+                process_exit.at,
+                f"{process_exit.node} exited by itself with {process_exit.exit_code}",
+            )
+        elif process_exit.terminated_at is not None and process_exit.exit_code not in (0, -9):
+            yield Violation(
+                "crash",
+                process_exit.at,
+                f"{process_exit.node} exited with {process_exit.exit_code} after SIGTERM",
+            )
     for error in journal.node_errors:
         yield Violation("failure", 0.0, error)
 
 
 CHECKS: tuple[Check, ...] = (
-    every_request_is_answered,
-    answers_are_what_a_backend_made,
-    nothing_is_sent_after_its_end,
-    deadlines_told_are_true,
-    effects_happen_at_most_once,
-    nothing_goes_to_drained_backends,
-    cold_backends_are_spared,
-    nodes_end_soundly,
+    check_requests_are_answered,
+    check_bodies_are_from_backends,
+    check_nothing_is_sent_after_the_end,
+    check_reported_deadlines,
+    check_effects_happen_once,
+    check_draining_backends_get_nothing,
+    check_slow_start_budgets,
+    check_nodes_exit_cleanly,
 )
 
 
-def _name(each: Exchange) -> str:
-    return f"{each.request} ({each.effect.value}, at {each.node}, sent {each.sent_at or 0:.3f})"
+def _describe(exchange: Exchange) -> str:
+    return (
+        f"{exchange.request} ({exchange.effect.value}, at {exchange.node}, sent {exchange.sent_at or 0:.3f})"
+    )
 
 
 def _kills_without_notice(journal: Journal) -> Mapping[str, list[float]]:
-    """By node, when it was killed outright: what it held then is nobody's fault."""
-    found: dict[str, list[float]] = defaultdict(list)
-    for killed in journal.killed:
-        if killed.terminated_at is None and killed.exit_code == -9:
-            found[killed.node].append(killed.at)
-    return found
-
-
-def _drained_since(journal: Journal) -> Callable[[str, str, float], float | None]:
-    """For a node, a backend and a moment: since when the node counts as notified that it drains."""
-    told: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
-    for row in journal.notified:
-        told[row.node, row.backend].append((row.at, inf if row.active else row.at))
-    counts = _counted_notifications(journal)
+    """Returns the times of SIGKILLs without a SIGTERM by node; requests in flight then may be lost."""
+    kills: dict[str, list[float]] = defaultdict(list)
+    for process_exit in journal.process_exits:
+        if process_exit.terminated_at is None and process_exit.exit_code == -9:
+            kills[process_exit.node].append(process_exit.at)
+    return kills
+
+
+def _notified_of_drain(journal: Journal) -> Callable[[str, str, float], float | None]:
+    """Returns a function of a node, a backend and a time.
+
+    It returns since when the node is notified, or counts as notified, that the backend drains; None where it
+    isn't.
+    """
+    notifications: dict[tuple[str, str], list[tuple[float, float]]] = defaultdict(list)
+    for notification in journal.notified:
+        notifications[notification.node, notification.backend].append(
+            (notification.at, inf if notification.active else notification.at)
+        )
+    counted_since = _counted_notifications(journal)
 
     def since(node: str, backend: str, at: float) -> float | None:
-        rows = told.get((node, backend), [])
+        rows = notifications.get((node, backend), [])
         index = bisect_right([row[0] for row in rows], at)
-        heard = inf
-        for when, drained in rows[:index]:
-            heard = inf if drained == inf else min(heard, when)
-        last_word = rows[index - 1][0] if index else -inf
-        counted = counts(node, backend, at)
-        if counted is not None and counted < last_word and heard == inf:
-            counted = None  # it was told since that the backend is active
-        earliest = min(heard, counted if counted is not None else inf)
+        notified_at = inf
+        for row_at, drained_at in rows[:index]:
+            notified_at = inf if drained_at == inf else min(notified_at, row_at)
+        last_notified_at = rows[index - 1][0] if index else -inf
+        counted_at = counted_since(node, backend, at)
+        if counted_at is not None and counted_at < last_notified_at and notified_at == inf:
+            counted_at = None  # a later notification said that the backend is active
+        earliest = min(notified_at, counted_at if counted_at is not None else inf)
         return earliest if earliest < inf else None
 
     return since
 
 
 def _counted_notifications(journal: Journal) -> Callable[[str, str, float], float | None]:
-    """The same whether or not the node heard: 6 s after discovery had it and could be reached by the node."""
+    """Returns a function of a node, a backend and a time, independent of actual notifications.
+
+    It returns since when the node counts as notified that the backend drains: 6 s after discovery had the
+    change and the node could reach discovery.
+    """
     changes: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-    for row in journal.published:
-        changes[row.backend].append((row.at, row.active))
-    reached: dict[str, list[tuple[float, bool]]] = defaultdict(list)
-    for reach in journal.reachable:
-        reached[reach.node].append((reach.at, reach.reachable))
-
-    def counted(node: str, backend: str, at: float) -> float | None:
-        drained: float | None = None
-        for when, active in changes.get(backend, ()):
-            if when > at:
+    for published in journal.published:
+        changes[published.backend].append((published.at, published.active))
+    reachability: dict[str, list[tuple[float, bool]]] = defaultdict(list)
+    for change in journal.reachable:
+        reachability[change.node].append((change.at, change.reachable))
+
+    def counted_since(node: str, backend: str, at: float) -> float | None:
+        drained_at: float | None = None
+        for changed_at, active in changes.get(backend, ()):
+            if changed_at > at:
                 break
-            drained = None if active else (when if drained is None else drained)
-        if drained is None:
+            drained_at = None if active else (changed_at if drained_at is None else drained_at)
+        if drained_at is None:
             return None
-        began: float | None = None
-        for when, reachable in reached.get(node, ()):
-            if when > at:
+        reachable_since: float | None = None
+        for changed_at, reachable in reachability.get(node, ()):
+            if changed_at > at:
                 break
-            if began is not None and when - max(began, drained) >= NOTIFICATION_LIMIT_S:
-                break  # it counts already, whatever came later
-            began = when if reachable else None
-        if began is None:
+            if (
+                reachable_since is not None
+                and changed_at - max(reachable_since, drained_at) >= NOTIFICATION_LIMIT_S
+            ):
+                break  # counts as notified already, whatever changed later
+            reachable_since = changed_at if reachable else None
+        if reachable_since is None:
             return None
-        due = max(began, drained) + NOTIFICATION_LIMIT_S
-        return due if due <= at else None
+        counted_at = max(reachable_since, drained_at) + NOTIFICATION_LIMIT_S
+        return counted_at if counted_at <= at else None
 
-    return counted
+    return counted_since
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -10,13 +10,13 @@
 from notchjunction.soak.__main__ import play, seeds_in
 from notchjunction.soak.events import (
     Attempt,
-    ColdStart,
+    BackendStart,
     Disposition,
     Effect,
     Exchange,
     Journal,
-    Killed,
     Notified,
+    ProcessExit,
     Published,
     Reachable,
 )
@@ -24,7 +24,12 @@
 from notchjunction.soak.plan import Kind, draw
 
 LIMITS = Limits(
-    key_window=3.0, cold_time=4.0, cold_share=0.5, fall_multiple=2.0, fall_span=2.0, capacity=10.0
+    deduplication_window=3.0,
+    slow_start_time=4.0,
+    slow_start_share=0.5,
+    overload_multiple=2.0,
+    overload_span=2.0,
+    capacity=10.0,
 )
 SENT = 100.0  # s
 BODY = b"made for it"
@@ -45,7 +50,7 @@
         attempts=list(attempts),
         exchanges=[one],
         reachable=[Reachable(0.0, "n0", True)],
-        answers_made={"r1": {BODY}},
+        response_bodies={"r1": {BODY}},
     )
 
 
@@ -70,8 +75,8 @@
         journal(changed(exchange(), status=None, ended_at=None, closed_at=SENT + 0.5)),  # read and closed
         journal(changed(exchange(), body=b"of another"), attempt()),
         journal(exchange(), attempt(), attempt(SENT + 1.2)),  # sent after its answer
-        journal(changed(exchange(), status=None, ended_at=None, client_left_at=SENT), attempt(SENT + 0.2)),
-        journal(exchange(), attempt(told_seconds=2.2)),  # told more than is left
+        journal(changed(exchange(), status=None, ended_at=None, cancelled_at=SENT), attempt(SENT + 0.2)),
+        journal(exchange(), attempt(time_left_seconds=2.2)),  # told more than is left
     ],
 )
 def test_what_loses_a_request_is_seen(seen: Journal) -> None:
@@ -112,21 +117,21 @@
 def test_a_push_on_a_cold_backend_is_seen_and_a_crash_too() -> None:
     sent = [attempt(SENT + 0.1 + 0.001 * number) for number in range(50)]
     pushed = journal(exchange(), attempt(), *sent)
-    pushed.cold_starts = [ColdStart(SENT, "s0")]
+    pushed.backend_starts = [BackendStart(SENT, "s0")]
     assert broken(pushed) == set()  # its node could not know: discovery has not told it
     pushed.notified = [Notified(SENT - 1.0, "n0", "s0", True)]
     assert broken(pushed) == set()  # nor by word of an earlier life
     pushed.notified.append(Notified(SENT + 0.05, "n0", "s0", True))
     assert broken(pushed) == {"failback"}
     pushed.notified.clear()
-    pushed.cold_starts = [ColdStart(SENT - 6.0, "s0")]
+    pushed.backend_starts = [BackendStart(SENT - 6.0, "s0")]
     assert broken(pushed) == set()  # it is warm by then
-    slow = replace(LIMITS, cold_time=20.0)
+    slow = replace(LIMITS, slow_start_time=20.0)
     assert {each.invariant for each in violations(pushed, slow)} == {"failback"}  # it counts as told
     crashed = journal(exchange(), attempt())
-    crashed.killed = [Killed(SENT + 5.0, "n0", None, 1)]
+    crashed.process_exits = [ProcessExit(SENT + 5.0, "n0", None, 1)]
     assert broken(crashed) == {"crash"}
-    crashed.killed = [Killed(SENT + 5.0, "n0", SENT + 4.0, 0)]
+    crashed.process_exits = [ProcessExit(SENT + 5.0, "n0", SENT + 4.0, 0)]
     assert broken(crashed) == set()
 
 
