--- a/notchjunction/soak/plan.py
+++ b/notchjunction/soak/plan.py
@@ -1,4 +1,7 @@
-"""What happens in a run, drawn from its seed alone: faults that overlap in time. Pure."""
+"""The plan of a run: faults that overlap in time, drawn from the run's seed alone.
+
+Pure: no I/O and no clock.
+"""
 
 from __future__ import annotations
 
@@ -10,61 +13,65 @@
 
 
 class Kind(Enum):
-    """What goes wrong, or changes; `size` means what the line says."""
-
-    TERMINATE = auto()  # a node gets SIGTERM and starts again
-    TERMINATE_SERIES = auto()  # one node after another gets it, `size` in all
-    KILL = auto()  # a node dies and starts again
-    UPGRADE = auto()  # a node's next process starts beside it and takes over
-    UPGRADE_FAILS = auto()  # the same, but it dies `size` s later
-    PAUSE = auto()  # a node is stopped for `size` s
-    HANG_UP_SERIES = auto()  # `size` new configurations in quick succession, at all nodes
-    MOVE_DISCOVERY = auto()  # a new configuration names another place of discovery
-    BACKENDS_CRASH = auto()  # a share of `size` dies and comes back cold at the end
-    BACKENDS_HANG = auto()  # a share of `size` reads all and answers nothing
-    BACKENDS_DRAIN = auto()  # a share of `size` is listed as leaving, stays up, and leaves the list later
-    BACKENDS_REPLACE = auto()  # the same, while as many others join cold
-    BACKENDS_TROUBLE = auto()  # answers go wrong, a share of `size` of them
-    BACKENDS_SLOW = auto()  # answers take `size` times as long
-    CONNECTIONS_RESET = auto()  # a share of `size` of the connections to backends is reset
-    DISCOVERY_DOWN = auto()
-    DISCOVERY_SILENT = auto()  # watches that are open are never answered
-    DISCOVERY_RESET = auto()  # watches are reset
-    DISCOVERY_SLOW = auto()  # works `size` times slower
-    DISCOVERY_WHOLE = auto()  # answers with the whole list, indented, in pieces
-    CLIENTS_LEAVE = auto()  # a share of `size` of those who wait closes at once
+    """A kind of fault or of operation; each comment says what the fault's `size` means.
+
+    The names are written to plan.json.
+    """
+
+    TERMINATE = auto()  # a node gets SIGTERM and is restarted
+    TERMINATE_SERIES = auto()  # `size` nodes get SIGTERM one after another and are restarted
+    KILL = auto()  # a node gets SIGKILL and is restarted
+    UPGRADE = auto()  # a node's next process starts beside the current one and replaces it
+    UPGRADE_FAILS = auto()  # a node's next process starts and is killed `size` seconds later
+    PAUSE = auto()  # a node is stopped for `size` seconds
+    HANG_UP_SERIES = auto()  # all nodes reload a new configuration, `size` times in quick succession
+    MOVE_DISCOVERY = auto()  # all nodes reload a configuration with another address of discovery
+    BACKENDS_CRASH = auto()  # a share `size` of the backends crashes and restarts at the end
+    BACKENDS_HANG = auto()  # a share `size` of the backends reads requests and responds to none
+    BACKENDS_DRAIN = auto()  # a share `size` of the backends drains, stays up, and leaves the list later
+    BACKENDS_REPLACE = auto()  # a share `size` of the backends drains, while as many new ones join
+    BACKENDS_TROUBLE = auto()  # a share `size` of the responses is faulty
+    BACKENDS_SLOW = auto()  # responses take `size` times as long
+    CONNECTIONS_RESET = auto()  # a share `size` of the connections to backends is reset, twice
+    DISCOVERY_DOWN = auto()  # discovery resets all connections
+    DISCOVERY_SILENT = auto()  # open polls never get a response
+    DISCOVERY_RESET = auto()  # the connections to discovery are reset
+    DISCOVERY_SLOW = auto()  # discovery is `size` times slower
+    DISCOVERY_WHOLE = auto()  # some responses are snapshots, indented, in chunks, or reset
+    CLIENTS_LEAVE = auto()  # a share `size` of the waiting clients closes at once
     BURST = auto()  # `size` times the traffic
-    CROWD = auto()  # idle clients fill a node's descriptors
+    CROWD = auto()  # idle client connections use up a node's descriptors
 
 
 @dataclass(frozen=True, slots=True)
 class Fault:
-    """One thing that goes wrong from `at` to `until`, in s since the run began."""
+    """A fault from `at` to `until`, in seconds since the run began."""
 
     kind: Kind
     at: float
     until: float
-    size: float
-    target: int  # a number by which whoever is met is chosen
+    size: float  # its meaning depends on the kind
+    target: int  # a random number that selects the nodes or backends concerned
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """A run as data."""
+    """The fleet, the traffic and the faults of a run; written to plan.json."""
 
     seed: int
     nodes: int
     backends: int
     zones: int
-    layers: int  # tiers in all; the nodes stand before the first one
-    seconds: float
-    rate: float  # requests a second
-    descriptors: int  # that a node may hold
-    upgrades: bool  # whether a node's processes can take over from one another
-    shim: Mapping[str, Any]  # faults of system calls and clocks in each node
-    faults: Sequence[Fault]
+    layers: int  # tiers of services; the nodes are in front of the first one
+    seconds: float  # of traffic and faults
+    rate: float  # requests per second over all nodes
+    descriptors: int  # maximum open file descriptors of a node
+    upgrades: bool  # a node's processes share a folder, so that a successor can take over
+    shim: Mapping[str, Any]  # settings of the shim: faults of system calls and clocks in each node
+    faults: Sequence[Fault]  # in order of time
 
 
+# Minimum and maximum of a fault's `size`; 1 where the kind isn't listed.
 SIZES: Mapping[Kind, tuple[float, float]] = {
     Kind.TERMINATE_SERIES: (2, 4),
     Kind.PAUSE: (0.05, 0.15),
@@ -81,12 +88,13 @@
     Kind.BURST: (1.5, 3),
     Kind.UPGRADE_FAILS: (0.1, 1.5),
 }
+# Minimum and maximum length of a fault, in seconds.
 LENGTHS: Mapping[Kind, tuple[float, float]] = {
     Kind.DISCOVERY_DOWN: (1.0, 4.0),
     Kind.CROWD: (1.0, 3.0),
 }
-ANY_LENGTH = (0.5, 4.0)
-OFTEN = (
+DEFAULT_LENGTH = (0.5, 4.0)  # of kinds that LENGTHS doesn't list
+FREQUENT_KINDS = (
     Kind.TERMINATE,
     Kind.TERMINATE_SERIES,
     Kind.BACKENDS_DRAIN,
@@ -94,14 +102,21 @@
     Kind.BACKENDS_TROUBLE,
     Kind.CONNECTIONS_RESET,
 )
-UPGRADES = (Kind.UPGRADE, Kind.UPGRADE_FAILS)
-ANY = tuple(kind for kind in Kind if kind not in UPGRADES)
-UPGRADES_MOST = 4  # in a run that has any
-QUIET = 1.0  # s at the beginning in which nothing goes wrong
+UPGRADE_KINDS = (Kind.UPGRADE, Kind.UPGRADE_FAILS)
+OTHER_KINDS = tuple(kind for kind in Kind if kind not in UPGRADE_KINDS)
+MAX_UPGRADES = 4  # in a run with upgrades
+FAULT_FREE_START_S = 1.0  # at the beginning of a run
 
 
 def draw(seed: int, nodes: int | None = None, seconds: float = 10.0, backends: int | None = None) -> Plan:
-    """The run of a seed; what is given is not drawn."""
+    """Draws the plan of a seed.
+
+    Args:
+        seed: determines the plan, together with the other arguments.
+        nodes: the number of nodes; drawn where None.
+        seconds: of traffic and faults.
+        backends: the number of backends in the list; drawn where None.
+    """
     random = Random(f"soak {seed}")
     drawn_nodes = random.choice((3, 5, 10, 10, 16))
     drawn_backends = random.choice((8, 12, 20, 40))
@@ -114,18 +129,18 @@
         "clock_steps": random.choice((0, 0, 3600)),
         "hold_seconds": random.choice((0, 0, 0.15)),
     }
-    # Drawn apart: seeds of before these were there keep their other faults.
-    calls = Random(f"soak calls {seed}")
+    # These are drawn from another generator, so that older seeds keep the faults that they had before.
+    calls_random = Random(f"soak calls {seed}")
     shim |= {
-        "short_reads": calls.choice((0, 0.1)),
-        "failing_sockets": calls.choice((0, 0, 0.02)),
-        "out_of_memory": calls.choice((0, 0, 0.01)),
-        "dead_connections": calls.choice((0, 0, 0.01)),
+        "short_reads": calls_random.choice((0, 0.1)),
+        "failing_sockets": calls_random.choice((0, 0, 0.02)),
+        "out_of_memory": calls_random.choice((0, 0, 0.01)),
+        "dead_connections": calls_random.choice((0, 0, 0.01)),
     }
     count = random.randint(6, 14)
-    kinds = [random.choice(OFTEN if random.random() < 0.4 else ANY) for _ in range(count)]
-    faults = [_fault(random, kind, seconds) for kind in kinds]
-    upgrades = _upgrades(seed, seconds)
+    kinds = [random.choice(FREQUENT_KINDS if random.random() < 0.4 else OTHER_KINDS) for _ in range(count)]
+    faults = [_draw_fault(random, kind, seconds) for kind in kinds]
+    upgrades = _draw_upgrades(seed, seconds)
     return Plan(
         seed=seed,
         nodes=nodes or drawn_nodes,
@@ -141,17 +156,17 @@
     )
 
 
-def _upgrades(seed: int, seconds: float) -> list[Fault]:
-    """In every other run some. Drawn apart, as the calls' faults are."""
+def _draw_upgrades(seed: int, seconds: float) -> list[Fault]:
+    """Draws upgrades for half of the seeds, from a generator of their own as well."""
     random = Random(f"soak upgrades {seed}")
     if random.random() < 0.5:
         return []
-    count = random.randint(1, UPGRADES_MOST)
-    return [_fault(random, random.choice(UPGRADES), seconds) for _ in range(count)]
+    count = random.randint(1, MAX_UPGRADES)
+    return [_draw_fault(random, random.choice(UPGRADE_KINDS), seconds) for _ in range(count)]
 
 
-def _fault(random: Random, kind: Kind, seconds: float) -> Fault:
-    at = random.uniform(QUIET, seconds * 0.8)
-    length = random.uniform(*LENGTHS.get(kind, ANY_LENGTH))
+def _draw_fault(random: Random, kind: Kind, seconds: float) -> Fault:
+    at = random.uniform(FAULT_FREE_START_S, seconds * 0.8)
+    length = random.uniform(*LENGTHS.get(kind, DEFAULT_LENGTH))
     size = random.uniform(*SIZES.get(kind, (1.0, 1.0)))
     return Fault(kind, at, min(at + length, seconds), size, random.randrange(1 << 16))
