--- a/notchjunction/soak/__main__.py
+++ b/notchjunction/soak/__main__.py
@@ -41,8 +41,8 @@
     return (
         f"seed {plan.seed}: {verdict}, {plan.nodes} nodes, {plan.backends} backends, "
         f"{len(plan.faults)} faults, {result.requests} requests, "
-        f"{result.answered} served, {result.attempts} attempts, withheld by invariants {broken:.0f}, "
-        f"harness late {result.worst_stall:.3f} s"
+        f"{result.succeeded} served, {result.attempts} attempts, withheld by invariants {broken:.0f}, "
+        f"harness late {result.max_stall:.3f} s"
     )
 
 
--- a/notchjunction/soak/plan.py
+++ b/notchjunction/soak/plan.py
@@ -33,7 +33,7 @@
     BACKENDS_TROUBLE = auto()  # a share `size` of the responses is faulty
     BACKENDS_SLOW = auto()  # responses take `size` times as long
     CONNECTIONS_RESET = auto()  # a share `size` of the connections to backends is reset, twice
-    DISCOVERY_DOWN = auto()  # discovery resets all connections
+    DISCOVERY_DOWN = auto()  # discovery resets its connections and every new one
     DISCOVERY_SILENT = auto()  # open polls never get a response
     DISCOVERY_RESET = auto()  # the connections to discovery are reset
     DISCOVERY_SLOW = auto()  # discovery is `size` times slower
@@ -94,7 +94,7 @@
     Kind.CROWD: (1.0, 3.0),
 }
 DEFAULT_LENGTH = (0.5, 4.0)  # of kinds that LENGTHS doesn't list
-FREQUENT_KINDS = (
+FREQUENT_KINDS = (  # drawn more often than the others
     Kind.TERMINATE,
     Kind.TERMINATE_SERIES,
     Kind.BACKENDS_DRAIN,
@@ -103,7 +103,7 @@
     Kind.CONNECTIONS_RESET,
 )
 UPGRADE_KINDS = (Kind.UPGRADE, Kind.UPGRADE_FAILS)
-OTHER_KINDS = tuple(kind for kind in Kind if kind not in UPGRADE_KINDS)
+REGULAR_KINDS = tuple(kind for kind in Kind if kind not in UPGRADE_KINDS)  # in runs without upgrades too
 MAX_UPGRADES = 4  # in a run with upgrades
 FAULT_FREE_START_S = 1.0  # at the beginning of a run
 
@@ -138,7 +138,7 @@
         "dead_connections": calls_random.choice((0, 0, 0.01)),
     }
     count = random.randint(6, 14)
-    kinds = [random.choice(FREQUENT_KINDS if random.random() < 0.4 else OTHER_KINDS) for _ in range(count)]
+    kinds = [random.choice(FREQUENT_KINDS if random.random() < 0.4 else REGULAR_KINDS) for _ in range(count)]
     faults = [_draw_fault(random, kind, seconds) for kind in kinds]
     upgrades = _draw_upgrades(seed, seconds)
     return Plan(
--- a/notchjunction/soak/run.py
+++ b/notchjunction/soak/run.py
@@ -1,4 +1,4 @@
-"""Plays a plan against real node processes on loopback; the observations go to a journal."""
+"""Plays a plan against real node processes on loopback and records the observations in a journal."""
 
 from __future__ import annotations
 
@@ -21,46 +21,49 @@
 from notchjunction.soak.oracle import Limits, Violation, violations
 from notchjunction.soak.plan import Fault, Kind, Plan
 
-KEY_WINDOW = 3.0  # s for which a zone remembers a key
-COLD_TIME = 4.0  # s until a backend that has started is warm
-COLD_SHARE = 0.15  # of its capacity that it has as it starts
-FALL_MULTIPLE = 2.0
-FALL_SPAN = 2.0  # s
-CONNECT_WITHIN = 0.5  # s after which a node gives up a connection that does not come up
-CONNECTION_IDLE = 5.0  # s after which a backend closes an idle connection, as the settings tell it
-CAPACITY_TIMES = 1.5  # times an even part of the traffic that a warm backend takes in a second
-LONGEST_DEADLINE = 2.5  # s
-LOOK_EVERY = 0.01  # s between looks at how late this harness's own loop is
-STALL_LEAST = 0.005  # s of harness_delay that is noted
-LEFT_AFTER = 1.5  # s from a drain until the backend leaves the list, where its fault does not last longer
-TAIL = LONGEST_DEADLINE + 1.5  # s after the last arrival in which all has to end
-CROWD_SHARE = 1.2  # idle clients for each descriptor that a node may hold
+DEDUPLICATION_WINDOW_S = 3.0  # for which the backends of a zone remember an idempotency key
+SLOW_START_TIME_S = 4.0  # from the start of a backend until it has its full capacity
+SLOW_START_SHARE = 0.15  # capacity of a backend right after its start, as a share of the full one
+OVERLOAD_MULTIPLE = 2.0  # times its capacity that a backend in slow start may receive
+OVERLOAD_SPAN_S = 2.0  # over which the requests to a backend in slow start are counted
+CONNECT_TIMEOUT_S = 0.5  # of a node's connection to a backend
+IDLE_TIMEOUT_S = 5.0  # after which a backend closes an idle connection, as in the nodes' settings
+CAPACITY_FACTOR = (
+    1.5  # capacity of a backend past its slow start, as a multiple of its even share of the traffic
+)
+MAX_DEADLINE_S = 2.5  # of a request
+WATCH_INTERVAL_S = 0.01  # between two checks of the harness's event loop, and of the node processes
+MIN_STALL_S = 0.005  # shorter delays of the harness's event loop are not recorded
+MIN_DRAIN_S = 1.5  # from a drain until the backend leaves the list, even if the fault is shorter
+FINISH_TIMEOUT_S = MAX_DEADLINE_S + 1.5  # for requests to end after the last one was sent
+CONNECTIONS_PER_DESCRIPTOR = 1.2  # idle client connections, for each descriptor that a node may have open
 ALL_TROUBLES = tuple(trouble for trouble in Trouble if trouble not in (Trouble.NONE, Trouble.HANG))
-ALL_MANNERS = tuple(manner for manner in WritingStyle if manner is not WritingStyle.PLAIN)
+ODD_STYLES = tuple(style for style in WritingStyle if style is not WritingStyle.PLAIN)
 
 
 @dataclass(slots=True)
 class Result:
-    """What a run came to."""
+    """The result of a run."""
 
     plan: Plan
     violations: list[Violation]
     requests: int = 0
-    answered: int = 0
+    succeeded: int = 0  # requests answered with status 200
     attempts: int = 0
-    worst_stall: float = 0.0  # s
-    counters: Mapping[str, float] = field(default_factory=dict)  # summed over processes that ended soundly
+    max_stall: float = 0.0  # longest delay of the harness's event loop, in seconds
+    counters: Mapping[str, float] = field(default_factory=dict)  # the last in each node's log, summed
 
 
 class SoakRun:
-    """One plan on sockets."""
+    """Plays one plan on real sockets and processes."""
 
     def __init__(self, plan: Plan, folder: Path) -> None:
         self.plan = plan
         self.journal = Journal()
         self.random = Random(f"play {plan.seed}")
         self.folder = folder
-        self.capacity = CAPACITY_TIMES * plan.rate / plan.backends  # requests a second of a warm backend
+        # Requests per second of a backend past its slow start.
+        self.capacity = CAPACITY_FACTOR * plan.rate / plan.backends
         self.nodes = [
             SoakNode(number, folder, self.journal, plan.shim, plan.upgrades) for number in range(plan.nodes)
         ]
@@ -69,34 +72,34 @@
         self.second_discovery = False
         self.clients = FakeClients(self.nodes, self.journal, self.random, f"r{plan.seed}x")
         self._tasks: set[asyncio.Task[None]] = set()
-        self._configuration = 0
+        self._config_number = 0
         self._busy_nodes: set[str] = set()
 
     async def play(self) -> Result:
-        """Plays the plan to its end; what the oracle found."""
+        """Plays the plan to its end and returns what the oracle found."""
         loop = asyncio.get_running_loop()
         plan = self.plan
-        watching = self._spawn(self._watch_stalls())
+        stall_watch = self._spawn(self._watch_stalls())
         try:
             await self.open()
             began = loop.time()
             self.clients.traffic.rate = plan.rate
-            self.clients.traffic.styles = ALL_MANNERS
+            self.clients.traffic.styles = ODD_STYLES
             arrivals = self._spawn(self.clients.send_until(began + plan.seconds))
-            guard = self._spawn(self._watch_crashes())
+            crash_watch = self._spawn(self._watch_crashes())
             faults = [self._spawn(self._play_fault(fault, began)) for fault in plan.faults]
             await asyncio.gather(arrivals, *faults)
-            await self.clients.finish(TAIL)
-            guard.cancel()
+            await self.clients.finish(FINISH_TIMEOUT_S)
+            crash_watch.cancel()
             await asyncio.gather(*(self._terminate_ready(node) for node in self.nodes))
         finally:
-            watching.cancel()
+            stall_watch.cancel()
             await self.close()
         self._collect_node_errors()
         return self._result()
 
     async def open(self) -> None:
-        """Starts backends, discovery and nodes; all are ready then."""
+        """Starts backends, discovery and nodes, and waits until all nodes are ready."""
         plan = self.plan
         for number in range(plan.backends):
             self.backends.append(await self._open_backend(f"s{number}", number % plan.zones))
@@ -107,7 +110,7 @@
         await asyncio.gather(*(node.wait_until_ready() for node in self.nodes))
 
     async def close(self) -> None:
-        """Ends all there is, at once."""
+        """Stops all tasks, nodes, backends and discovery at once."""
         for task in list(self._tasks):
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -119,19 +122,19 @@
     async def _open_backend(self, name: str, zone: int) -> Backend:
         backend = Backend(name, f"z{zone}", self.journal, self.random)
         backend.capacity = self.capacity * CAPACITY_SPAN_S
-        backend.behaviour.idle_seconds = self.random.choice((1.0, CONNECTION_IDLE, CONNECTION_IDLE))
+        backend.behaviour.idle_seconds = self.random.choice((1.0, IDLE_TIMEOUT_S, IDLE_TIMEOUT_S))
         await backend.open()
         return backend
 
     async def _write_config(self, node: SoakNode, **settings: Any) -> None:
         port = self.discovery.ports.get(node.name) or await self.discovery.open_port(node.name)
-        known = self.discovery.list_response(None)
+        snapshot = self.discovery.list_response(None)
         number = self.nodes.index(node)
         node.write_config(
             {
                 "discovery": text_of(port.address),
                 "seed": f"{self.plan.seed:x}{number:04x}",
-                "known": json.loads(json.dumps(known)),
+                "known": json.loads(json.dumps(snapshot)),
                 "limits": {"sockets": self.plan.descriptors},
                 "settings": {**self._settings(number), **settings},
             }
@@ -139,9 +142,9 @@
 
     def _settings(self, number: int) -> dict[str, Any]:
         plan = self.plan
-        effects = {Effect.SAFE: "repeatable", Effect.KEYED: "by_key", Effect.UNSAFE: "once"}
+        idempotency_by_effect = {Effect.SAFE: "repeatable", Effect.KEYED: "by_key", Effect.UNSAFE: "once"}
         return {
-            "layers": [f"tier{depth}" for depth in range(plan.layers)],
+            "layers": [f"tier{tier}" for tier in range(plan.layers)],
             "layer": 0,
             "localities": [f"z{zone}" for zone in range(plan.zones)],
             "zone": number % plan.zones,
@@ -151,29 +154,29 @@
             "profiles": [
                 {
                     "name": effect.value,
-                    "effect": word,
+                    "effect": idempotency,
                     "contract_time": 1000.0,
-                    "abandon_time": LONGEST_DEADLINE * 1000,
+                    "abandon_time": MAX_DEADLINE_S * 1000,
                     "revenue": 1.0,
                     "tardy_revenue": 0.5,
                     "dedup_scope": "zone",
-                    "window": KEY_WINDOW * 1000,
+                    "window": DEDUPLICATION_WINDOW_S * 1000,
                 }
-                for effect, word in effects.items()
+                for effect, idempotency in idempotency_by_effect.items()
             ],
             "limits": {
                 "max_dispatches": 4,
                 "cancel": True,
                 "probes": True,
                 "second_copies": True,
-                "conn_idle": CONNECTION_IDLE * 1000,
-                "connect_timeout": CONNECT_WITHIN * 1000,
+                "conn_idle": IDLE_TIMEOUT_S * 1000,
+                "connect_timeout": CONNECT_TIMEOUT_S * 1000,
             },
             "invariants": {
                 "ask_within": 10000.0,
-                "start_capacity": COLD_SHARE,
-                "cold": COLD_TIME * 1000,
-                "tip_multiple": FALL_MULTIPLE,
+                "start_capacity": SLOW_START_SHARE,
+                "cold": SLOW_START_TIME_S * 1000,
+                "tip_multiple": OVERLOAD_MULTIPLE,
                 "drain_grace": 500.0,
             },
             "report": {"via": "pull", "fields": ["q"]},
@@ -184,42 +187,42 @@
     async def _play_fault(self, fault: Fault, began: float) -> None:
         loop = asyncio.get_running_loop()
         await asyncio.sleep(began + fault.at - loop.time())
-        await PLAYERS[fault.kind](self, fault, fault.until - fault.at)
+        await FAULT_ACTIONS[fault.kind](self, fault, fault.until - fault.at)
 
     def pick_node(self, fault: Fault) -> SoakNode | None:
-        """The node that is met; None where another fault has it."""
+        """Returns the node that a fault affects; None if it isn't ready or another fault is using it."""
         node = self.nodes[fault.target % len(self.nodes)]
         return node if node.ready and node.name not in self._busy_nodes else None
 
     def pick_backends(self, fault: Fault) -> list[Backend]:
-        """Draws the listed backends that a fault concerns, from its target alone."""
+        """Draws the listed backends that a fault affects; the draw depends on its target alone."""
         listed = [backend for backend in self.backends if backend.listed]
         count = max(1, round(len(listed) * fault.size))
         return Random(fault.target).sample(listed, min(count, len(listed)))
 
     async def terminate(self, node: SoakNode) -> None:
-        """SIGTERM, while its clients go on; then it starts again."""
+        """Sends SIGTERM to a node while its clients go on sending, then restarts it."""
         self._busy_nodes.add(node.name)
         loop = asyncio.get_running_loop()
-        pressing = self._spawn(self.clients.send_to_draining(node, loop.time() + LONGEST_DEADLINE + 2.0))
-        await node.terminate(LONGEST_DEADLINE)
-        pressing.cancel()
+        client_task = self._spawn(self.clients.send_to_draining(node, loop.time() + MAX_DEADLINE_S + 2.0))
+        await node.terminate(MAX_DEADLINE_S)
+        client_task.cancel()
         await self._restart(node)
 
     async def upgrade(self, node: SoakNode) -> None:
-        """The next process of a node takes over; clients go on, on the connections that they have too."""
+        """Upgrades a node while its clients go on sending, also on the connections that they have."""
         self._busy_nodes.add(node.name)
-        await node.upgrade(LONGEST_DEADLINE)
+        await node.upgrade(MAX_DEADLINE_S)
         self._busy_nodes.discard(node.name)
 
     async def upgrade_that_fails(self, node: SoakNode, seconds: float) -> None:
-        """Starts a node's next process, which dies so many seconds later."""
+        """Starts a node's next process and kills it `seconds` later."""
         self._busy_nodes.add(node.name)
         await node.upgrade_that_fails(seconds)
         self._busy_nodes.discard(node.name)
 
     async def kill(self, node: SoakNode) -> None:
-        """Kills a node and starts it again."""
+        """Kills a node and restarts it."""
         self._busy_nodes.add(node.name)
         await node.kill()
         await self._restart(node)
@@ -231,34 +234,34 @@
         self._busy_nodes.discard(node.name)
 
     async def reload(self, node: SoakNode) -> None:
-        """A new configuration, which names another order of attempts."""
-        self._configuration += 1
-        limits = {**self._settings(0)["limits"], "max_dispatches": 3 + self._configuration % 3}
+        """Writes a new configuration, with another maximum of attempts, and lets the node reload it."""
+        self._config_number += 1
+        limits = {**self._settings(0)["limits"], "max_dispatches": 3 + self._config_number % 3}
         await self._write_config(node, limits=limits)
         node.signal(signal.SIGHUP)
 
     def publish(self, *changes: tuple[Backend, str]) -> None:
-        """Changes statuses in discovery's list, in one version."""
+        """Changes the status of backends in discovery's list, as one version."""
         for backend, status in changes:
             backend.listed = status == ACTIVE
         self.discovery.change(changes)
 
-    async def join_cold(self, count: int) -> list[Backend]:
-        """Backends that are new, and cold."""
-        joined = []
+    async def add_backends(self, count: int) -> list[Backend]:
+        """Starts new backends, which begin with their slow start; returns them, not listed yet."""
+        added = []
         for _ in range(count):
             number = len(self.backends)
             backend = await self._open_backend(f"s{number}", number % self.plan.zones)
             await backend.restart(time.time())
             self.backends.append(backend)
-            joined.append(backend)
-        return joined
+            added.append(backend)
+        return added
 
-    def start(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
-        """Starts a task that ends with the run."""
+    def start_task(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
+        """Starts a task that is cancelled when the run ends."""
         return self._spawn(work)
 
-    # Plumbing.
+    # Tasks.
 
     def _spawn(self, work: Coroutine[Any, Any, None]) -> asyncio.Task[None]:
         task = asyncio.get_running_loop().create_task(work)
@@ -269,22 +272,22 @@
     async def _watch_stalls(self) -> None:
         loop = asyncio.get_running_loop()
         while True:
-            due = loop.time() + LOOK_EVERY
-            await asyncio.sleep(LOOK_EVERY)
-            late = loop.time() - due
-            if late > STALL_LEAST:
-                self.journal.stalls.append((loop.time(), late))
+            due = loop.time() + WATCH_INTERVAL_S
+            await asyncio.sleep(WATCH_INTERVAL_S)
+            delay = loop.time() - due
+            if delay > MIN_STALL_S:
+                self.journal.stalls.append((loop.time(), delay))
 
     async def _watch_crashes(self) -> None:
         while True:
-            await asyncio.sleep(LOOK_EVERY)
+            await asyncio.sleep(WATCH_INTERVAL_S)
             for node in self.nodes:
                 if node.has_crashed and node.name not in self._busy_nodes:
                     node.record_crash()
 
     async def _terminate_ready(self, node: SoakNode) -> None:
         if node.ready:
-            await node.terminate(LONGEST_DEADLINE)
+            await node.terminate(MAX_DEADLINE_S)
 
     def _collect_node_errors(self) -> None:
         for node in self.nodes:
@@ -293,47 +296,53 @@
                     self.journal.node_errors.append(f"{node.name}: {line[:400]}")
 
     def _result(self) -> Result:
-        limits = Limits(KEY_WINDOW, COLD_TIME, COLD_SHARE, FALL_MULTIPLE, FALL_SPAN, self.capacity)
+        limits = Limits(
+            DEDUPLICATION_WINDOW_S,
+            SLOW_START_TIME_S,
+            SLOW_START_SHARE,
+            OVERLOAD_MULTIPLE,
+            OVERLOAD_SPAN_S,
+            self.capacity,
+        )
         counters: dict[str, float] = {}
         for node in self.nodes:
-            for name, figure in node.counters().items():
-                counters[name] = counters.get(name, 0.0) + figure
+            for name, value in node.counters().items():
+                counters[name] = counters.get(name, 0.0) + value
         exchanges = self.journal.exchanges
         return Result(
             self.plan,
             violations(self.journal, limits),
             requests=len(exchanges),
-            answered=sum(1 for each in exchanges if each.status == 200),
+            succeeded=sum(1 for exchange in exchanges if exchange.status == 200),
             attempts=len(self.journal.attempts),
-            worst_stall=max((late for _, late in self.journal.stalls), default=0.0),
+            max_stall=max((delay for _, delay in self.journal.stalls), default=0.0),
             counters=counters,
         )
 
 
-# What each kind of fault does.
-
-Player = Callable[[SoakRun, Fault, float], Coroutine[Any, Any, None]]
+# Plays one fault; gets the run, the fault and the fault's length in seconds.
+FaultAction = Callable[[SoakRun, Fault, float], Coroutine[Any, Any, None]]
 
 
 async def _terminate_series(run: SoakRun, fault: Fault, _: float) -> None:
     for step in range(round(fault.size)):
         node = run.nodes[(fault.target + step) % len(run.nodes)]
         if node.ready and node.name not in run._busy_nodes:
-            run.start(run.terminate(node))
+            run.start_task(run.terminate(node))
         await asyncio.sleep(0.4)
     while run._busy_nodes:
         await asyncio.sleep(0.05)
 
 
-def _at_a_node(act: Callable[[SoakRun, SoakNode], Coroutine[Any, Any, None]]) -> Player:
-    """Does this to the node that is met, if there is one."""
+def _on_node(act: Callable[[SoakRun, SoakNode], Coroutine[Any, Any, None]]) -> FaultAction:
+    """Returns the action of a fault that affects one node; it does nothing if no node is free."""
 
-    async def play(run: SoakRun, fault: Fault, _: float) -> None:
+    async def act_on_node(run: SoakRun, fault: Fault, _: float) -> None:
         node = run.pick_node(fault)
         if node is not None:
             await act(run, node)
 
-    return play
+    return act_on_node
 
 
 async def _upgrade_fails(run: SoakRun, fault: Fault, _: float) -> None:
@@ -362,58 +371,59 @@
 
 
 async def _backends_crash(run: SoakRun, fault: Fault, seconds: float) -> None:
-    met = run.pick_backends(fault)
-    for backend in met:
+    affected = run.pick_backends(fault)
+    for backend in affected:
         backend.crash()
     await asyncio.sleep(seconds)
-    for backend in met:
+    for backend in affected:
         if not backend.is_up:
             await backend.restart(time.time())
-    run.publish(*((backend, ACTIVE) for backend in met if backend.listed))
+    run.publish(*((backend, ACTIVE) for backend in affected if backend.listed))
 
 
 async def _backends_hang(run: SoakRun, fault: Fault, seconds: float) -> None:
-    met = run.pick_backends(fault)
-    for backend in met:
+    affected = run.pick_backends(fault)
+    for backend in affected:
         backend.behaviour.hangs = True
     await asyncio.sleep(seconds)
-    for backend in met:
+    for backend in affected:
         backend.behaviour.hangs = False
 
 
 async def _backends_drain(run: SoakRun, fault: Fault, seconds: float) -> None:
-    met = run.pick_backends(fault)
-    if len(met) >= sum(1 for backend in run.backends if backend.listed):
+    affected = run.pick_backends(fault)
+    if len(affected) >= sum(1 for backend in run.backends if backend.listed):
         return
-    run.publish(*((backend, LEAVING) for backend in met))
-    await asyncio.sleep(max(seconds, LEFT_AFTER))
-    run.publish(*((backend, LEFT) for backend in met))
+    run.publish(*((backend, LEAVING) for backend in affected))
+    await asyncio.sleep(max(seconds, MIN_DRAIN_S))
+    run.publish(*((backend, LEFT) for backend in affected))
 
 
 async def _backends_replace(run: SoakRun, fault: Fault, seconds: float) -> None:
-    met = run.pick_backends(fault)
-    joined = await run.join_cold(len(met))
-    run.publish(*((backend, LEAVING) for backend in met), *((backend, ACTIVE) for backend in joined))
-    await asyncio.sleep(max(seconds, LEFT_AFTER))
-    run.publish(*((backend, LEFT) for backend in met))
+    affected = run.pick_backends(fault)
+    added = await run.add_backends(len(affected))
+    run.publish(*((backend, LEAVING) for backend in affected), *((backend, ACTIVE) for backend in added))
+    await asyncio.sleep(max(seconds, MIN_DRAIN_S))
+    run.publish(*((backend, LEFT) for backend in affected))
 
 
 async def _backends_trouble(run: SoakRun, fault: Fault, seconds: float) -> None:
-    await _behave(run, seconds, trouble_share=fault.size, troubles=ALL_TROUBLES)
+    await _change_behaviour(run, seconds, trouble_share=fault.size, troubles=ALL_TROUBLES)
 
 
 async def _backends_slow(run: SoakRun, fault: Fault, seconds: float) -> None:
-    await _behave(run, seconds, service_seconds=Behaviour().service_seconds * fault.size)
+    await _change_behaviour(run, seconds, service_seconds=Behaviour().service_seconds * fault.size)
 
 
-async def _behave(run: SoakRun, seconds: float, **changed: Any) -> None:
-    met = list(run.backends)
-    for backend in met:
-        for name, value in changed.items():
+async def _change_behaviour(run: SoakRun, seconds: float, **changes: Any) -> None:
+    """Changes the named fields of all backends' behaviour for so many seconds."""
+    affected = list(run.backends)
+    for backend in affected:
+        for name, value in changes.items():
             setattr(backend.behaviour, name, value)
     await asyncio.sleep(seconds)
-    for backend in met:
-        for name in changed:
+    for backend in affected:
+        for name in changes:
             setattr(backend.behaviour, name, getattr(Behaviour(), name))
 
 
@@ -440,17 +450,27 @@
 
 
 async def _discovery_slow(run: SoakRun, fault: Fault, seconds: float) -> None:
-    manner = run.discovery.behaviour
-    manner.lines_per_second /= fault.size
+    behaviour = run.discovery.behaviour
+    behaviour.lines_per_second /= fault.size
     await asyncio.sleep(seconds)
-    manner.lines_per_second *= fault.size
+    behaviour.lines_per_second *= fault.size
 
 
 async def _discovery_whole(run: SoakRun, fault: Fault, seconds: float) -> None:
-    manner = run.discovery.behaviour
-    manner.snapshot_share, manner.indented, manner.drip_share, manner.reset_share = 0.5, True, 0.2, 0.1
+    behaviour = run.discovery.behaviour
+    behaviour.snapshot_share, behaviour.indented, behaviour.drip_share, behaviour.reset_share = (
+        0.5,
+        True,
+        0.2,
+        0.1,
+    )
     await asyncio.sleep(seconds)
-    manner.snapshot_share, manner.indented, manner.drip_share, manner.reset_share = 0.0, False, 0.0, 0.0
+    behaviour.snapshot_share, behaviour.indented, behaviour.drip_share, behaviour.reset_share = (
+        0.0,
+        False,
+        0.0,
+        0.0,
+    )
 
 
 async def _clients_leave(run: SoakRun, fault: Fault, _: float) -> None:
@@ -466,14 +486,16 @@
 async def _crowd(run: SoakRun, fault: Fault, seconds: float) -> None:
     node = run.nodes[fault.target % len(run.nodes)]
     if node.ready:
-        await run.clients.open_idle_connections(node, round(run.plan.descriptors * CROWD_SHARE), seconds)
+        await run.clients.open_idle_connections(
+            node, round(run.plan.descriptors * CONNECTIONS_PER_DESCRIPTOR), seconds
+        )
 
 
-PLAYERS: Mapping[Kind, Player] = {
-    Kind.TERMINATE: _at_a_node(SoakRun.terminate),
+FAULT_ACTIONS: Mapping[Kind, FaultAction] = {
+    Kind.TERMINATE: _on_node(SoakRun.terminate),
     Kind.TERMINATE_SERIES: _terminate_series,
-    Kind.KILL: _at_a_node(SoakRun.kill),
-    Kind.UPGRADE: _at_a_node(SoakRun.upgrade),
+    Kind.KILL: _on_node(SoakRun.kill),
+    Kind.UPGRADE: _on_node(SoakRun.upgrade),
     Kind.UPGRADE_FAILS: _upgrade_fails,
     Kind.PAUSE: _pause,
     Kind.HANG_UP_SERIES: _hang_up_series,
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -155,5 +155,5 @@
 def test_a_few_seeds_on_real_processes_break_nothing(seed: int, tmp_path: Path) -> None:
     """Overlapping faults; 50 seeds and more are played by hand (`python -m notchjunction.soak`)."""
     result = play(seed, tmp_path, nodes=None, seconds=8.0, backends=None)
-    assert result.answered > 100
+    assert result.succeeded > 100
     assert [str(violation) for violation in result.violations] == []
