--- a/notchjunction/soak/node.py
+++ b/notchjunction/soak/node.py
@@ -1,4 +1,4 @@
-"""One node of the fleet: its program as a process, restarted under the same name and address."""
+"""A node of the fleet as a process, which is restarted under the same name and address."""
 
 from __future__ import annotations
 
@@ -17,26 +17,29 @@
 from notchjunction.soak.events import Journal, ProcessExit, Upgrade
 from notchjunction.testbed.process import parse_counters
 
-READY_TIMEOUT_S = 30.0  # for a node to be ready, on a busy machine
+READY_TIMEOUT_S = 30.0  # long enough on a busy machine
 READY_POLL_INTERVAL_S = 0.03
-KILL_DELAY_S = (
-    0.7  # and the longest deadline, from SIGTERM to SIGKILL at the earliest (the protocol's figure)
-)
-MAX_DRAIN_S = 3.0  # of that deadline at most
-LISTEN_PORT = 8080  # below the range from which the system gives out ports by itself
-MANAGEMENT_PORT = 9000  # of the first process, less one; below that range, too
-EXIT_POLL_INTERVAL_S = 0.005  # of a process that is to end
+# After SIGTERM, a node gets SIGKILL at the earliest after the longest deadline of a request, of which at
+# most MAX_DRAIN_S count, and this delay; the protocol defines it.
+KILL_DELAY_S = 0.7
+MAX_DRAIN_S = 3.0
+LISTEN_PORT = 8080  # below the range of ephemeral ports
+ADMIN_BASE_PORT = 9000  # plus the number of the process, from 1; below the range of ephemeral ports
+EXIT_POLL_INTERVAL_S = 0.005
 REPO = Path(__file__).parents[2]
 
 
 def own_address(number: int) -> Address:
-    """An address of the loopback network that no other run of this machine uses."""
+    """Returns a loopback address for a node that depends on this process's id.
+
+    Runs at the same time on one machine thus use different addresses.
+    """
     process = os.getpid()
     return f"127.{64 + process // 250 % 128}.{process % 250}.{number + 1}", LISTEN_PORT
 
 
 async def _responds_ok(address: Address, path: str) -> bool:
-    """Whether a GET of the path at this address is answered with 200."""
+    """Returns whether a GET of this path gets a response with status 200."""
     try:
         reader, writer = await asyncio.open_connection(*address)
     except OSError:
@@ -51,33 +54,40 @@
 
 
 class SoakNode:
-    """A node and its current process; the journal records each end of a process."""
+    """A node and its current process; the journal records the exit of each process."""
 
     def __init__(
-        self, number: int, folder: Path, journal: Journal, faults: Mapping[str, Any], shares: bool = False
+        self, number: int, folder: Path, journal: Journal, faults: Mapping[str, Any], upgrades: bool = False
     ) -> None:
-        """With `shares`, its processes share a folder, through which one can take over from another."""
+        """Prepares a node without starting it.
+
+        Args:
+            number: of the node; determines its name and address.
+            folder: for its configuration and its log.
+            journal: records upgrades, pauses and exits.
+            faults: settings of the shim.
+            upgrades: its processes share a folder, through which a successor takes over.
+        """
         self.name = name = f"n{number}"
         self.listen = own_address(number)
-        self._shared_folder = folder / f"{name}.shared" if shares else None
+        self._shared_folder = folder / f"{name}.shared" if upgrades else None
         self._starts = 0
         self.ready = False
-        self.terminated_at: float | None = None  # of the current process
-        self.generation = 0
-        self._file = folder / f"{name}.json"
+        self.terminated_at: float | None = None  # when SIGTERM was sent, until that process's exit
+        self.generation = 0  # number of starts and restarts, without upgrades
+        self._config_file = folder / f"{name}.json"
         self._log = folder / f"{name}.log"
         self._journal = journal
         self._faults = faults
         self._process: subprocess.Popen[bytes] | None = None
-        self._other_process: subprocess.Popen[bytes] | None = (
-            None  # the successor that starts, or the predecessor that ends
-        )
+        # During an upgrade, the successor before it is ready, then the predecessor until its exit.
+        self._other_process: subprocess.Popen[bytes] | None = None
 
     def write_config(self, config: Mapping[str, Any]) -> None:
-        """Replaces the configuration file in one step."""
-        written = self._file.with_suffix(".new")
-        written.write_text(json.dumps({**config, "name": self.name, "listen": text_of(self.listen)}))
-        written.replace(self._file)
+        """Replaces the configuration file atomically."""
+        new_file = self._config_file.with_suffix(".new")
+        new_file.write_text(json.dumps({**config, "name": self.name, "listen": text_of(self.listen)}))
+        new_file.replace(self._config_file)
 
     def start(self) -> None:
         """Starts a process."""
@@ -88,26 +98,26 @@
         self._starts += 1
         environment = {
             "PATH": os.environ.get("PATH", ""),
-            "GW_CONFIG": str(self._file),
+            "GW_CONFIG": str(self._config_file),
             shim.VARIABLE: json.dumps({**self._faults, "seed": f"{self.name} {self._starts}"}),
         }
         if self._shared_folder is not None:
             self._shared_folder.mkdir(exist_ok=True)
             environment |= {
                 "TMPDIR": str(self._shared_folder),
-                "GW_MGMT": text_of(self._management_address()),
+                "GW_MGMT": text_of(self._admin_address()),
             }
         with self._log.open("ab") as log:
             return subprocess.Popen(
                 [sys.executable, "-m", "notchjunction.soak.shim"], env=environment, stderr=log, cwd=REPO
             )
 
-    def _management_address(self) -> Address:
-        """The management address of the newest process; each has its own."""
-        return self.listen[0], MANAGEMENT_PORT + self._starts
+    def _admin_address(self) -> Address:
+        """Returns the address of the newest process's admin API; each process has its own."""
+        return self.listen[0], ADMIN_BASE_PORT + self._starts
 
     async def wait_until_ready(self) -> None:
-        """Waits until the node answers that it is ready; TimeoutError after `READY_TIMEOUT_S`."""
+        """Waits until the node reports that it is ready; raises TimeoutError after `READY_TIMEOUT_S`."""
         async with asyncio.timeout(READY_TIMEOUT_S):
             while not await self._is_ready():
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
@@ -116,33 +126,40 @@
     async def _is_ready(self) -> bool:
         return await _responds_ok(self.listen, "/ready")
 
-    async def terminate(self, longest: float) -> None:
-        """Sends SIGTERM, and SIGKILL to a process that outlives the time which the protocol allows.
+    async def terminate(self, max_deadline: float) -> None:
+        """Sends SIGTERM, then SIGKILL if the process is still running after the time that the protocol allows.
 
         Args:
-            longest: The longest deadline of a request in flight, in seconds.
+            max_deadline: the longest deadline of a request in flight, in seconds.
         """
         process = self._process
         assert process is not None
         self.ready = False
-        await self._terminate(process, longest)
+        await self._terminate(process, max_deadline)
 
-    async def upgrade(self, longest: float) -> None:
-        """Starts the next process beside this one, and terminates this one when the other is ready."""
-        old = self._process
-        assert old is not None
+    async def upgrade(self, max_deadline: float) -> None:
+        """Starts the next process beside the current one, which is terminated once the next one is ready.
+
+        Args:
+            max_deadline: the longest deadline of a request in flight, in seconds.
+
+        Raises:
+            TimeoutError: the next process was not ready within `READY_TIMEOUT_S`.
+        """
+        predecessor = self._process
+        assert predecessor is not None
         began = asyncio.get_running_loop().time()
         successor = self._other_process = self._spawn()
         async with asyncio.timeout(READY_TIMEOUT_S):
-            while not await _responds_ok(self._management_address(), "/control/ready"):
+            while not await _responds_ok(self._admin_address(), "/control/ready"):
                 await asyncio.sleep(READY_POLL_INTERVAL_S)
-        self._process, self._other_process = successor, old
+        self._process, self._other_process = successor, predecessor
         self._journal.upgrades.append(Upgrade(self.name, began, asyncio.get_running_loop().time()))
-        await self._terminate(old, longest)
+        await self._terminate(predecessor, max_deadline)
         self._other_process = None
 
     async def upgrade_that_fails(self, seconds: float) -> None:
-        """Starts the next process beside this one and kills it `seconds` later, ready or not."""
+        """Starts the next process beside the current one and kills it `seconds` later, ready or not."""
         began = asyncio.get_running_loop().time()
         successor = self._other_process = self._spawn()
         await asyncio.sleep(seconds)
@@ -150,31 +167,31 @@
         await self._wait_until_exited(successor)
         self._other_process = None
         self._journal.upgrades.append(Upgrade(self.name, began, asyncio.get_running_loop().time()))
-        self._record_end(successor.returncode)
+        self._record_exit(successor.returncode)
 
-    async def _terminate(self, process: subprocess.Popen[bytes], longest: float) -> None:
+    async def _terminate(self, process: subprocess.Popen[bytes], max_deadline: float) -> None:
         loop = asyncio.get_running_loop()
         self.terminated_at = loop.time()
         process.send_signal(signal.SIGTERM)
-        kill_at = self.terminated_at + min(longest, MAX_DRAIN_S) + KILL_DELAY_S
+        kill_at = self.terminated_at + min(max_deadline, MAX_DRAIN_S) + KILL_DELAY_S
         while process.poll() is None and loop.time() < kill_at:
             await asyncio.sleep(EXIT_POLL_INTERVAL_S)
         if process.poll() is None:
             process.kill()
         await self._wait_until_exited(process)
-        self._record_end(process.returncode)
+        self._record_exit(process.returncode)
 
     async def kill(self) -> None:
-        """Kills the process without notice."""
+        """Sends SIGKILL to the current process."""
         process = self._process
         assert process is not None
         self.ready = False
         process.kill()
         await self._wait_until_exited(process)
-        self._record_end(process.returncode)
+        self._record_exit(process.returncode)
 
     async def discard(self) -> None:
-        """Kills all processes at the end of the run; the journal does not record it."""
+        """Kills all processes at the end of the run; the journal doesn't record their exits."""
         self.ready = False
         for process in (self._process, self._other_process):
             if process is not None:
@@ -182,7 +199,7 @@
                 await self._wait_until_exited(process)
 
     async def pause(self, seconds: float) -> None:
-        """Stops the process for so many seconds."""
+        """Stops the current process by SIGSTOP for so many seconds."""
         process = self._process
         if process is None or process.poll() is not None:
             return
@@ -195,30 +212,30 @@
         self._journal.pauses.append((began, loop.time(), self.name))
 
     def signal(self, number: signal.Signals) -> None:
-        """Sends a signal to the process, if it runs."""
+        """Sends a signal to the current process, if it is running."""
         if self._process is not None and self._process.poll() is None:
             self._process.send_signal(number)
 
     @property
     def has_crashed(self) -> bool:
-        """Whether a ready node's process has ended by itself."""
+        """Whether the process of a ready node has exited by itself."""
         return self.ready and self._process is not None and self._process.poll() is not None
 
     def record_crash(self) -> None:
-        """Records in the journal that the process has ended by itself."""
+        """Records in the journal that the current process has exited by itself."""
         assert self._process is not None
         self.ready = False
-        self._record_end(self._process.returncode)
+        self._record_exit(self._process.returncode)
 
     def log_lines(self) -> list[str]:
-        """The log so far, over all processes."""
+        """Returns the lines of the node's log, to which all its processes write."""
         return self._log.read_text(errors="replace").splitlines() if self._log.exists() else []
 
     def counters(self) -> Mapping[str, float]:
-        """The counters that were logged last."""
+        """Returns the counters of the last log line that has any."""
         return parse_counters(self.log_lines())
 
-    def _record_end(self, exit_code: int) -> None:
+    def _record_exit(self, exit_code: int) -> None:
         now = asyncio.get_running_loop().time()
         self._journal.process_exits.append(ProcessExit(now, self.name, self.terminated_at, exit_code))
         self.terminated_at = None
--- a/notchjunction/soak/run.py
+++ b/notchjunction/soak/run.py
@@ -28,9 +28,7 @@
 OVERLOAD_SPAN_S = 2.0  # over which the requests to a backend in slow start are counted
 CONNECT_TIMEOUT_S = 0.5  # of a node's connection to a backend
 IDLE_TIMEOUT_S = 5.0  # after which a backend closes an idle connection, as in the nodes' settings
-CAPACITY_FACTOR = (
-    1.5  # capacity of a backend past its slow start, as a multiple of its even share of the traffic
-)
+CAPACITY_FACTOR = 1.5  # capacity of a backend past its slow start, in even shares of the traffic
 MAX_DEADLINE_S = 2.5  # of a request
 WATCH_INTERVAL_S = 0.01  # between two checks of the harness's event loop, and of the node processes
 MIN_STALL_S = 0.005  # shorter delays of the harness's event loop are not recorded
