--- a/notchjunction/soak/backend.py
+++ b/notchjunction/soak/backend.py
@@ -1,4 +1,4 @@
-"""Backends on loopback that serve, and fail, as the run's faults set them."""
+"""Backends on loopback that serve requests and fail as the run's faults demand."""
 
 from __future__ import annotations
 
@@ -20,48 +20,43 @@
 from notchjunction.soak.events import Attempt, BackendStart, Disposition, Journal
 
 HOST = "127.0.0.1"
-LINGER_RESET = struct.pack("ii", 1, 0)  # SO_LINGER: a close is a reset
-CAPACITY_SPAN_S = 1.0  # in which a backend serves its capacity
-BACKLOG = 256
-STRAY_DELAY_S = 0.004  # until a second response follows the first, or a reset the part that was written
-IDLE_CLOSE_DELAYS_S = (
-    0.0,
-    0.01,
-    0.03,
-    0.05,
-)  # after a response; an idle connection is closed then
+LINGER_RESET = struct.pack("ii", 1, 0)  # value of SO_LINGER with which a close sends a reset
+CAPACITY_SPAN_S = 1.0  # over which the capacity of a backend is counted
+BACKLOG = 256  # connections
+STRAY_DELAY_S = 0.004  # between a response and unsolicited bytes or a reset
+IDLE_CLOSE_DELAYS_S = (0.0, 0.01, 0.03, 0.05)  # between a response and the close of the connection
 SLOW_RESET_DELAY_S = 0.8  # after the backend's service time
 DRIP_CHUNKS = 5  # of a slow response
-DRIP_PAUSE_S = 0.02  # between them
-LARGE_BODY_SIZE = 200 * 1024  # bytes of a large response, which a node forwards in chunks
+DRIP_PAUSE_S = 0.02  # between the chunks of a slow response
+LARGE_BODY_SIZE = 200 * 1024  # bytes; large enough that a node forwards the response in chunks
 
 
 class Trouble(Enum):
-    """What may go wrong with a response."""
+    """A fault or an unusual form of a response."""
 
     NONE = auto()
-    ERROR = auto()  # 500
+    ERROR = auto()  # status 500
     DECLINED = auto()  # rejected before any work
-    RESET_READ = auto()  # reset once the request was read: it ran
-    RESET_MIDWAY = auto()  # reset within the response
-    HANG = auto()  # reads it and never responds
-    GARBAGE = auto()  # bytes that are no response
-    TRUNCATED = auto()  # ended in the middle of a response with a length
-    UNTIL_CLOSE = auto()  # a response with no length, whole
-    UNTIL_RESET = auto()  # the same, reset midway: a reset is no end
-    STRAY = auto()  # a second response follows
-    DRIP = auto()  # comes in chunks with pauses
-    LARGE = auto()
-    CHUNKED = auto()
-    CLOSING = auto()  # sends Connection: close, and closes
-    CLOSES_IDLE = auto()  # closes an idle connection as it is about to be reused
-    HALF_LINE = auto()  # the beginning of a further response follows, and no more
+    RESET_READ = auto()  # the connection is reset once the request is read, which counts as executed
+    RESET_MIDWAY = auto()  # the connection is reset within the response
+    HANG = auto()  # the request is read and never gets a response
+    GARBAGE = auto()  # bytes that are not HTTP
+    TRUNCATED = auto()  # the connection is closed within a response that has a length
+    UNTIL_CLOSE = auto()  # a complete response without a length, which the close ends
+    UNTIL_RESET = auto()  # a response without a length, reset midway; a reset doesn't end it validly
+    STRAY = auto()  # an unsolicited second response follows
+    DRIP = auto()  # the response comes in chunks with pauses
+    LARGE = auto()  # a large body
+    CHUNKED = auto()  # chunked transfer coding
+    CLOSING = auto()  # the response has Connection: close, and the connection is closed
+    CLOSES_IDLE = auto()  # the connection is closed soon after, about when the node reuses it
+    HALF_LINE = auto()  # an incomplete status line follows
     INTERIM = auto()  # interim responses come first
-    LONG_RESET = auto()  # a large response with no length, in chunks, reset midway
-    SLOW_RESET = auto()  # reset long after the request was read
+    LONG_RESET = auto()  # a large response without a length, in chunks, reset midway
+    SLOW_RESET = auto()  # the connection is reset long after the request was read
 
 
-# After which the client can't have a whole response.
+# Troubles with which a client can't get a complete response.
 INCOMPLETE = (
     Trouble.RESET_MIDWAY,
     Trouble.GARBAGE,
@@ -74,17 +69,17 @@
 
 @dataclass(slots=True)
 class Behaviour:
-    """How backends behave now; shares from 0 to 1."""
+    """The current behaviour of a backend."""
 
-    service_seconds: float = 0.03  # mean time of a response
-    trouble_share: float = 0.0  # of responses that have one of `troubles`
+    service_seconds: float = 0.03  # mean time until the response
+    trouble_share: float = 0.0  # share of requests that get one of `troubles`, from 0 to 1
     troubles: tuple[Trouble, ...] = (Trouble.ERROR,)
-    hangs: bool = False  # reads all and responds to nothing
+    hangs: bool = False  # reads requests and responds to none
     idle_seconds: float = 30.0  # after which an idle connection is closed
 
 
 class Backend:
-    """One server that discovery lists; each start is a new life of it."""
+    """A backend in discovery's list; its address stays the same over restarts."""
 
     def __init__(
         self,
@@ -92,25 +87,34 @@
         zone: str,
         journal: Journal,
         random: Random,
-        request_of: Callable[[Request], str] = lambda request: request.headers.get(protocol.REQUEST_ID, ""),
+        id_of: Callable[[Request], str] = lambda request: request.headers.get(protocol.REQUEST_ID, ""),
     ) -> None:
+        """Prepares a backend that doesn't listen yet.
+
+        Args:
+            name: in discovery's list.
+            zone: in discovery's list.
+            journal: records attempts, starts and response bodies.
+            random: draws service times and troubles.
+            id_of: returns the id of a request.
+        """
         self.name = name
         self.zone = zone
         self.behaviour = Behaviour()
-        self.started_at_ms = 0.0  # Unix time, as in the list
+        self.started_at_ms = 0.0  # Unix time in milliseconds, as in discovery's list
         self.active = True
-        self.listed = True
+        self.listed = True  # as active
         self.address: Address = (HOST, 0)
         self.journal = journal
         self.random = random
-        self.request_name_of = request_of
-        self.capacity = inf  # requests served in CAPACITY_SPAN_S; the rest are rejected
-        self._served_at: deque[float] = deque()
+        self.id_of = id_of
+        self.capacity = inf  # requests per CAPACITY_SPAN_S; further ones are declined
+        self._admitted_at: deque[float] = deque()
         self._listener: asyncio.Server | None = None
         self.connections: set[BackendConnection] = set()
 
     async def open(self) -> None:
-        """Listens, at the same address as before."""
+        """Listens at a free port, or at the address used before."""
         loop = asyncio.get_running_loop()
         self._listener = await loop.create_server(
             lambda: BackendConnection(self), *self.address, backlog=BACKLOG, reuse_address=True
@@ -118,7 +122,7 @@
         self.address = self._listener.sockets[0].getsockname()[:2]
 
     def crash(self) -> None:
-        """Refuses new connections and resets those there are."""
+        """Stops listening and resets all connections."""
         if self._listener is not None:
             self._listener.close()
             self._listener = None
@@ -126,19 +130,19 @@
             connection.abort()
 
     async def restart(self, unix_now: float) -> None:
-        """Comes back cold, at the same address."""
+        """Starts again at the same address, with a slow start from `unix_now` (Unix time in seconds)."""
         self.started_at_ms = unix_now * 1000
         self.journal.backend_starts.append(BackendStart(asyncio.get_running_loop().time(), self.name))
         if self._listener is None:
             await self.open()
 
     def admit(self, now: float) -> bool:
-        """Whether there is capacity for a request at `now` (s), which is counted then."""
-        while self._served_at and self._served_at[0] <= now - CAPACITY_SPAN_S:
-            self._served_at.popleft()
-        if len(self._served_at) >= self.capacity:
+        """Counts a request at `now` (s) and returns True, or returns False if the capacity is used up."""
+        while self._admitted_at and self._admitted_at[0] <= now - CAPACITY_SPAN_S:
+            self._admitted_at.popleft()
+        if len(self._admitted_at) >= self.capacity:
             return False
-        self._served_at.append(now)
+        self._admitted_at.append(now)
         return True
 
     @property
@@ -153,7 +157,7 @@
                 connection.abort()
 
     def list_entry(self, status: str) -> dict[str, object]:
-        """Its entry in discovery's list."""
+        """Returns the backend's entry in discovery's list, with this status."""
         return {
             "name": self.name,
             "address": f"{self.address[0]}:{self.address[1]}",
@@ -167,7 +171,7 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection of a node; requests on it are served one after another."""
+    """A node's connection to a backend."""
 
     def __init__(self, backend: Backend) -> None:
         self._backend = backend
@@ -175,23 +179,23 @@
         self._first_byte_at: float | None = None
         self._transport: asyncio.Transport | None = None
         self._idle_timer: asyncio.TimerHandle | None = None
-        self._open_request: str | None = None  # read, without a whole response yet
+        self._pending_request: str | None = None  # id of a request without a complete response yet
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Counts the connection, which is idle at first."""
+        """Registers the connection and starts its idle timer."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._backend.connections.add(self)
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Removes the connection."""
         self._backend.connections.discard(self)
         if self._idle_timer is not None:
             self._idle_timer.cancel()
 
     def data_received(self, data: bytes) -> None:
-        """Parses requests and serves them; aborts on malformed ones."""
+        """Parses and serves requests; resets the connection on a malformed one."""
         now = asyncio.get_running_loop().time()
         if self._first_byte_at is None:
             self._first_byte_at = now
@@ -206,14 +210,14 @@
             self.abort()
 
     def abort(self) -> None:
-        """Ends the connection with a reset."""
+        """Resets the connection."""
         if self._transport is None or self._transport.is_closing():
             return
-        if self._open_request is not None:
-            self._backend.journal.truncated_by_backend.add(self._open_request)
+        if self._pending_request is not None:
+            self._backend.journal.truncated_by_backend.add(self._pending_request)
         with suppress(OSError):
-            opened = self._transport.get_extra_info("socket")
-            opened.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
+            connection = self._transport.get_extra_info("socket")
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_RESET)
         self._transport.abort()
 
     def _on_request(self, request: Request, now: float) -> None:
@@ -225,13 +229,13 @@
                 self._restart_idle_timer()
             return
         trouble = self._draw_trouble(now)
-        name = backend.request_name_of(request)
+        request_id = backend.id_of(request)
         time_left = int(request.headers.get(protocol.DEADLINE_MS, "0")) / 1000
         disposition = Disposition.DECLINED if trouble is Trouble.DECLINED else Disposition.EXECUTED
         backend.journal.attempts.append(
-            Attempt(first_byte_at, now, backend.name, backend.zone, name, time_left, disposition)
+            Attempt(first_byte_at, now, backend.name, backend.zone, request_id, time_left, disposition)
         )
-        self._open_request = name
+        self._pending_request = request_id
         if trouble is Trouble.HANG:
             return
         if trouble is Trouble.RESET_READ:
@@ -240,7 +244,7 @@
         mean = backend.behaviour.service_seconds
         delay = min(backend.random.expovariate(1 / mean), 20 * mean)
         delay = 0.0 if trouble is Trouble.DECLINED else delay
-        asyncio.get_running_loop().call_later(delay, self._respond, name, trouble)
+        asyncio.get_running_loop().call_later(delay, self._respond, request_id, trouble)
 
     def _draw_trouble(self, now: float) -> Trouble:
         backend, behaviour = self._backend, self._backend.behaviour
@@ -253,24 +257,24 @@
             trouble = Trouble.DECLINED
         return trouble
 
-    def _respond(self, name: str, trouble: Trouble) -> None:
+    def _respond(self, request_id: str, trouble: Trouble) -> None:
         if self._transport is None or self._transport.is_closing():
             return
-        body = f"{name}@{self._backend.name}#{self._backend.random.randrange(1 << 30)}".encode()
+        body = f"{request_id}@{self._backend.name}#{self._backend.random.randrange(1 << 30)}".encode()
         if trouble is Trouble.LARGE:
             body += b"." * LARGE_BODY_SIZE
         wire = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        whole = trouble not in INCOMPLETE
-        if whole:
-            self._backend.journal.response_bodies.setdefault(name, set()).add(body)
-        if whole and trouble is not Trouble.DRIP:
-            self._open_request = None
+        complete = trouble not in INCOMPLETE
+        if complete:
+            self._backend.journal.response_bodies.setdefault(request_id, set()).add(body)
+        if complete and trouble is not Trouble.DRIP:
+            self._pending_request = None
         else:
-            self._backend.journal.truncated_by_backend.add(name)
-        RESPONDERS.get(trouble, BackendConnection._send_whole)(self, wire, body)
+            self._backend.journal.truncated_by_backend.add(request_id)
+        RESPONDERS.get(trouble, BackendConnection._send_complete)(self, wire, body)
         self._restart_idle_timer()
 
-    def _send_whole(self, wire: bytes, _: bytes) -> None:
+    def _send_complete(self, wire: bytes, _: bytes) -> None:
         self._write(wire)
 
     def _send_error(self, _: bytes, __: bytes) -> None:
@@ -281,7 +285,7 @@
 
     def _reset_midway(self, wire: bytes, _: bytes) -> None:
         self._write(wire[: len(wire) - 5])
-        self._later(STRAY_DELAY_S, self.abort)
+        self._call_later(STRAY_DELAY_S, self.abort)
 
     def _send_garbage(self, _: bytes, __: bytes) -> None:
         self._write(b"\x00\x01 what is this?\r\n\r\n")
@@ -296,11 +300,11 @@
 
     def _send_until_reset(self, _: bytes, body: bytes) -> None:
         self._write(b"HTTP/1.1 200 OK\r\n\r\n" + body[: len(body) // 2])
-        self._later(STRAY_DELAY_S, self.abort)
+        self._call_later(STRAY_DELAY_S, self.abort)
 
     def _send_stray(self, wire: bytes, _: bytes) -> None:
         self._write(wire)
-        self._later(STRAY_DELAY_S, self._write, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
+        self._call_later(STRAY_DELAY_S, self._write, b"HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nstray")
 
     def _send_slowly(self, wire: bytes, _: bytes) -> None:
         self._drip(wire)
@@ -311,33 +315,33 @@
 
     def _close_idle(self, wire: bytes, _: bytes) -> None:
         self._write(wire)
-        self._later(self._backend.random.choice(IDLE_CLOSE_DELAYS_S), self._close)
+        self._call_later(self._backend.random.choice(IDLE_CLOSE_DELAYS_S), self._close)
 
     def _send_half_line(self, wire: bytes, _: bytes) -> None:
         self._write(wire)
-        self._later(STRAY_DELAY_S, self._write, b"HTTP/1.1 2")
+        self._call_later(STRAY_DELAY_S, self._write, b"HTTP/1.1 2")
 
     def _send_interim(self, wire: bytes, _: bytes) -> None:
         self._write(b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\n\r\n" + wire)
 
     def _reset_long(self, _: bytes, body: bytes) -> None:
         self._drip(b"HTTP/1.1 200 OK\r\n\r\n" + body + b"." * LARGE_BODY_SIZE)
-        self._later(DRIP_PAUSE_S * DRIP_CHUNKS, self.abort)
+        self._call_later(DRIP_PAUSE_S * DRIP_CHUNKS, self.abort)
 
     def _reset_slowly(self, _: bytes, __: bytes) -> None:
-        self._later(SLOW_RESET_DELAY_S, self.abort)
+        self._call_later(SLOW_RESET_DELAY_S, self.abort)
 
     def _send_closing(self, wire: bytes, _: bytes) -> None:
         self._write(wire.replace(b"\r\n", b"\r\nConnection: close\r\n", 1))
         self._close()
 
-    def _later(self, delay: float, call: Callable[..., None], *arguments: bytes) -> None:
-        asyncio.get_running_loop().call_later(delay, call, *arguments)
+    def _call_later(self, delay: float, callback: Callable[..., None], *arguments: bytes) -> None:
+        asyncio.get_running_loop().call_later(delay, callback, *arguments)
 
     def _drip(self, wire: bytes) -> None:
         step = len(wire) // DRIP_CHUNKS + 1
         for index in range(DRIP_CHUNKS):
-            self._later(DRIP_PAUSE_S * index, self._write, wire[index * step : (index + 1) * step])
+            self._call_later(DRIP_PAUSE_S * index, self._write, wire[index * step : (index + 1) * step])
 
     def _restart_idle_timer(self) -> None:
         if self._idle_timer is not None:
@@ -354,7 +358,8 @@
             self._transport.close()
 
 
-# What a connection sends for a trouble, of the whole response and its body; others send the whole response.
+# What a connection sends for each trouble, given the complete response and its body; troubles that aren't
+# listed send the complete response.
 RESPONDERS: Mapping[Trouble, Callable[[BackendConnection, bytes, bytes], None]] = {
     Trouble.ERROR: BackendConnection._send_error,
     Trouble.DECLINED: BackendConnection._decline,
--- a/notchjunction/soak/node.py
+++ b/notchjunction/soak/node.py
@@ -127,7 +127,7 @@
         return await _responds_ok(self.listen, "/ready")
 
     async def terminate(self, max_deadline: float) -> None:
-        """Sends SIGTERM, then SIGKILL if the process is still running after the time that the protocol allows.
+        """Sends SIGTERM, then SIGKILL if the process runs longer than the protocol allows.
 
         Args:
             max_deadline: the longest deadline of a request in flight, in seconds.
