--- a/notchjunction/soak/client.py
+++ b/notchjunction/soak/client.py
@@ -147,7 +147,7 @@
                 task.cancel()
 
     async def finish(self, seconds: float) -> None:
-        """Waits for at most so many seconds until all requests have ended, then cancels the others."""
+        """Waits for at most so many seconds until all requests have ended, then cancels the rest."""
         if self._tasks:
             await asyncio.wait(self._tasks, timeout=seconds)
         for task in self._tasks:
@@ -212,11 +212,11 @@
         loop = asyncio.get_running_loop()
         # One parser for all responses, as several may arrive in one read.
         responses = AnswerReader(body_most=1 << 26)
-        waiting = [self._new_exchange(connection, effect, deadline) for _ in range(PIPELINE_DEPTH)]
-        for exchange in waiting:
+        exchanges = [self._new_exchange(connection, effect, deadline) for _ in range(PIPELINE_DEPTH)]
+        for exchange in exchanges:
             connection.writer.write(self._encode(exchange, WritingStyle.PLAIN, f"k{exchange.request}"))
         try:
-            for exchange in waiting:
+            for exchange in exchanges:
                 exchange.sent_at = loop.time()
                 with recording_end(exchange):
                     async with asyncio.timeout(deadline + RESPONSE_GRACE_S):
--- a/notchjunction/soak/discovery.py
+++ b/notchjunction/soak/discovery.py
@@ -1,4 +1,8 @@
-"""Discovery on loopback: one queue of calls that cost by their lines, watches, and faults."""
+"""A fake discovery on loopback: one queue of calls, long polls, and faults.
+
+A call takes time in the queue according to the lines of its response. A watch is a long poll, which gets its
+response when the list changes.
+"""
 
 from __future__ import annotations
 
@@ -17,26 +21,27 @@
 
 ACTIVE, LEAVING, LEFT = "active", "leaving", "left"
 DRIP_CHUNKS = 4  # of a slow response
-DRIP_PAUSE_S = 0.05  # between them
-WATCH_CONTINUES_S = 0.2  # after a response; a poll within it is no new call (the protocol's figure)
+DRIP_PAUSE_S = 0.05  # between the chunks of a slow response
+# A poll within this time after a response continues the watch and isn't a new call; the protocol defines it.
+WATCH_CONTINUES_S = 0.2
 
 
 @dataclass(slots=True)
 class DiscoveryBehaviour:
-    """How discovery responds now; shares from 0 to 1."""
+    """The current behaviour of discovery; shares are of responses, from 0 to 1."""
 
-    call_lines: float = 40.0  # lines that a call costs besides those of its response
+    call_lines: float = 40.0  # cost of a call besides that of its response, in lines
     lines_per_second: float = 20000.0
-    queue_seconds: float = 1.0  # that a call may wait; one beyond is rejected, at the full cost
-    snapshot_share: float = 0.0  # of responses that are a snapshot, whatever the poll
-    indented: bool = False
-    drip_share: float = 0.0  # of responses that come in slow chunks
-    reset_share: float = 0.0  # of responses that end with a reset instead
+    queue_seconds: float = 1.0  # a call that would wait longer is rejected, at the full cost
+    snapshot_share: float = 0.0  # snapshots, even if the poll asks for changes
+    indented: bool = False  # formats the JSON with indentation
+    drip_share: float = 0.0  # responses in slow chunks
+    reset_share: float = 0.0  # responses that are reset midway
 
 
 @dataclass(slots=True, eq=False)
 class PendingPoll:
-    """A poll that waits for a newer version."""
+    """A long poll that waits for a newer version than `version`."""
 
     port: DiscoveryPort
     version: int
@@ -45,7 +50,7 @@
 
 
 class FakeDiscovery:
-    """The list of backends, its versions, and the one queue of calls."""
+    """The list of backends, its version, and the queue of calls that all nodes share."""
 
     def __init__(self, journal: Journal, random: Random) -> None:
         self.behaviour = DiscoveryBehaviour()
@@ -54,118 +59,130 @@
         self._random = random
         self._backends: dict[str, Backend] = {}
         self._statuses: dict[str, str] = {}
-        self._changed_at: dict[str, int] = {}  # by backend, the version of its last change
+        self._changed_in: dict[str, int] = {}  # by backend, the version of its last change
         self._version = 0
-        self._free_at = 0.0
+        self._queue_empty_at = 0.0
         self.ports: dict[str, DiscoveryPort] = {}
-        self.calls = 0
+        self.calls = 0  # including the rejected ones
         self.rejected = 0
 
     @property
     def version(self) -> int:
-        """The version of the last change."""
+        """The version of the list, which is that of its last change."""
         return self._version
 
     def list_backends(self, backends: Iterable[Backend]) -> None:
-        """Sets the list at the beginning, without a notification."""
+        """Adds backends to the initial list as active, without a notification."""
         for backend in backends:
             self._backends[backend.name] = backend
             self._statuses[backend.name] = ACTIVE
-            self._changed_at[backend.name] = 0
+            self._changed_in[backend.name] = 0
 
     async def open_port(self, node: str) -> DiscoveryPort:
         """Opens the port at which one node reaches discovery."""
         port = DiscoveryPort(self, node)
         await port.open()
         self.ports[node] = port
-        self._note_reachable(node)
+        self._record_reachable(node)
         return port
 
     async def move_port(self, node: str) -> DiscoveryPort:
-        """Moves a node's discovery to another port, and closes the old one."""
-        old = self.ports.get(node)
+        """Opens another port for a node and closes the old one."""
+        old_port = self.ports.get(node)
         port = await self.open_port(node)
-        if old is not None:
-            old.close()
+        if old_port is not None:
+            old_port.close()
         return port
 
     def change(self, changes: Iterable[tuple[Backend, str]]) -> None:
-        """Changes the list in one version, and notifies the watches."""
+        """Applies changes to the list as one version and responds to the open watches."""
         self._version += 1
         now = asyncio.get_running_loop().time()
         for backend, status in changes:
             self._backends[backend.name] = backend
             self._statuses[backend.name] = status
-            self._changed_at[backend.name] = self._version
+            self._changed_in[backend.name] = self._version
             self._journal.published.append(Published(now, backend.name, status == ACTIVE))
         for port in self.ports.values():
             port.notify_watches()
 
     def go_down(self) -> None:
-        """Resets all connections and rejects all until `come_back`."""
+        """Resets all connections and refuses new ones until `come_back`."""
         self.up = False
         for port in self.ports.values():
             port.reset()
-            self._note_reachable(port.node)
+            self._record_reachable(port.node)
 
     def come_back(self) -> None:
-        """Serves again."""
+        """Serves polls again."""
         self.up = True
         for port in self.ports.values():
-            self._note_reachable(port.node)
+            self._record_reachable(port.node)
 
     def abandon_watches(self) -> None:
-        """Leaves all open watches without a response for good."""
+        """Drops all open watches, which never get a response."""
         for port in self.ports.values():
             port.abandon_watches()
 
     def reset_watches(self) -> None:
-        """Resets all connections."""
+        """Resets all connections, and with them the open watches."""
         for port in self.ports.values():
             port.reset()
 
     def list_response(self, after: int | None) -> dict[str, object]:
-        """The response to a poll: the changes after a version, or a snapshot."""
+        """Returns the response to a poll: the changes after version `after`, or a snapshot.
+
+        It is a snapshot if `after` is None, and for a random share of other polls.
+        """
         is_snapshot = after is None or self._random.random() < self.behaviour.snapshot_share
         rows = []
         for name, backend in self._backends.items():
             status = self._statuses[name]
             if (is_snapshot and status != LEFT) or (
-                not is_snapshot and after is not None and self._changed_at[name] > after
+                not is_snapshot and after is not None and self._changed_in[name] > after
             ):
                 rows.append(backend.list_entry(status))
         return {"index": self._version, "snapshot": is_snapshot, "endpoints": rows}
 
     def queue_call(self, lines: int) -> float | None:
-        """Queues a call of so many lines; the seconds until it is served, None where it is rejected."""
+        """Queues a call with a response of so many lines.
+
+        Returns:
+            The seconds until it is served; None if it is rejected because the queue is too long.
+        """
         now = asyncio.get_running_loop().time()
-        begins = max(now, self._free_at)
+        begins_at = max(now, self._queue_empty_at)
         self.calls += 1
-        self._free_at = begins + (self.behaviour.call_lines + lines) / self.behaviour.lines_per_second
-        if begins - now > self.behaviour.queue_seconds:
+        self._queue_empty_at = (
+            begins_at + (self.behaviour.call_lines + lines) / self.behaviour.lines_per_second
+        )
+        if begins_at - now > self.behaviour.queue_seconds:
             self.rejected += 1
             return None
-        return self._free_at - now
+        return self._queue_empty_at - now
 
     def record_notified(self, node: str, listing: dict[str, object]) -> None:
-        """Records that a response was written to a node, which is notified of all in it."""
+        """Records that a response was written to a node, which is then notified of all its entries.
+
+        A snapshot also notifies it that the backends missing in it have left the list.
+        """
         now = asyncio.get_running_loop().time()
         rows = listing["endpoints"]
         assert isinstance(rows, list)
-        named = set()
+        listed = set()
         for row in rows:
-            named.add(row["name"])
+            listed.add(row["name"])
             self._journal.notified.append(Notified(now, node, row["name"], row["status"] == ACTIVE))
         if listing["snapshot"]:
-            for name in self._backends.keys() - named:
+            for name in self._backends.keys() - listed:
                 self._journal.notified.append(Notified(now, node, name, False))
 
     def draw_response_faults(self) -> tuple[bool, bool]:
-        """Draws whether a response comes slowly, and whether it ends with a reset."""
+        """Draws whether a response comes in slow chunks, and whether it is reset midway."""
         draw = self._random.random
         return draw() < self.behaviour.drip_share, draw() < self.behaviour.reset_share
 
-    def _note_reachable(self, node: str) -> None:
+    def _record_reachable(self, node: str) -> None:
         now = asyncio.get_running_loop().time()
         self._journal.reachable.append(Reachable(now, node, self.up))
 
@@ -206,7 +223,7 @@
             connection.abort()
 
     def abandon_watches(self) -> None:
-        """Leaves open watches without a response for good."""
+        """Drops the open watches, which never get a response."""
         for watch in self._watches:
             if watch.timer is not None:
                 watch.timer.cancel()
@@ -225,14 +242,20 @@
             watch.respond(True)
 
     def poll(self, after: int | None, wait: float, respond: Callable[[bool], None]) -> None:
-        """Serves a poll; calls `respond` with True to send the list as it is then, False to reject it."""
+        """Serves a poll.
+
+        Args:
+            after: the version that the node has; None for a snapshot.
+            wait: the seconds that the poll may wait for a newer version.
+            respond: called with True to send the current list, with False to reject the poll.
+        """
         service = self._service
         loop = asyncio.get_running_loop()
         if not service.up:
             respond(False)
             return
-        continues = after is not None and loop.time() - self.responded_at <= WATCH_CONTINUES_S
-        if continues:
+        continues_watch = after is not None and loop.time() - self.responded_at <= WATCH_CONTINUES_S
+        if continues_watch:
             self._watch(after or 0, wait, respond)
             return
         lines = len(service.list_response(after)["endpoints"])  # type: ignore[arg-type]
@@ -256,7 +279,7 @@
 
     @property
     def service(self) -> FakeDiscovery:
-        """The discovery behind this port."""
+        """The discovery that this port belongs to."""
         return self._service
 
     @property
@@ -266,7 +289,7 @@
 
 
 class DiscoveryConnection(asyncio.Protocol):
-    """One connection of a node to discovery."""
+    """A node's connection to discovery."""
 
     def __init__(self, port: DiscoveryPort) -> None:
         self._port = port
@@ -274,7 +297,7 @@
         self._transport: asyncio.Transport | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Keeps the transport; resets it while discovery is down."""
+        """Registers the connection, or resets it while discovery is down."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
         self._port.connections.add(self)
@@ -282,17 +305,17 @@
             self.abort()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Drops the transport."""
+        """Removes the connection."""
         self._port.connections.discard(self)
         self._transport = None
 
     def abort(self) -> None:
-        """Ends the connection at once."""
+        """Closes the connection at once."""
         if self._transport is not None:
             self._transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Parses requests; aborts on malformed ones."""
+        """Parses and serves polls; closes the connection at once on a malformed one."""
         self._requests.feed(data)
         try:
             while (request := self._requests.next()) is not None:
@@ -317,26 +340,26 @@
         listing = service.list_response(after)
         body = json.dumps(listing, indent=2 if service.behaviour.indented else None).encode()
         wire = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body)
-        drips, resets = service.draw_response_faults()
+        is_slow, is_reset = service.draw_response_faults()
         loop = asyncio.get_running_loop()
-        if resets:
+        if is_reset:
             transport.write(wire[: len(wire) // 2])
             loop.call_later(0.01, self.abort)
-        elif drips:
+        elif is_slow:
             step = len(wire) // DRIP_CHUNKS + 1
             for index in range(DRIP_CHUNKS):
-                last = index == DRIP_CHUNKS - 1
+                is_last = index == DRIP_CHUNKS - 1
                 loop.call_later(
                     DRIP_PAUSE_S * index,
                     self._write_chunk,
                     wire[index * step : (index + 1) * step],
-                    listing if last else None,
+                    listing if is_last else None,
                 )
         else:
             self._write_chunk(wire, listing)
 
     def _write_chunk(self, chunk: bytes, listing: dict[str, object] | None) -> None:
-        """Writes a part of a response; the last comes with the list of which the node is then notified."""
+        """Writes a chunk of a response; with the last one, `listing` is recorded as notified."""
         if self._transport is None or self._transport.is_closing():
             return
         self._transport.write(chunk)
