--- a/notchjunction/soak/__init__.py
+++ b/notchjunction/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized fault soak: real node processes, overlapping faults, and invariants as the oracle."""
+"""A randomized soak test of real node processes under overlapping faults, checked against invariants."""
