--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""The fault soak: its oracle sees each rule that breaks, and a few seeds run on real processes."""
+"""Tests of the soak: its oracle detects each violated invariant, and a few seeds run on real processes."""
 
 from __future__ import annotations
 
@@ -31,120 +31,128 @@
     overload_span=2.0,
     capacity=10.0,
 )
-SENT = 100.0  # s
-BODY = b"made for it"
+SENT_AT = 100.0  # s
+BODY = b"response to r1"
 
 
 def exchange(effect: Effect = Effect.SAFE) -> Exchange:
-    """A request that was served, a second after it was sent."""
-    return Exchange("r1", "n0", effect, 2.0, SENT, SENT, True, SENT + 1.0, 200, BODY)
+    """Returns a request that got its response a second after it was sent."""
+    return Exchange("r1", "n0", effect, 2.0, SENT_AT, SENT_AT, True, SENT_AT + 1.0, 200, BODY)
 
 
-def attempt(at: float = SENT + 0.1, **changed: object) -> Attempt:
-    sound = Attempt(at, at, "s0", "z0", "r1", SENT + 2.0 - at, Disposition.EXECUTED)
-    return replace(sound, **changed)  # type: ignore[arg-type]
+def attempt(at: float = SENT_AT + 0.1, **changes: object) -> Attempt:
+    """Returns an attempt of that request that the backend executed, with some fields changed."""
+    valid = Attempt(at, at, "s0", "z0", "r1", SENT_AT + 2.0 - at, Disposition.EXECUTED)
+    return replace(valid, **changes)  # type: ignore[arg-type]
 
 
-def journal(one: Exchange, *attempts: Attempt) -> Journal:
+def journal_of(observed: Exchange, *attempts: Attempt) -> Journal:
+    """Returns the journal of a run with one request and its attempts."""
     return Journal(
         attempts=list(attempts),
-        exchanges=[one],
+        exchanges=[observed],
         reachable=[Reachable(0.0, "n0", True)],
         response_bodies={"r1": {BODY}},
     )
 
 
-def broken(seen: Journal) -> set[str]:
-    return {violation.invariant for violation in violations(seen, LIMITS)}
+def violated(journal: Journal) -> set[str]:
+    """Returns the names of the violated invariants."""
+    return {violation.invariant for violation in violations(journal, LIMITS)}
 
 
-def test_a_sound_run_breaks_nothing() -> None:
-    assert broken(journal(exchange(), attempt())) == set()
+def test_a_correct_run_violates_nothing() -> None:
+    assert violated(journal_of(exchange(), attempt())) == set()
 
 
-def changed(one: Exchange, **more: object) -> Exchange:
-    return replace(one, **more)  # type: ignore[arg-type]
+def changed(observed: Exchange, **changes: object) -> Exchange:
+    """Returns an exchange with some fields changed."""
+    return replace(observed, **changes)  # type: ignore[arg-type]
 
 
 @pytest.mark.parametrize(
-    "seen",
+    "observations",
     [
-        journal(changed(exchange(), status=None, ended_at=SENT + 2.8), attempt()),  # no answer at all
-        journal(changed(exchange(), ended_at=SENT + 2.6), attempt()),  # over half a second late
-        journal(changed(exchange(), status=None, ended_at=None, closed_at=SENT + 0.5), attempt()),
-        journal(changed(exchange(), status=None, ended_at=None, closed_at=SENT + 0.5)),  # read and closed
-        journal(changed(exchange(), body=b"of another"), attempt()),
-        journal(exchange(), attempt(), attempt(SENT + 1.2)),  # sent after its answer
-        journal(changed(exchange(), status=None, ended_at=None, cancelled_at=SENT), attempt(SENT + 0.2)),
-        journal(exchange(), attempt(time_left_seconds=2.2)),  # told more than is left
+        journal_of(changed(exchange(), status=None, ended_at=SENT_AT + 2.8), attempt()),  # no response at all
+        journal_of(changed(exchange(), ended_at=SENT_AT + 2.6), attempt()),  # over 0.5 s late
+        journal_of(changed(exchange(), status=None, ended_at=None, closed_at=SENT_AT + 0.5), attempt()),
+        # Read, then closed.
+        journal_of(changed(exchange(), status=None, ended_at=None, closed_at=SENT_AT + 0.5)),
+        journal_of(changed(exchange(), body=b"of another"), attempt()),
+        journal_of(exchange(), attempt(), attempt(SENT_AT + 1.2)),  # sent after its response
+        journal_of(
+            changed(exchange(), status=None, ended_at=None, cancelled_at=SENT_AT), attempt(SENT_AT + 0.2)
+        ),
+        journal_of(exchange(), attempt(time_left_seconds=2.2)),  # reports more time than is left
     ],
 )
-def test_what_loses_a_request_is_seen(seen: Journal) -> None:
-    assert broken(seen) == {"lost"}
-
-
-def test_a_request_that_crosses_a_close_unread_is_not_lost() -> None:
-    crossed = changed(exchange(), status=None, ended_at=None, closed_at=SENT + 0.01)
-    assert broken(journal(crossed)) == set()
-
-
-def test_what_runs_twice_is_seen() -> None:
-    again = attempt(SENT + 0.5, backend="s1")
-    assert broken(journal(exchange(Effect.UNSAFE), attempt(), again)) == {"duplicate"}
-    assert broken(journal(exchange(Effect.KEYED), attempt(), again)) == set()
-    far = attempt(SENT + 0.5, backend="s1", zone="z1")
-    assert broken(journal(exchange(Effect.KEYED), attempt(), far)) == {"duplicate"}
-    late = changed(exchange(Effect.KEYED), deadline_seconds=9.0, ended_at=SENT + 6.0)
-    assert broken(journal(late, attempt(), attempt(SENT + 5.0))) == {"duplicate"}
-    refused = changed(exchange(Effect.UNSAFE), status=503)
-    assert broken(journal(refused, attempt())) == {"duplicate"}
-    assert broken(journal(refused, attempt(disposition=Disposition.DECLINED))) == set()
-
-
-def test_a_send_past_the_grace_is_seen_whether_or_not_the_node_was_told() -> None:
-    told = journal(exchange(), attempt())
-    told.notified = [Notified(SENT - 0.6, "n0", "s0", False)]
-    assert broken(told) == {"drain"}
-    told.notified.append(Notified(SENT - 0.3, "n0", "s0", True))
-    assert broken(told) == set()
-    counts = journal(exchange(), attempt())
-    counts.published = [Published(SENT - 7.0, "s0", False)]
-    assert broken(counts) == {"drain"}
-    counts.reachable += [Reachable(SENT - 5.0, "n0", False), Reachable(SENT - 1.0, "n0", True)]
-    assert broken(counts) == set()
-
-
-def test_a_push_on_a_cold_backend_is_seen_and_a_crash_too() -> None:
-    sent = [attempt(SENT + 0.1 + 0.001 * number) for number in range(50)]
-    pushed = journal(exchange(), attempt(), *sent)
-    pushed.backend_starts = [BackendStart(SENT, "s0")]
-    assert broken(pushed) == set()  # its node could not know: discovery has not told it
-    pushed.notified = [Notified(SENT - 1.0, "n0", "s0", True)]
-    assert broken(pushed) == set()  # nor by word of an earlier life
-    pushed.notified.append(Notified(SENT + 0.05, "n0", "s0", True))
-    assert broken(pushed) == {"failback"}
-    pushed.notified.clear()
-    pushed.backend_starts = [BackendStart(SENT - 6.0, "s0")]
-    assert broken(pushed) == set()  # it is warm by then
-    slow = replace(LIMITS, slow_start_time=20.0)
-    assert {each.invariant for each in violations(pushed, slow)} == {"failback"}  # it counts as told
-    crashed = journal(exchange(), attempt())
-    crashed.process_exits = [ProcessExit(SENT + 5.0, "n0", None, 1)]
-    assert broken(crashed) == {"crash"}
-    crashed.process_exits = [ProcessExit(SENT + 5.0, "n0", SENT + 4.0, 0)]
-    assert broken(crashed) == set()
-
-
-def test_a_seed_says_all_and_seeds_differ() -> None:
+def test_a_lost_request_is_detected(observations: Journal) -> None:
+    assert violated(observations) == {"lost"}
+
+
+def test_an_unread_request_at_the_close_of_its_connection_is_not_lost() -> None:
+    unread = changed(exchange(), status=None, ended_at=None, closed_at=SENT_AT + 0.01)
+    assert violated(journal_of(unread)) == set()
+
+
+def test_a_duplicate_execution_is_detected() -> None:
+    repeat = attempt(SENT_AT + 0.5, backend="s1")
+    assert violated(journal_of(exchange(Effect.UNSAFE), attempt(), repeat)) == {"duplicate"}
+    assert violated(journal_of(exchange(Effect.KEYED), attempt(), repeat)) == set()
+    other_zone = attempt(SENT_AT + 0.5, backend="s1", zone="z1")
+    assert violated(journal_of(exchange(Effect.KEYED), attempt(), other_zone)) == {"duplicate"}
+    long_deadline = changed(exchange(Effect.KEYED), deadline_seconds=9.0, ended_at=SENT_AT + 6.0)
+    assert violated(journal_of(long_deadline, attempt(), attempt(SENT_AT + 5.0))) == {"duplicate"}
+    rejected = changed(exchange(Effect.UNSAFE), status=503)
+    assert violated(journal_of(rejected, attempt())) == {"duplicate"}
+    assert violated(journal_of(rejected, attempt(disposition=Disposition.DECLINED))) == set()
+
+
+def test_an_attempt_at_a_draining_backend_is_detected_with_and_without_a_notification() -> None:
+    notified = journal_of(exchange(), attempt())
+    notified.notified = [Notified(SENT_AT - 0.6, "n0", "s0", False)]
+    assert violated(notified) == {"drain"}
+    notified.notified.append(Notified(SENT_AT - 0.3, "n0", "s0", True))
+    assert violated(notified) == set()
+    unnotified = journal_of(exchange(), attempt())
+    unnotified.published = [Published(SENT_AT - 7.0, "s0", False)]
+    assert violated(unnotified) == {"drain"}
+    unnotified.reachable += [Reachable(SENT_AT - 5.0, "n0", False), Reachable(SENT_AT - 1.0, "n0", True)]
+    assert violated(unnotified) == set()
+
+
+def test_an_overload_in_slow_start_and_a_crash_are_detected() -> None:
+    burst = [attempt(SENT_AT + 0.1 + 0.001 * number) for number in range(50)]
+    overloaded = journal_of(exchange(), attempt(), *burst)
+    overloaded.backend_starts = [BackendStart(SENT_AT, "s0")]
+    assert violated(overloaded) == set()  # discovery has not notified the node of the start
+    overloaded.notified = [Notified(SENT_AT - 1.0, "n0", "s0", True)]
+    assert violated(overloaded) == set()  # the notification is older than the start
+    overloaded.notified.append(Notified(SENT_AT + 0.05, "n0", "s0", True))
+    assert violated(overloaded) == {"failback"}
+    overloaded.notified.clear()
+    overloaded.backend_starts = [BackendStart(SENT_AT - 6.0, "s0")]
+    assert violated(overloaded) == set()  # its slow start is over
+    long_slow_start = replace(LIMITS, slow_start_time=20.0)
+    # The node counts as notified.
+    assert {violation.invariant for violation in violations(overloaded, long_slow_start)} == {"failback"}
+    crashed = journal_of(exchange(), attempt())
+    crashed.process_exits = [ProcessExit(SENT_AT + 5.0, "n0", None, 1)]
+    assert violated(crashed) == {"crash"}
+    crashed.process_exits = [ProcessExit(SENT_AT + 5.0, "n0", SENT_AT + 4.0, 0)]
+    assert violated(crashed) == set()
+
+
+def test_a_plan_depends_on_its_seed_alone_and_plans_differ() -> None:
     assert draw(7) == draw(7) != draw(8)
     kinds = {fault.kind for seed in range(60) for fault in draw(seed).faults}
     assert kinds == set(Kind)
     plans = [draw(seed) for seed in range(60)]
     overlaps = [
-        one
+        fault
         for plan in plans
-        for one, two in zip(plan.faults, plan.faults[1:], strict=False)
-        if two.at < one.until
+        for fault, following in zip(plan.faults, plan.faults[1:], strict=False)
+        if following.at < fault.until
     ]
     assert len(overlaps) > 200
     assert seeds_in("1-3,9") == [1, 2, 3, 9]
@@ -152,8 +160,8 @@
 
 @pytest.mark.timeout(120)
 @pytest.mark.parametrize("seed", [4, 10, 16])
-def test_a_few_seeds_on_real_processes_break_nothing(seed: int, tmp_path: Path) -> None:
-    """Overlapping faults; 50 seeds and more are played by hand (`python -m notchjunction.soak`)."""
+def test_a_few_seeds_on_real_processes_violate_nothing(seed: int, tmp_path: Path) -> None:
+    """Plays overlapping faults; 50 or more seeds are played by hand with `python -m notchjunction.soak`."""
     result = play(seed, tmp_path, nodes=None, seconds=8.0, backends=None)
     assert result.succeeded > 100
     assert [str(violation) for violation in result.violations] == []
