--- a/notchjunction/soak/oracle.py
+++ b/notchjunction/soak/oracle.py
@@ -27,7 +27,7 @@
 UPGRADE_GRACE_S = 2.0
 # A node counts as notified of a change this long after discovery had it and the node could reach discovery.
 NOTIFICATION_LIMIT_S = 6.0
-# The node may have closed its connection before it read a request whose last byte was sent this recently.
+# A node that closes a connection this soon after the last byte of a request may not have read the request.
 UNREAD_SPAN_S = 0.05
 # Delay of a byte on loopback between two busy processes.
 NETWORK_SLACK_S = 0.02
@@ -41,7 +41,7 @@
     """A violated invariant."""
 
     invariant: str
-    at: float
+    at: float  # seconds on the journal's clock
     text: str
 
     def __str__(self) -> str:
@@ -85,8 +85,8 @@
         if exchange.malformed or exchange.sent_at is None or exchange.cancelled_at is not None:
             continue
         due = exchange.sent_at + exchange.deadline_seconds + RESPONSE_SLACK_S
-        ended = exchange.ended_at if exchange.ended_at is not None else exchange.closed_at
-        if any(exchange.sent_at <= at <= (ended or inf) + 1.0 for at in kills.get(exchange.node, ())):
+        ended_at = exchange.ended_at if exchange.ended_at is not None else exchange.closed_at
+        if any(exchange.sent_at <= at <= (ended_at or inf) + 1.0 for at in kills.get(exchange.node, ())):
             continue
         slack = journal.harness_delay(exchange.sent_at, due) + journal.paused_seconds(
             exchange.node, exchange.sent_at, due
@@ -245,8 +245,8 @@
 def check_slow_start_budgets(journal: Journal, limits: Limits) -> Iterator[Violation]:
     """All nodes together keep within the budget of a backend in slow start.
 
-    Counted are the attempts of nodes that were notified of its start, over each span of `overload_span`
-    seconds. Random arrivals may exceed the budget by a few of its square roots.
+    The check counts the attempts of nodes that were notified of its start, over each span of `overload_span`
+    seconds. Random arrivals may exceed the budget by two or three times its square root.
     """
     arrivals: dict[str, list[Attempt]] = defaultdict(list)
     for attempt in journal.attempts:
--- a/notchjunction/soak/plan.py
+++ b/notchjunction/soak/plan.py
@@ -103,7 +103,7 @@
     Kind.CONNECTIONS_RESET,
 )
 UPGRADE_KINDS = (Kind.UPGRADE, Kind.UPGRADE_FAILS)
-REGULAR_KINDS = tuple(kind for kind in Kind if kind not in UPGRADE_KINDS)  # in runs without upgrades too
+REGULAR_KINDS = tuple(kind for kind in Kind if kind not in UPGRADE_KINDS)  # drawn for every run
 MAX_UPGRADES = 4  # in a run with upgrades
 FAULT_FREE_START_S = 1.0  # at the beginning of a run
 
