--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -1,4 +1,4 @@
-"""The balancer against a fake host: one short test for each failure met."""
+"""Tests of the balancer against a fake host: one short test for each failure that was found."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "deepest", "attempts"),
+    ("result", "deepest_tier", "attempts"),
     [
         (AttemptResult.NO_CONNECTION, False, 2),
         (AttemptResult.RESET, False, 2),
@@ -40,9 +40,9 @@
     ],
 )
 def test_only_failures_that_the_endpoint_itself_caused_are_retried(
-    result: AttemptResult, deepest: bool, attempts: int
+    result: AttemptResult, deepest_tier: bool, attempts: int
 ) -> None:
-    host = FakeHost(tier=1 if deepest else 0, tier_count=2)
+    host = FakeHost(tier=1 if deepest_tier else 0, tier_count=2)
     host.serve_requests(20)
     request = host.submit()
     host.end_attempt(request, result)
@@ -79,7 +79,7 @@
         (Idempotency.IDEMPOTENT, DeduplicationScope.ALL, AttemptResult.RESET, True, "reject"),
     ],
 )
-def test_no_effect_happens_twice(
+def test_a_request_is_retried_only_where_it_cannot_take_effect_twice(
     idempotency: Idempotency, scope: DeduplicationScope, result: AttemptResult, retried: bool, final: str
 ) -> None:
     host = FakeHost(
@@ -140,12 +140,12 @@
     host.list_endpoints(0, started_at=host.clock - 0.1)
     before = len(host.commands)
     host.serve_requests(100)
-    early = sum(1 for row in host.commands[before:] if row[0] == "send_attempt" and row[2] == 0)
+    early_count = sum(1 for row in host.commands[before:] if row[0] == "send_attempt" and row[2] == 0)
     host.advance(10.0)
     before = len(host.commands)
     host.serve_requests(100)
-    late = sum(1 for row in host.commands[before:] if row[0] == "send_attempt" and row[2] == 0)
-    assert early <= 16 and late >= 15  # an even share is 25
+    late_count = sum(1 for row in host.commands[before:] if row[0] == "send_attempt" and row[2] == 0)
+    assert early_count <= 16 and late_count >= 15  # an even share is 25
 
 
 @pytest.mark.parametrize(
@@ -155,40 +155,48 @@
 def test_a_fleet_uses_much_of_the_slow_start_budget_and_never_exceeds_it(
     nodes: int, group_size: int, minimum: float
 ) -> None:
-    """All endpoints restart together; the attempts of all nodes at one of them are added up a window."""
-    warm_up_time, share, multiple, window = 10.0, 0.3, 3.0, 2.0
+    """All endpoints restart together; the attempts of all nodes at one of them are summed for each window."""
+    warm_up_time, share, overload_multiple, window = 10.0, 0.3, 3.0, 2.0
     served_rate = 5.0  # requests a second of each endpoint
     settings = {
         "slow_start_share": share,
         "slow_start_time": warm_up_time,
-        "overload_multiple": multiple,
+        "overload_multiple": overload_multiple,
         "node_count": group_size,
     }
     hosts = [FakeHost(10, seed=number, **settings) for number in range(nodes)]
-    every = nodes / (10 * served_rate)
+    interval = nodes / (10 * served_rate)
     for host in hosts:
-        host.advance(host.balancer._random.uniform(0, every))
-        host.serve_requests(int(12.0 / every), every=every)
+        host.advance(host.balancer._random.uniform(0, interval))
+        host.serve_requests(int(12.0 / interval), every=interval)
         host.list_endpoints(*range(10), started_at=host.clock)
-    sent: list[float] = []
+    sent_times: list[float] = []
     for host in hosts:
-        began, seen = host.clock, len(host.commands)
-        host.advance(host.balancer._random.uniform(0, every))
-        while host.clock < began + warm_up_time:
+        start, commands_seen = host.clock, len(host.commands)
+        host.advance(host.balancer._random.uniform(0, interval))
+        while host.clock < start + warm_up_time:
             host.submit()
-            host.advance(every)
-            rows, seen = [row for row in host.commands[seen:] if row[0] == "send_attempt"], len(host.commands)
+            host.advance(interval)
+            rows, commands_seen = (
+                [row for row in host.commands[commands_seen:] if row[0] == "send_attempt"],
+                len(host.commands),
+            )
             for row in rows:
                 host.end_attempt(row[1])
-        sent += [at - began for at, endpoint in host.sent_attempts if endpoint == 9 and at >= began]
-    used = []
+        sent_times += [
+            sent_at - start for sent_at, endpoint in host.sent_attempts if endpoint == 9 and sent_at >= start
+        ]
+    budget_shares = []
     for second in range(int(warm_up_time - window)):
         budget = (
-            multiple * served_rate * window * (share + (1 - share) * (second + window / 2) / warm_up_time)
+            overload_multiple
+            * served_rate
+            * window
+            * (share + (1 - share) * (second + window / 2) / warm_up_time)
         )
-        used.append(sum(1 for at in sent if second <= at < second + window) / budget)
-    assert max(used) <= 1.0
-    assert sum(used[:5]) / 5 > minimum
+        budget_shares.append(sum(1 for sent_at in sent_times if second <= sent_at < second + window) / budget)
+    assert max(budget_shares) <= 1.0
+    assert sum(budget_shares[:5]) / 5 > minimum
 
 
 def test_the_endpoint_list_is_polled_again_after_a_failure() -> None:
@@ -201,86 +209,94 @@
 
 
 @pytest.mark.parametrize("poll_interval", [0.0, 10.0, 60.0])
-def test_the_next_poll_follows_in_under_three_seconds_however_many_failed(
+def test_the_next_poll_follows_within_three_seconds_after_any_number_of_failures(
     poll_interval: float,
 ) -> None:
     pauses = []
     for seed in range(20):
         host = FakeHost(polls_list=True, poll_interval=poll_interval, seed=seed)
         for _ in range(40):
-            at, seen = host.clock, host.count_commands("poll_list")
+            failed_at, poll_count = host.clock, host.count_commands("poll_list")
             host.balancer.list_updated(ListUpdate.FAILED, ())
-            while host.count_commands("poll_list") == seen:
+            while host.count_commands("poll_list") == poll_count:
                 host.advance(0.01)
-                assert host.clock - at < 2.97
-        pauses.append(host.clock - at)
-    assert max(pauses) - min(pauses) > 1.5  # and not all at the same moment
+                assert host.clock - failed_at < 2.97
+        pauses.append(host.clock - failed_at)
+    assert max(pauses) - min(pauses) > 1.5  # jitter: nodes do not all poll at the same moment
 
 
-@pytest.mark.parametrize(("nodes", "down"), [(1, 0.0), (40, 0.0), (40, 60.0), (200, 0.0)])
-def test_a_fleet_that_polls_the_list_at_once_is_served_in_a_bounded_time(nodes: int, down: float) -> None:
-    """Discovery serves four polls a second and rejects those that would wait for over a second."""
-    rate, limit, step = 4.0, 2.5, 0.05
+@pytest.mark.parametrize(("nodes", "outage_end"), [(1, 0.0), (40, 0.0), (40, 60.0), (200, 0.0)])
+def test_nodes_that_all_poll_the_list_at_once_receive_it_in_a_bounded_time(
+    nodes: int, outage_end: float
+) -> None:
+    """Discovery serves four polls a second and rejects those that would queue for over a second."""
+    rate, max_backoff, step = 4.0, 2.5, 0.05
     hosts = [FakeHost(1, seed=number, polls_list=True, poll_interval=10.0) for number in range(nodes)]
-    waiting: list[FakeHost] = []
-    seen = dict.fromkeys(range(nodes), 0)
-    done: dict[int, float] = {}
-    calls, now, worked = 0, 0.0, 0.0
-    while len(done) < nodes:
+    queue: list[FakeHost] = []
+    polls_seen = dict.fromkeys(range(nodes), 0)
+    updated_at: dict[int, float] = {}
+    poll_count, now, served_credit = 0, 0.0, 0.0
+    while len(updated_at) < nodes:
         for number, host in enumerate(hosts):
-            if number not in done and host.count_commands("poll_list") > seen[number]:
-                seen[number] += 1
-                calls += 1
-                if now < down or len(waiting) > rate:
+            if number not in updated_at and host.count_commands("poll_list") > polls_seen[number]:
+                polls_seen[number] += 1
+                poll_count += 1
+                if now < outage_end or len(queue) > rate:
                     host.balancer.list_updated(ListUpdate.FAILED, ())
                 else:
-                    waiting.append(host)
-        worked += rate * step if now >= down else 0.0
-        while worked >= 1.0 and waiting:
-            worked -= 1.0
-            served = waiting.pop(0)
+                    queue.append(host)
+        served_credit += rate * step if now >= outage_end else 0.0
+        while served_credit >= 1.0 and queue:
+            served_credit -= 1.0
+            served = queue.pop(0)
             served.balancer.list_updated(ListUpdate.CHANGES, ())
-            done[hosts.index(served)] = now
-        worked = min(worked, 1.0)
+            updated_at[hosts.index(served)] = now
+        served_credit = min(served_credit, 1.0)
         for host in hosts:
             host.advance(step)
         now += step
-        assert now < down + 1.5 * nodes / rate + 2 * limit
-    assert calls <= nodes * (4 + now)
+        assert now < outage_end + 1.5 * nodes / rate + 2 * max_backoff
+    assert poll_count <= nodes * (4 + now)
 
 
 @pytest.mark.parametrize(("nodes", "rate"), [(220, 42.0), (120, 25.0), (20, 42.0)])
-def test_a_fleet_receives_the_list_in_time_after_an_overloaded_discovery_recovers(
+def test_all_nodes_receive_the_list_in_time_after_an_overloaded_discovery_recovers(
     nodes: int, rate: float
 ) -> None:
-    """All polled at once, and it went down; a poll that waits for over 2 s is rejected, at full cost."""
-    wait, down, back, step = 2.0, 2.0, 11.0, 0.05
+    """All nodes poll at once, then discovery goes down.
+
+    A poll that queues for over 2 s is rejected, and costs discovery as much as one that it answers.
+    """
+    max_queue_time, outage_start, outage_end, step = 2.0, 2.0, 11.0, 0.05
     hosts = [
         FakeHost(1, seed=number, polls_list=True, poll_interval=10.0, probes=False) for number in range(nodes)
     ]
-    seen = [0] * nodes
-    ends: list[tuple[float, int, bool]] = []
+    polls_seen = [0] * nodes
+    poll_ends: list[tuple[float, int, bool]] = []
     received_at: dict[int, float] = {}
-    now = free = 0.0
+    now = free_at = 0.0
     while len(received_at) < nodes:
         for number, host in enumerate(hosts):
-            if host.count_commands("poll_list") > seen[number]:
-                seen[number] += 1
-                free = max(now, free) + (0.0 if down <= now < back else 1 / rate)
-                refused = down <= now < back or free - now > wait
-                ends.append((now + wait if refused else free, number, not refused))
-        due, ends = [end for end in ends if end[0] <= now], [end for end in ends if end[0] > now]
-        for at, number, accepted in due:
+            if host.count_commands("poll_list") > polls_seen[number]:
+                polls_seen[number] += 1
+                free_at = max(now, free_at) + (0.0 if outage_start <= now < outage_end else 1 / rate)
+                rejected = outage_start <= now < outage_end or free_at - now > max_queue_time
+                poll_ends.append((now + max_queue_time if rejected else free_at, number, not rejected))
+        due_ends, poll_ends = (
+            [poll_end for poll_end in poll_ends if poll_end[0] <= now],
+            [poll_end for poll_end in poll_ends if poll_end[0] > now],
+        )
+        for ended_at, number, accepted in due_ends:
             if not accepted:
                 hosts[number].balancer.list_updated(ListUpdate.FAILED, ())
-            elif at < back:
-                ends.append((down, number, False))  # its watch ends as discovery goes down
+            elif ended_at < outage_end:
+                poll_ends.append((outage_start, number, False))  # its watch ends as discovery goes down
             else:
-                received_at[number] = at
+                received_at[number] = ended_at
         for host in hosts:
             host.advance(step)
         now += step
-        assert now < back + CHANGE_EFFECTIVE_AFTER_S + GRACE
+        assert now < outage_end + CHANGE_EFFECTIVE_AFTER_S + GRACE
 
 
 def test_probes_are_sent_with_and_without_requests() -> None:
@@ -309,9 +325,9 @@
             request,
             AttemptResult.ERROR if host.sent_to(request)[0] == 0 else AttemptResult.SUCCEEDED,
         )
-    late = [host.submit() for _ in range(3)]
-    assert all(host.sent_to(request) != [0] for request in late)
-    for request in late:
+    later_requests = [host.submit() for _ in range(3)]
+    assert all(host.sent_to(request) != [0] for request in later_requests)
+    for request in later_requests:
         host.end_attempt(request)
     host.advance(4.1)
     host.serve_until(lambda: any(row[0] == "send_attempt" and row[2] == 0 for row in host.commands[-3:]))
@@ -334,8 +350,8 @@
             request,
             AttemptResult.SUCCEEDED if host.sent_to(request)[0] == 3 else AttemptResult.ERROR,
         )
-    late = {endpoint for _ in range(8) for endpoint in host.sent_to(host.submit())}
-    assert 3 in late and len(late) >= 2
+    endpoints_used = {endpoint for _ in range(8) for endpoint in host.sent_to(host.submit())}
+    assert 3 in endpoints_used and len(endpoints_used) >= 2
 
 
 def test_requests_over_capacity_are_queued_briefly_or_rejected_at_once() -> None:
@@ -364,12 +380,14 @@
 
 
 @pytest.mark.parametrize("result", [AttemptResult.SUCCEEDED, AttemptResult.ERROR, AttemptResult.TIMED_OUT])
-def test_an_endpoint_whose_probe_takes_long_is_passed_over_for_a_while(result: AttemptResult) -> None:
+def test_an_endpoint_with_a_slow_probe_is_passed_over_until_the_probe_is_out_of_date(
+    result: AttemptResult,
+) -> None:
     host = FakeHost(6, node_count=9)
     host.serve_requests(40)
     host.probe_all({})
     host.probe_all({0: 0.3}, result)
-    host.advance(0.2)  # what is typical is kept for a while
+    host.advance(0.2)  # the typical value is cached for a while
     assert 0 not in [
         endpoint for request in [host.submit() for _ in range(9)] for endpoint in host.sent_to(request)
     ]
@@ -377,10 +395,10 @@
     host.serve_until(lambda: host.sent_attempts[-1][1] == 0)
 
 
-def test_none_is_passed_over_where_most_endpoints_are_unresponsive_or_slow() -> None:
+def test_no_endpoint_is_passed_over_where_most_are_unresponsive_or_slow() -> None:
     host = FakeHost(5, hedging=False)
     host.serve_requests(40)
-    while host.sent_to(host.submit(time_left=30.0)) != [0]:  # it stalls there
+    while host.sent_to(host.submit(time_left=30.0)) != [0]:  # this request stalls at endpoint 0
         host.end_attempt(host.request_count)
         host.advance(0.01)
     host.advance(0.5)
@@ -395,16 +413,18 @@
     ("result", "unresponsive"),
     [(AttemptResult.NOT_SENT, True), (AttemptResult.CANCELLED, True), (AttemptResult.ERROR, False)],
 )
-def test_an_attempt_that_was_never_sent_is_no_sign_of_life_of_its_endpoint(
+def test_an_attempt_that_was_not_sent_or_was_cancelled_does_not_show_its_endpoint_responsive(
     result: AttemptResult, unresponsive: bool
 ) -> None:
     host = FakeHost(3)
     host.serve_requests(40)
     host.advance(0.01)
     requests = [host.submit(time_left=30.0) for _ in range(6)]
-    sent = [host.sent_to(request)[0] for request in requests]
-    number = max(set(sent), key=sent.count)
-    stalled_requests = [request for request, to in zip(requests, sent, strict=True) if to == number]
+    first_endpoints = [host.sent_to(request)[0] for request in requests]
+    number = max(set(first_endpoints), key=first_endpoints.count)
+    stalled_requests = [
+        request for request, sent_to in zip(requests, first_endpoints, strict=True) if sent_to == number
+    ]
     endpoint = host.balancer._endpoints[number]
     host.advance(0.3)
     for request in set(requests) - set(stalled_requests):
@@ -431,15 +451,17 @@
     } == {1}
 
 
-def test_requests_stalled_at_an_ejected_endpoint_leave_the_capacity_to_others() -> None:
-    long = replace(PLAIN, latency_objective=10.0, deadline=20.0)
-    host = FakeHost(4, node_count=40, tier=1, tier_count=2, request_classes=[long])
+def test_requests_stalled_at_an_ejected_endpoint_use_no_capacity() -> None:
+    slow_class = replace(PLAIN, latency_objective=10.0, deadline=20.0)
+    host = FakeHost(4, node_count=40, tier=1, tier_count=2, request_classes=[slow_class])
     host.serve_requests(100)
     requests = [host.submit(time_left=20.0) for _ in range(200)]
     endpoints_used = [host.sent_to(request)[0] for request in requests if host.sent_to(request)]
     host.balancer._endpoints[0].ejected_until = host.clock + 5.0
-    more = [host.submit(time_left=20.0) for _ in range(200)]
-    assert 0 < endpoints_used.count(0) <= len([request for request in more if host.sent_to(request)])
+    later_requests = [host.submit(time_left=20.0) for _ in range(200)]
+    assert (
+        0 < endpoints_used.count(0) <= len([request for request in later_requests if host.sent_to(request)])
+    )
 
 
 def test_a_queued_request_is_sent_once_slow_start_allows_it_without_any_outcome() -> None:
@@ -457,14 +479,14 @@
     host.serve_requests(200, every=0.1)
     host.list_endpoints(0, started_at=host.clock)
     for _ in range(20):
-        host.balancer.request_cancelled(host.submit())  # the queue is empty again and again
+        host.balancer.request_cancelled(host.submit())  # the queue is empty again each time
     before = len(host.timers)
     host.submit()
     assert len(host.timers) == before + 1  # its deadline
 
 
 def stall_one_request(host: FakeHost) -> int:
-    """Return a request that endpoint 0 accepts and never responds to, while the others go on."""
+    """Return a request that endpoint 0 accepts and never responds to, while the other endpoints respond."""
     host.serve_requests(40)
     for _ in range(100):
         request = host.submit()
@@ -493,8 +515,8 @@
 
 def test_stalled_requests_use_no_capacity() -> None:
     host = FakeHost(endpoints=2, node_count=10)
-    stuck = [host.submit() for _ in range(2)]
-    assert all(host.sent_to(request) for request in stuck)
+    stalled_requests = [host.submit() for _ in range(2)]
+    assert all(host.sent_to(request) for request in stalled_requests)
     rejected = host.submit()
     host.advance(0.9)
     assert host.final_commands(rejected) == ["reject"] and host.sent_to(host.submit())
@@ -504,9 +526,9 @@
     host = FakeHost(endpoints=2)
     host.serve_requests(20)
     request = host.submit()
-    full = host.sent_to(request)[0]
+    full_endpoint = host.sent_to(request)[0]
     host.end_attempt(request, AttemptResult.REJECTED)
-    assert all(host.sent_to(host.submit()) != [full] for _ in range(3))
+    assert all(host.sent_to(host.submit()) != [full_endpoint] for _ in range(3))
 
 
 def test_an_old_load_report_has_little_weight() -> None:
@@ -521,25 +543,27 @@
 def test_while_new_connections_fail_only_open_ones_are_used() -> None:
     host = FakeHost(endpoints=30, connection_idle_timeout=5.0, max_attempts=1)
     host.serve_requests(8)
-    connected = {row[2] for row in host.commands if row[0] == "send_attempt"}
+    connected_endpoints = {row[2] for row in host.commands if row[0] == "send_attempt"}
     for _ in range(40):
         request = host.submit()
         host.end_attempt(
             request,
-            AttemptResult.SUCCEEDED if host.sent_to(request)[0] in connected else AttemptResult.NO_CONNECTION,
+            AttemptResult.SUCCEEDED
+            if host.sent_to(request)[0] in connected_endpoints
+            else AttemptResult.NO_CONNECTION,
         )
-    assert all(host.sent_to(host.submit())[0] in connected for _ in range(4))
+    assert all(host.sent_to(host.submit())[0] in connected_endpoints for _ in range(4))
 
 
-def test_a_node_keeps_to_a_few_endpoints_where_connections_are_priced() -> None:
-    used = []
-    for price in (0.0, 0.04):
+def test_a_node_uses_few_endpoints_where_connections_have_a_cost() -> None:
+    endpoint_counts = []
+    for cost in (0.0, 0.04):
         host = FakeHost(
-            endpoints=60, connection_idle_timeout=60.0, streams_per_connection=100, connection_cost=price
+            endpoints=60, connection_idle_timeout=60.0, streams_per_connection=100, connection_cost=cost
         )
         host.serve_requests(300)
-        used.append(len({row[2] for row in host.commands if row[0] == "send_attempt"}))
-    assert used[1] <= 15 and used[0] > 40
+        endpoint_counts.append(len({row[2] for row in host.commands if row[0] == "send_attempt"}))
+    assert endpoint_counts[1] <= 15 and endpoint_counts[0] > 40
 
 
 def test_the_removal_of_an_endpoint_does_not_change_its_deduplication_group() -> None:
@@ -561,60 +585,60 @@
 def test_no_more_requests_are_in_flight_than_a_few_typical_latencies_serve(
     tier: int, minimum: int, maximum: int
 ) -> None:
-    slow = replace(PLAIN, latency_objective=10.0, deadline=20.0)
-    host = FakeHost(endpoints=2, request_classes=[slow], tier=tier, tier_count=2)
+    slow_class = replace(PLAIN, latency_objective=10.0, deadline=20.0)
+    host = FakeHost(endpoints=2, request_classes=[slow_class], tier=tier, tier_count=2)
     for _ in range(100):
         request = host.submit(time_left=20.0)
         host.advance(0.05)
         host.end_attempt(request)
-    bunch = [host.submit(time_left=20.0) for _ in range(100)]
-    assert minimum <= sum(1 for request in bunch if host.sent_to(request)) <= maximum
+    requests = [host.submit(time_left=20.0) for _ in range(100)]
+    assert minimum <= sum(1 for request in requests if host.sent_to(request)) <= maximum
 
 
 def test_a_healthy_endpoint_slower_than_a_fast_one_causes_no_hedge() -> None:
     host = FakeHost(endpoints=3, request_classes=[replace(PLAIN, latency_objective=5.0, deadline=9.0)])
-    for best in (1, 2, 0, 0, 0, 0):
+    for least_loaded in (1, 2, 0, 0, 0, 0):
         for endpoint in range(3):
-            host.answer_probe(endpoint, in_flight=0.0 if endpoint == best else 50.0)
+            host.answer_probe(endpoint, in_flight=0.0 if endpoint == least_loaded else 50.0)
         for _ in range(8):
             request = host.submit(time_left=9.0)
-            assert host.sent_to(request) == [best]
-            host.end_attempt(request, seconds=0.5 if best else 0.1)
+            assert host.sent_to(request) == [least_loaded]
+            host.end_attempt(request, seconds=0.5 if least_loaded else 0.1)
     host.advance(0.2)
     host.answer_probe(0, in_flight=5000.0)
-    slower = host.submit(time_left=9.0)
+    slow_request = host.submit(time_left=9.0)
     host.advance(0.9)
-    assert host.sent_to(slower) in ([1], [2])
+    assert host.sent_to(slow_request) in ([1], [2])
 
 
-def test_a_first_attempt_gives_way_to_a_last_client_retry_only_where_capacity_is_scarce() -> None:
+def test_a_first_attempt_is_rejected_in_favor_of_a_client_retry_only_where_capacity_is_scarce() -> None:
     host = FakeHost(request_classes=[make_request_class(Idempotency.IDEMPOTENT, late_weight=0.0)])
-    for _ in range(100):  # enough responses that a request may expect to wait a moment only
-        first = host.submit(time_left=0.8)
+    for _ in range(100):  # enough responses that a request is expected to wait only briefly
+        first_attempt = host.submit(time_left=0.8)
         host.advance(0.01)
-        host.end_attempt(first, seconds=0.01)
-    last = host.submit(time_left=1.9, is_client_retry=True)
-    first = host.submit(time_left=0.8)
-    assert host.sent_to(last) and host.sent_to(first)
+        host.end_attempt(first_attempt, seconds=0.01)
+    client_retry = host.submit(time_left=1.9, is_client_retry=True)
+    first_attempt = host.submit(time_left=0.8)
+    assert host.sent_to(client_retry) and host.sent_to(first_attempt)
     while not host.balancer._is_capacity_scarce(host.clock):
         host.submit(time_left=1.9, is_client_retry=True)
-    last = host.submit(time_left=1.9, is_client_retry=True)
-    first = host.submit(time_left=0.8)
-    assert (host.final_commands(last), host.final_commands(first)) == ([], ["reject"])
+    client_retry = host.submit(time_left=1.9, is_client_retry=True)
+    first_attempt = host.submit(time_left=0.8)
+    assert (host.final_commands(client_retry), host.final_commands(first_attempt)) == ([], ["reject"])
 
 
-@pytest.mark.parametrize(("far", "minimum", "maximum"), [(1, 9, 10), (9, 2, 4)])
-def test_an_endpoint_of_the_own_zone_is_preferred_but_leaves_requests_to_others(
-    far: int, minimum: int, maximum: int
+@pytest.mark.parametrize(("remote_endpoints", "minimum", "maximum"), [(1, 9, 10), (9, 2, 4)])
+def test_an_endpoint_of_the_own_zone_is_preferred_but_does_not_get_all_requests(
+    remote_endpoints: int, minimum: int, maximum: int
 ) -> None:
     host = FakeHost(endpoints=0, cross_zone_cost=0.05, zone=0)
     host.list_endpoints(0, zone=0)
-    host.list_endpoints(*range(1, far + 1), zone=1)
-    sent = [host.sent_to(host.submit())[0] for _ in range(12)]
-    assert minimum <= sent.count(0) <= maximum
+    host.list_endpoints(*range(1, remote_endpoints + 1), zone=1)
+    endpoints_used = [host.sent_to(host.submit())[0] for _ in range(12)]
+    assert minimum <= endpoints_used.count(0) <= maximum
 
 
-def test_an_endpoint_of_the_own_zone_is_chosen_before_those_of_others() -> None:
+def test_at_equal_load_an_endpoint_of_the_own_zone_is_chosen() -> None:
     host = FakeHost(endpoints=0, cross_zone_cost=0.05, zone=1)
     host.list_endpoints(0, zone=1)
     host.list_endpoints(1, 2, 3, zone=0)
@@ -655,15 +679,15 @@
     assert all(host.sent_to(host.submit()) != [0] for _ in range(6))
 
 
-def test_an_endpoint_whose_ban_is_lifted_warms_up_afresh_and_is_tried_soon() -> None:
+def test_an_endpoint_whose_ban_is_lifted_warms_up_again_and_soon_gets_a_request() -> None:
     host = FakeHost(slow_start_share=0.2, slow_start_time=10.0, overload_multiple=3.0)
     host.serve_requests(100)
     host.balancer.ban_changed(0, True)
     host.balancer.ban_changed(0, True)
     host.list_endpoints(0, started_at=0.0)
-    seen, commands_seen = len(host.sent_attempts), len(host.commands)
+    attempts_seen, commands_seen = len(host.sent_attempts), len(host.commands)
     host.serve_requests(100)
-    assert 0 not in {endpoint for _, endpoint in host.sent_attempts[seen:]}
+    assert 0 not in {endpoint for _, endpoint in host.sent_attempts[attempts_seen:]}
     assert ("send_probe", 0) not in host.commands[commands_seen:]
     probes = host.count_commands("send_probe")
     lifted_at = host.clock
@@ -677,14 +701,18 @@
     )
     host.list_endpoints(0, started_at=0.0)  # a list from before the ban
     assert host.balancer._slow_start.is_warming_up(host.balancer._endpoints[0], host.clock + 9.0)
-    host.list_endpoints(0, started_at=lifted_at - 2.0)  # it started during the ban: the list has the time
+    host.list_endpoints(
+        0, started_at=lifted_at - 2.0
+    )  # restarted during the ban: the time in the list applies
     assert not host.balancer._slow_start.is_warming_up(host.balancer._endpoints[0], lifted_at + 9.0)
     host.serve_requests(100)
-    sent = [at for at, endpoint in host.sent_attempts if endpoint == 0 and at > lifted_at]
-    assert sent and sent[0] < lifted_at + 5.0 and len(sent) < 25
+    sent_times = [
+        sent_at for sent_at, endpoint in host.sent_attempts if endpoint == 0 and sent_at > lifted_at
+    ]
+    assert sent_times and sent_times[0] < lifted_at + 5.0 and len(sent_times) < 25
 
 
-def test_a_later_start_time_clears_the_record_and_keeps_the_ban() -> None:
+def test_a_later_start_time_is_recorded_and_does_not_lift_the_ban() -> None:
     host = FakeHost(slow_start_time=10.0)
     host.balancer.ban_changed(1, True)
     host.list_endpoints(1, started_at=host.clock + 1.0)
@@ -703,22 +731,24 @@
     assert 2 not in {endpoint for _, endpoint in host.sent_attempts}
 
 
-@pytest.mark.parametrize(("at", "sent"), [(0.3, 2), (0.36, 1), (0.59, 1)])
+@pytest.mark.parametrize(("elapsed", "attempts"), [(0.3, 2), (0.36, 1), (0.59, 1)])
 def test_a_keyed_request_is_retried_only_while_a_connection_can_come_up_in_its_window(
-    at: float, sent: int
+    elapsed: float, attempts: int
 ) -> None:
-    """Endpoints drop repeats for 0.6 s, and a connection may take 0.25 s of that."""
+    """Endpoints deduplicate for 0.6 s, and opening a connection may take 0.25 s of that."""
     document = {
         **{"profiles.count": "1", "profiles.0.effect": "by_key", "profiles.0.dedup_scope": "all"},
         **{"profiles.0.window": "600", "profiles.0.contract_time": "2000", "profiles.0.abandon_time": "4000"},
         "limits.connect_timeout": "250",
     }
-    found = read_settings(1, document)
+    node_settings = read_settings(1, document)
     host = FakeHost(
-        request_classes=found.request_classes, connect_timeout=found.connect_timeout, hedging=False
+        request_classes=node_settings.request_classes,
+        connect_timeout=node_settings.connect_timeout,
+        hedging=False,
     )
     host.serve_requests(20)
     request = host.submit(time_left=4.0)
-    host.advance(at)
+    host.advance(elapsed)
     host.end_attempt(request, AttemptResult.RESET)
-    assert len(host.sent_to(request)) == sent
+    assert len(host.sent_to(request)) == attempts
--- a/tests/test_engine.py
+++ b/tests/test_engine.py
@@ -1,4 +1,4 @@
-"""The engine against a plain clock: commands, outcomes and timers, without sockets."""
+"""Tests of the balancer engine on a fake clock: commands, outcomes and timers, without sockets."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class EngineHarness:
-    """Runs an engine with four endpoints on a clock of its own."""
+    """Runs an engine with four endpoints on a fake clock."""
 
     def __init__(self, balancer_settings: BalancerSettings = SETTINGS, group: int | None = 0) -> None:
         self.clock = 1000.0
@@ -67,40 +67,47 @@
 
 
 @pytest.mark.parametrize("snapshot", [True, False])
-def test_nothing_grows_with_removed_endpoints_and_ended_requests(snapshot: bool) -> None:
+def test_memory_does_not_grow_with_removed_endpoints_and_ended_requests(snapshot: bool) -> None:
     harness = EngineHarness()
 
     def sizes() -> list[int]:
         balancer = harness.engine._balancer
         assert isinstance(balancer, Balancer)
-        parts = (balancer._tenant_quotas, balancer._retry_budget, balancer._connections, balancer._ejection)
-        owners = (harness.engine, balancer, *parts)
-        values = [each for owner in owners for each in vars(owner).values()]
-        kept = [each for each in values if isinstance(each, dict | list | set)]
-        return [len(each) for each in kept if each is not harness.engine._zones]
+        components = (
+            balancer._tenant_quotas,
+            balancer._retry_budget,
+            balancer._connections,
+            balancer._ejection,
+        )
+        owners = (harness.engine, balancer, *components)
+        attributes = [value for owner in owners for value in vars(owner).values()]
+        collections = [value for value in attributes if isinstance(value, dict | list | set)]
+        return [len(value) for value in collections if value is not harness.engine._zones]
 
-    def pass_by(count: int) -> None:
+    def add_and_remove_endpoints(count: int) -> None:
         for i in range(count):
-            new = [
+            added = [
                 ListedEndpoint(f"n{harness.clock}-{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0)
                 for _ in range(1)
             ]
-            harness.engine.apply_list_update(ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, new)
+            harness.engine.apply_list_update(ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, added)
             harness.end_attempt(handle := harness.submit(), AttemptResult.SUCCEEDED)
-            harness.engine.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
-            removed = [replace(new[0], state=EndpointState.REMOVED)]
+            harness.engine.report_probe(added[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
+            removed = [replace(added[0], state=EndpointState.REMOVED)]
             harness.engine.apply_list_update(
                 ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, [] if snapshot else removed
             )
-            harness.engine.report_probe(new[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
+            harness.engine.report_probe(added[0].name, ExchangeOutcome(AttemptResult.SUCCEEDED, 0.1))
             assert handle.ended
             harness.clock += 0.5
             harness.engine.run_due_timers()
 
-    pass_by(100)
-    before = sizes()
-    pass_by(2000)
-    assert all(now <= then + 8 for then, now in zip(before, sizes(), strict=True))
+    add_and_remove_endpoints(100)
+    sizes_before = sizes()
+    add_and_remove_endpoints(2000)
+    assert all(
+        size_after <= size_before + 8 for size_before, size_after in zip(sizes_before, sizes(), strict=True)
+    )
 
 
 def fill_retry_budget(harness: EngineHarness, count: int = 10) -> None:
@@ -123,9 +130,9 @@
     fill_retry_budget(harness)
     handle = harness.submit()
     harness.end_attempt(handle, AttemptResult.NO_CONNECTION)
-    sends = harness.commands(handle)
-    assert [send.attempt for send in sends if isinstance(send, SendAttempt)] == [0, 1]
-    assert len({send.endpoint for send in sends if isinstance(send, SendAttempt)}) == 2
+    commands = harness.commands(handle)
+    assert [command.attempt for command in commands if isinstance(command, SendAttempt)] == [0, 1]
+    assert len({command.endpoint for command in commands if isinstance(command, SendAttempt)}) == 2
 
 
 def test_a_cancelled_request_cancels_its_attempt_and_is_tracked_until_the_outcome() -> None:
@@ -140,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    ("idempotency", "kind", "class_idempotency", "final"),
+    ("idempotency", "kind", "class_idempotency", "final_command"),
     [
         (IDEMPOTENT, "plain", IDEMPOTENT, RejectRequest),
         (KEYED, "plain", KEYED, RejectRequest),
@@ -151,19 +158,21 @@
         (IDEMPOTENT, "unheard of", IDEMPOTENT, FailRequest),
     ],
 )
-def test_the_safer_of_two_stated_idempotencies_applies(
-    idempotency: Idempotency, kind: str, class_idempotency: Idempotency, final: type[RequestCommand]
+def test_the_stricter_idempotency_of_request_and_class_applies(
+    idempotency: Idempotency, kind: str, class_idempotency: Idempotency, final_command: type[RequestCommand]
 ) -> None:
     harness = EngineHarness(
         replace(SETTINGS, request_classes=[make_request_class(class_idempotency, DeduplicationScope.ALL)])
     )
     handle = harness.submit(idempotency, kind)
     harness.end_attempt(handle, AttemptResult.RESET)  # the budget is still empty: no retry
-    assert isinstance(harness.commands(handle)[-1], final)
+    assert isinstance(harness.commands(handle)[-1], final_command)
 
 
 @pytest.mark.parametrize(("group", "attempts"), [(0, 2), (None, 1)])
-def test_endpoints_without_a_deduplication_group_share_it_with_none(group: int | None, attempts: int) -> None:
+def test_a_keyed_request_is_not_retried_where_endpoints_have_no_deduplication_group(
+    group: int | None, attempts: int
+) -> None:
     harness = EngineHarness(
         replace(SETTINGS, request_classes=[make_request_class(KEYED, DeduplicationScope.GROUP)]), group
     )
@@ -191,21 +200,21 @@
 def test_the_list_is_polled_at_once_and_after_a_failure_only_with_a_delay() -> None:
     harness = EngineHarness(replace(SETTINGS, polls_list=True, probes=False))
 
-    async def first() -> object:
+    async def next_node_command() -> object:
         return await harness.engine.next_node_command()
 
-    assert asyncio.run(first()) == PollList()
+    assert asyncio.run(next_node_command()) == PollList()
     harness.engine.apply_list_update(ListUpdate.FAILED)
     assert harness.engine._node_commands.empty()
     harness.clock += 1.0
     harness.engine.run_due_timers()
-    assert asyncio.run(first()) == PollList()
+    assert asyncio.run(next_node_command()) == PollList()
 
 
 @pytest.mark.parametrize(
     "fail", [lambda harness: harness.engine.cancel(harness.submit()), lambda harness: harness.submit()]
 )
-def test_an_exception_in_the_balancer_leaves_no_request_behind(
+def test_a_request_is_not_tracked_after_an_exception_in_the_balancer(
     fail: Callable[[EngineHarness], None], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     harness = EngineHarness()
@@ -219,10 +228,10 @@
     assert harness.engine.tracked == 0
 
 
-@pytest.mark.parametrize("figure", ["nan", "inf", float("nan"), -1, "much", None, [], {}])
-def test_a_load_figure_that_is_no_number_is_unknown(figure: object) -> None:
-    found = settings.read_load_report({"q": figure, "rate": 2.5, "news": 1})
-    assert found is not None and (found.queued, found.rate) == (None, 2.5)
+@pytest.mark.parametrize("value", ["nan", "inf", float("nan"), -1, "much", None, [], {}])
+def test_a_load_report_value_that_is_not_a_valid_number_is_unknown(value: object) -> None:
+    report = settings.read_load_report({"q": value, "rate": 2.5, "news": 1})
+    assert report is not None and (report.queued, report.rate) == (None, 2.5)
 
 
 def test_both_forms_of_the_settings_give_the_same_result() -> None:
@@ -247,14 +256,19 @@
         "tenants.count": "0",
     }
     assert settings.flatten(nested) == flat
-    found = settings.read_settings(7, flat)
-    assert (found.tier, found.tier_count, found.cancellation, found.connection_idle_timeout) == (
+    balancer_settings = settings.read_settings(7, flat)
+    assert (
+        balancer_settings.tier,
+        balancer_settings.tier_count,
+        balancer_settings.cancellation,
+        balancer_settings.connection_idle_timeout,
+    ) == (
         1,
         2,
         True,
         60.0,
     )
-    assert found.request_classes[0] == replace(
+    assert balancer_settings.request_classes[0] == replace(
         PLAIN,
         latency_objective=2.0,
         priority_weight=3.0,
@@ -264,14 +278,16 @@
     )
 
 
-def test_a_ban_applies_to_the_name_and_outlives_its_removal_from_the_list() -> None:
+def test_a_ban_applies_to_the_name_and_lasts_after_its_removal_from_the_list() -> None:
     harness = EngineHarness()
     listed = [
         ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in range(4)
     ]
     assert not harness.engine.ban("unheard of") and not harness.engine.lift_ban("unheard of")
     assert harness.engine.ban("s1") and harness.engine.ban("s1")
-    harness.engine.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
+    harness.engine.apply_list_update(
+        ListUpdate.SNAPSHOT, [endpoint for endpoint in listed if endpoint.name != "s1"]
+    )
     harness.engine.apply_list_update(ListUpdate.SNAPSHOT, listed)
     commands = [
         command
@@ -280,12 +296,14 @@
         if isinstance(command, SendAttempt)
     ]
     assert commands and "s1" not in {command.endpoint for command in commands}
-    harness.engine.apply_list_update(ListUpdate.SNAPSHOT, [each for each in listed if each.name != "s1"])
+    harness.engine.apply_list_update(
+        ListUpdate.SNAPSHOT, [endpoint for endpoint in listed if endpoint.name != "s1"]
+    )
     assert harness.engine.lift_ban("s1") and not harness.engine.banned
-    assert harness.engine.ban("s1")  # left the list a while ago, and is still a name that operators use
+    assert harness.engine.ban("s1")  # no longer listed, but the name is still known to the engine
 
 
-def test_learned_state_passes_to_the_next_process_by_endpoint_names() -> None:
+def test_the_next_process_restores_learned_state_by_endpoint_name() -> None:
     old, new = EngineHarness(), EngineHarness()
     for _ in range(20):
         handle = old.submit()
@@ -294,7 +312,7 @@
         old.end_attempt(handle, AttemptResult.SUCCEEDED)
     listed = [
         ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in (3, 2, 9)
-    ]  # other numbers, one unknown
+    ]  # in another order, so with other numbers; s9 is unknown
     new.engine.apply_list_update(ListUpdate.SNAPSHOT, listed)
     new.clock = old.clock + 0.1
     learned_state = json.loads(json.dumps(old.engine.export_state()))
@@ -311,9 +329,9 @@
             records[name].recent_successes
             == before._endpoints[old.engine._endpoint_numbers[name]].recent_successes
         )
-    for broken in ({}, {**learned_state, "clearing": {}}, {**learned_state, "spent": 5}):
+    for invalid_state in ({}, {**learned_state, "clearing": {}}, {**learned_state, "spent": 5}):
         with pytest.raises((KeyError, TypeError, ValueError)):
-            new.engine.restore_state(broken)
+            new.engine.restore_state(invalid_state)
 
 
 def test_an_ejected_endpoint_stays_ejected_in_the_next_process() -> None:
@@ -332,21 +350,23 @@
 
 
 @pytest.mark.parametrize("snapshot", [True, False])
-def test_an_endpoint_that_fails_after_its_removal_costs_no_request(snapshot: bool) -> None:
+def test_requests_at_a_removed_endpoint_that_fails_are_retried_elsewhere(snapshot: bool) -> None:
     harness = EngineHarness()
     fill_retry_budget(harness, 20)
     in_flight = [harness.submit() for _ in range(12)]
-    at_endpoint = [
+    at_removed = [
         handle for handle in in_flight if harness.engine._endpoint_names[handle.endpoints[0]] == "s1"
     ]
-    left = [ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in (0, 2, 3)]
+    remaining = [
+        ListedEndpoint(f"s{i}", EndpointState.ACTIVE, zone="a", deduplication_group=0) for i in (0, 2, 3)
+    ]
     removed = [ListedEndpoint("s1", EndpointState.REMOVED, zone="a", deduplication_group=0)]
     harness.engine.apply_list_update(
-        ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, left if snapshot else removed
+        ListUpdate.SNAPSHOT if snapshot else ListUpdate.CHANGES, remaining if snapshot else removed
     )
-    for handle in at_endpoint:
+    for handle in at_removed:
         harness.end_attempt(handle, AttemptResult.RESET)
         assert [type(command) for command in harness.commands(handle)] == [
             SendAttempt,
             SendAttempt,
-        ]  # there, and then elsewhere
+        ]  # first to the removed endpoint, then to another
