--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -230,7 +230,7 @@
     nodes: int, outage_end: float
 ) -> None:
     """Discovery serves four polls a second and rejects those that would queue for over a second."""
-    rate, max_backoff, step = 4.0, 2.5, 0.05
+    rate, margin, step = 4.0, 2.5, 0.05
     hosts = [FakeHost(1, seed=number, polls_list=True, poll_interval=10.0) for number in range(nodes)]
     queue: list[FakeHost] = []
     polls_seen = dict.fromkeys(range(nodes), 0)
@@ -255,7 +255,7 @@
         for host in hosts:
             host.advance(step)
         now += step
-        assert now < outage_end + 1.5 * nodes / rate + 2 * max_backoff
+        assert now < outage_end + 1.5 * nodes / rate + 2 * margin
     assert poll_count <= nodes * (4 + now)
 
 
--- a/tests/test_outlier_ejection.py
+++ b/tests/test_outlier_ejection.py
@@ -1,4 +1,4 @@
-"""Outlier ejection: what an outlier is, how many may be ejected, and for how long."""
+"""Tests of outlier ejection: which endpoints are outliers, how many are ejected, and for how long."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
     ("successes", "failures", "outlier"),
     [(8, 0, False), (6, 2, False), (5, 3, True), (0, 8, True), (0, 1, True), (1, 0, False)],
 )
-def test_an_endpoint_is_an_outlier_if_it_succeeds_much_less_than_the_others(
+def test_an_endpoint_is_an_outlier_if_its_success_rate_is_much_lower_than_that_of_others(
     successes: int, failures: int, outlier: bool
 ) -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
@@ -47,7 +47,7 @@
     assert ejection.is_outlier(endpoint, ejected_count=0, active_count=10) is outlier
 
 
-def test_without_outcomes_of_others_all_successes_are_typical() -> None:
+def test_without_outcomes_of_others_the_typical_success_rate_is_one() -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     record(ejection, endpoint, 1, 1)
     assert ejection.is_outlier(endpoint, ejected_count=0, active_count=10)
@@ -66,7 +66,7 @@
     assert ejection.is_outlier(endpoint, ejected, active) is outlier
 
 
-def test_only_the_last_outcomes_are_kept_and_a_latency_of_zero_is_none() -> None:
+def test_only_recent_outcomes_are_kept_and_a_latency_of_zero_is_ignored() -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     record(ejection, endpoint, RECENT_OUTCOMES + 10, 0)
     ejection.record_outcome(endpoint, False, 0.0)
@@ -76,20 +76,20 @@
 
 
 @pytest.mark.parametrize(("remaining", "ejected"), [(0.001, True), (0.0, False), (-1.0, False)])
-def test_an_endpoint_is_ejected_until_just_before_its_end(remaining: float, ejected: bool) -> None:
+def test_an_endpoint_is_ejected_until_the_end_of_its_ejection(remaining: float, ejected: bool) -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     ejection.eject(endpoint, NOW + remaining)
     assert ejection.ejected(NOW, lambda _: True) == ([endpoint] if ejected else [])
 
 
-def test_an_endpoint_out_of_use_is_passed_over_but_stays_ejected() -> None:
+def test_an_ejected_endpoint_out_of_use_is_not_returned_but_stays_ejected() -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     ejection.eject(endpoint, NOW + 1.0)
     assert ejection.ejected(NOW, lambda _: False) == []
     assert ejection.ejected(NOW, lambda _: True) == [endpoint]
 
 
-def test_an_ejection_from_an_earlier_process_goes_on() -> None:
+def test_an_ejection_of_the_previous_process_can_be_restored() -> None:
     ejection, endpoint = OutlierEjection(), endpoint_record(1)
     endpoint.ejected_until = NOW + 1.0
     assert ejection.ejected(NOW, lambda _: True) == []
--- a/tests/test_recent_events.py
+++ b/tests/test_recent_events.py
@@ -1,4 +1,4 @@
-"""The count of recent events: the span's bounds, and events that have left it."""
+"""Tests of the count of recent events: the bounds of the span, and expired events."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 NOW = 1000.0
 
 
-def test_no_events_count_as_none() -> None:
+def test_the_count_is_zero_without_events() -> None:
     assert RecentEvents().count(NOW) == 0
 
 
@@ -23,20 +23,20 @@
         (100 * EVENT_SPAN_S, 0),
     ],
 )
-def test_an_event_counts_up_to_the_last_moment_of_the_span(age: float, count: int) -> None:
+def test_an_event_counts_until_the_end_of_the_span(age: float, count: int) -> None:
     events = RecentEvents()
     events.record(NOW - age)
     assert events.count(NOW) == count
 
 
-def test_events_of_one_moment_count_one_by_one() -> None:
+def test_events_at_the_same_time_are_counted_separately() -> None:
     events = RecentEvents()
     for _ in range(3):
         events.record(NOW)
     assert events.count(NOW) == 3
 
 
-def test_events_leave_the_span_one_by_one_as_time_passes() -> None:
+def test_events_expire_one_by_one() -> None:
     events = RecentEvents()
     for second in range(4):
         events.record(NOW + second)
@@ -44,7 +44,7 @@
     assert counts == [4, 3, 2, 1, 0]
 
 
-def test_an_event_that_has_left_the_span_does_not_come_back() -> None:
+def test_an_expired_event_is_not_counted_again() -> None:
     events = RecentEvents()
     events.record(NOW)
     assert events.count(NOW + 2 * EVENT_SPAN_S) == 0
--- a/tests/test_retry_policy.py
+++ b/tests/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: the budget, whose fault a result is, and whether a second run does harm."""
+"""Tests of the retry policy: the budget, which results are an endpoint's fault, and safe repeats."""
 
 from __future__ import annotations
 
@@ -28,12 +28,12 @@
     return Attempt(endpoint, sent_at, 1.0, reused_connection=False, may_have_run=may_have_run)
 
 
-def budget_with(first_attempts: int, retries: int, at: float = NOW) -> RetryBudget:
+def budget_with(first_attempts: int, retries: int, recorded_at: float = NOW) -> RetryBudget:
     budget = RetryBudget()
     for _ in range(first_attempts):
-        budget.first_attempts.record(at)
+        budget.first_attempts.record(recorded_at)
     for _ in range(retries):
-        budget.record_retry(at)
+        budget.record_retry(recorded_at)
     return budget
 
 
@@ -62,13 +62,13 @@
     assert [budget.allows_retry(NOW) for _ in range(3)] == [True, True, True]
 
 
-def test_first_attempts_count_up_to_the_last_moment_of_the_span() -> None:
+def test_first_attempts_count_until_the_end_of_the_span() -> None:
     budget = budget_with(5, 0)
     assert budget.allows_retry(NOW + EVENT_SPAN_S)
     assert not budget.allows_retry(NOW + EVENT_SPAN_S + 0.001)
 
 
-def test_a_retry_that_has_left_the_span_uses_no_budget() -> None:
+def test_a_retry_before_the_span_uses_no_budget() -> None:
     budget = budget_with(0, 1)
     for _ in range(5):
         budget.first_attempts.record(NOW + 1)
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    ("result", "at_any_tier", "at_the_deepest"),
+    ("result", "at_any_tier", "at_deepest_tier"),
     [
         (AttemptResult.SUCCEEDED, False, False),
         (AttemptResult.ERROR, False, True),
@@ -92,13 +92,13 @@
     ],
 )
 def test_errors_and_timeouts_are_the_endpoints_fault_only_at_the_deepest_tier(
-    result: AttemptResult, at_any_tier: bool, at_the_deepest: bool
+    result: AttemptResult, at_any_tier: bool, at_deepest_tier: bool
 ) -> None:
     assert is_endpoint_fault(result, deepest_tier=False) is at_any_tier
-    assert is_endpoint_fault(result, deepest_tier=True) is at_the_deepest
+    assert is_endpoint_fault(result, deepest_tier=True) is at_deepest_tier
 
 
-def test_only_attempts_that_did_not_reach_an_endpoint_or_were_rejected_surely_never_ran() -> None:
+def test_only_unsent_and_rejected_attempts_certainly_never_ran() -> None:
     assert set(NEVER_RAN) == {AttemptResult.REJECTED, AttemptResult.NO_CONNECTION, AttemptResult.NOT_SENT}
 
 
@@ -113,7 +113,7 @@
 @pytest.mark.parametrize(
     ("idempotency", "until"), [(Idempotency.IDEMPOTENT, inf), (Idempotency.NON_IDEMPOTENT, -inf)]
 )
-def test_without_a_key_idempotency_alone_decides_about_a_repeat(
+def test_without_a_key_only_idempotency_decides_whether_a_request_may_be_repeated(
     idempotency: Idempotency, until: float
 ) -> None:
     request_class = replace(KEYED, idempotency=idempotency, deduplication_scope=DeduplicationScope.ALL)
@@ -132,7 +132,7 @@
         (DeduplicationScope.GROUP, 1, 0, False),
     ],
 )
-def test_a_keyed_request_is_repeated_only_where_its_first_run_is_known(
+def test_a_keyed_request_is_repeated_only_where_its_first_run_is_deduplicated(
     scope: DeduplicationScope, zone: int, group: int, deduplicated: bool
 ) -> None:
     request_class = replace(KEYED, deduplication_scope=scope)
@@ -152,8 +152,8 @@
 
 
 def test_one_earlier_run_outside_the_deduplication_group_forbids_a_repeat() -> None:
-    endpoint, elsewhere = endpoint_record(1, group=1), endpoint_record(2, group=2)
-    assert repeatable_until(KEYED, [attempt_at(endpoint), attempt_at(elsewhere)], endpoint, 0.5) == -inf
+    endpoint, other_endpoint = endpoint_record(1, group=1), endpoint_record(2, group=2)
+    assert repeatable_until(KEYED, [attempt_at(endpoint), attempt_at(other_endpoint)], endpoint, 0.5) == -inf
 
 
 @pytest.mark.parametrize(
@@ -166,7 +166,7 @@
         (Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, False),
     ],
 )
-def test_a_rejection_is_safe_where_a_second_run_has_no_effect_or_there_was_no_first(
+def test_a_rejection_is_safe_where_a_second_run_has_no_effect_or_no_attempt_ran(
     idempotency: Idempotency, scope: DeduplicationScope, safe_after_a_run: bool
 ) -> None:
     request_class = replace(KEYED, idempotency=idempotency, deduplication_scope=scope)
--- a/tests/test_slow_start_credit.py
+++ b/tests/test_slow_start_credit.py
@@ -1,4 +1,4 @@
-"""Slow start's credit: when an endpoint is warming up, and how fast it may be sent attempts."""
+"""Tests of slow start: when an endpoint is warming up, and at what rate attempts may be sent to it."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 def credit_over(
     since: float, until: float, served_rate: float = 4.0, active: int = 10, warm: int = 10
 ) -> float:
-    """Return the credit that an endpoint collects between two moments (s) after its start."""
+    """Return the credit that an endpoint collects between two times, in seconds after its start."""
     endpoint = endpoint_record(started_at=STARTED_AT)
     endpoint.slow_start_credit_from = STARTED_AT + since
     return SlowStart(SETTINGS).credit(endpoint, STARTED_AT + until, served_rate, active, warm)
@@ -46,7 +46,7 @@
         (0.0, 1.0, False),
     ],
 )
-def test_an_endpoint_warms_up_for_the_slow_start_time_if_its_start_is_known(
+def test_an_endpoint_with_a_known_start_warms_up_for_the_slow_start_time(
     started_at: float, now: float, warming_up: bool
 ) -> None:
     assert SlowStart(SETTINGS).is_warming_up(endpoint_record(started_at=started_at), now) is warming_up
@@ -68,7 +68,7 @@
         (-2.0, 0.0, 0.2),
     ],
 )
-def test_credit_grows_with_the_share_in_the_middle_of_the_time_that_it_is_collected(
+def test_credit_is_proportional_to_the_share_in_the_middle_of_the_time_that_it_is_collected(
     since: float, until: float, share: float
 ) -> None:
     expected = (until - since) * 4.0 * share * 3.0 * BUDGET_USED
@@ -93,9 +93,7 @@
 
 
 @pytest.mark.parametrize(("nodes", "processes"), [(1, 1), (4, 1), (4, 2)])
-def test_a_node_that_has_learned_no_rate_keeps_to_its_part_of_the_minimum_rate(
-    nodes: int, processes: int
-) -> None:
+def test_a_node_without_a_learned_rate_uses_its_part_of_the_minimum_rate(nodes: int, processes: int) -> None:
     settings = BalancerSettings(
         seed=1, request_classes=[], slow_start_time=DURATION_S, node_count=nodes, process_count=processes
     )
@@ -105,7 +103,7 @@
     assert credit == pytest.approx(settings.overload_multiple * BUDGET_USED / (nodes * processes))
 
 
-def drawn_credits(endpoint: Endpoint, random: Random) -> tuple[list[float], list[float]]:
+def sample_credits(endpoint: Endpoint, random: Random) -> tuple[list[float], list[float]]:
     """Return the credits needed for many first and later attempts."""
     first, later = [], []
     for _ in range(1000):
@@ -116,15 +114,15 @@
     return first, later
 
 
-def test_the_credit_needed_is_spread_so_that_nodes_do_not_fall_in_step() -> None:
-    first, later = drawn_credits(endpoint_record(started_at=STARTED_AT), Random(7))
+def test_the_credit_needed_is_random_so_that_nodes_do_not_send_at_the_same_time() -> None:
+    first, later = sample_credits(endpoint_record(started_at=STARTED_AT), Random(7))
     assert 0.0 <= min(first) < 0.05 and 0.95 < max(first) < 1.0
     assert 1 - CREDIT_SPREAD <= min(later) < 0.77
     assert 1.23 < max(later) <= 1 + CREDIT_SPREAD
 
 
 @pytest.mark.parametrize("start_collecting", [begin_credit, spend_credit])
-def test_collecting_starts_at_the_moment_given_and_draws_once(
+def test_collecting_credit_starts_at_the_given_time_and_draws_one_random_number(
     start_collecting: Callable[[Endpoint, float, Random], None],
 ) -> None:
     endpoint, random, reference = endpoint_record(), Random(7), Random(7)
--- a/tests/test_throughput.py
+++ b/tests/test_throughput.py
@@ -1,4 +1,4 @@
-"""The throughput estimates: rate, capacity and stability of a process, and what endpoints served."""
+"""Tests of the throughput estimates: rate, capacity, stability of latency, and the served rate."""
 
 from __future__ import annotations
 
@@ -18,16 +18,16 @@
 NOW = 1000.0
 
 
-def estimate_after(responses: int, latency: float = 0.1, at: float = NOW) -> ThroughputEstimate:
-    """Return an estimate of a process that began at NOW, after responses at one moment."""
+def estimate_after(responses: int, latency: float = 0.1, recorded_at: float = NOW) -> ThroughputEstimate:
+    """Return an estimate of a process that started at NOW, after responses at one time."""
     estimate = ThroughputEstimate(NOW)
     for _ in range(responses):
-        estimate.record_success(1.0, latency, at)
+        estimate.record_success(1.0, latency, recorded_at)
     return estimate
 
 
 def estimate_with_medians(*medians: float) -> ThroughputEstimate:
-    """Return an estimate that has worked out these medians of latency (s), one a span."""
+    """Return an estimate with the given median latencies (s), one for each span."""
     estimate = ThroughputEstimate(NOW)
     for number, latency in enumerate(medians):
         for _ in range(MIN_SAMPLES):
@@ -38,7 +38,7 @@
 @pytest.mark.parametrize(
     ("age", "rate"), [(0.0, 5.0), (RATE_SPAN_S, 5.0), (RATE_SPAN_S + 0.001, 0.0), (100.0, 0.0)]
 )
-def test_responses_count_for_the_rate_up_to_the_last_moment_of_the_span(age: float, rate: float) -> None:
+def test_responses_count_for_the_rate_until_the_end_of_the_span(age: float, rate: float) -> None:
     assert estimate_after(10).rate(NOW + age) == rate
 
 
@@ -52,20 +52,18 @@
         (10.0, RATE_SPAN_S),
     ],
 )
-def test_the_capacity_of_a_new_process_is_worked_out_over_the_time_that_it_has_run(
-    elapsed: float, span: float
-) -> None:
-    estimate = estimate_after(10, at=NOW + elapsed)
+def test_the_capacity_of_a_new_process_is_calculated_over_its_run_time(elapsed: float, span: float) -> None:
+    estimate = estimate_after(10, recorded_at=NOW + elapsed)
     assert estimate.capacity(0.5, 3.0, NOW + elapsed) == pytest.approx(10 * 0.5 / span)
 
 
-@pytest.mark.parametrize(("median", "time_a_request"), [(0.01, 0.03), (0.1, 0.3), (0.2, 0.5), (5.0, 0.5)])
+@pytest.mark.parametrize(("median", "request_time"), [(0.01, 0.03), (0.1, 0.3), (0.2, 0.5), (5.0, 0.5)])
 def test_capacity_is_limited_to_a_multiple_of_the_best_median_latency(
-    median: float, time_a_request: float
+    median: float, request_time: float
 ) -> None:
-    estimate = estimate_after(MIN_SAMPLES, latency=median, at=NOW + 1.0)
+    estimate = estimate_after(MIN_SAMPLES, latency=median, recorded_at=NOW + 1.0)
     estimate.record_success(1.0, 10.0, NOW + 1.0)
-    assert estimate.capacity(0.5, 3.0, NOW + 1.0) == pytest.approx((MIN_SAMPLES + 1) * time_a_request)
+    assert estimate.capacity(0.5, 3.0, NOW + 1.0) == pytest.approx((MIN_SAMPLES + 1) * request_time)
 
 
 def test_without_responses_there_is_neither_rate_nor_capacity() -> None:
@@ -93,13 +91,13 @@
 
 
 def test_a_median_needs_enough_latencies() -> None:
-    few, enough = estimate_after(MIN_SAMPLES - 1), estimate_after(MIN_SAMPLES)
-    assert few.export_state(NOW)["calm"] == []
+    too_few, enough = estimate_after(MIN_SAMPLES - 1), estimate_after(MIN_SAMPLES)
+    assert too_few.export_state(NOW)["calm"] == []
     assert enough.export_state(NOW)["calm"] == [0.1]
 
 
-def test_another_process_goes_on_from_the_exported_state() -> None:
-    exported = estimate_after(MIN_SAMPLES, at=NOW + 0.5).export_state(NOW + 1.0)
+def test_the_exported_state_can_be_restored_in_another_process() -> None:
+    exported = estimate_after(MIN_SAMPLES, recorded_at=NOW + 0.5).export_state(NOW + 1.0)
     restored = ThroughputEstimate(50.0)
     restored.restore_state(exported, 50.0)
     assert restored.export_state(50.0) == exported
@@ -116,7 +114,7 @@
         ({"began": 1.0, "answers": [], "calm": ["slow"]}, ValueError),
     ],
 )
-def test_what_is_no_exported_state_raises(state: dict[str, object], error: type[Exception]) -> None:
+def test_invalid_state_is_rejected(state: dict[str, object], error: type[Exception]) -> None:
     with pytest.raises(error):
         ThroughputEstimate(NOW).restore_state(state, NOW)
 
@@ -131,7 +129,7 @@
         (SERVED_SPAN_S, SERVED_SPAN_S),
     ],
 )
-def test_first_responses_of_a_new_process_do_not_count_as_a_rate_of_their_own(
+def test_the_served_rate_of_a_new_process_is_calculated_over_a_minimum_span(
     elapsed: float, span: float
 ) -> None:
     served = ServedRate(NOW)
@@ -141,7 +139,7 @@
     assert served.rate() == pytest.approx(15 / span)
 
 
-def test_a_response_counts_up_to_the_last_moment_of_the_span_of_warm_time() -> None:
+def test_a_response_counts_until_the_end_of_the_span_of_warm_time() -> None:
     served = ServedRate(NOW)
     served.record_success(warm=1, active=2)
     served.advance(NOW + SERVED_SPAN_S, warm=1)
