--- a/tests/test_incident_replay.py
+++ b/tests/test_incident_replay.py
@@ -1,4 +1,4 @@
-"""Incident 1 on real processes over loopback: what was seen to break, each as a story of its own."""
+"""Tests that replay the faults of incident 1 with real processes over loopback, one test for each fault."""
 
 from __future__ import annotations
 
@@ -16,116 +16,118 @@
 from notchjunction.soak.run import SoakRun
 from tests.helpers import Client, Program, configuration
 
-DEADLINE_SLACK = 0.15  # s by which the time told to a server may exceed what the client has left
-LEFT = 6.0  # s that the client waits
-CROWDED_FOR = 0.5  # s until the crowded server lets connections in
+DEADLINE_TOLERANCE_S = 0.15  # the deadline sent to a server may exceed the client's time left by this
+TIME_LEFT_S = 6.0  # deadline of the client's request
+ACCEPT_DELAY_S = 0.5  # the server with the full queue accepts connections after this time
 
 
-class CrowdedListener:
-    """A server whose queue of connections is full: what knocks comes up only once it has let some in."""
+class FullQueueListener:
+    """A server whose accept queue is full: new connections open only once it accepts some."""
 
     def __init__(self) -> None:
         self._listener = socket.socket()
         self._listener.bind(("127.0.0.1", 0))
         self._listener.listen(0)
         self.at = "{}:{}".format(*self._listener.getsockname())
-        self._filling = [self._knock() for _ in range(2)]
+        self._queue_fillers = [self._connect() for _ in range(2)]
 
-    def _knock(self) -> socket.socket:
-        knocking = socket.socket()
-        knocking.setblocking(False)
-        knocking.connect_ex(self._listener.getsockname())
-        return knocking
+    def _connect(self) -> socket.socket:
+        connecting = socket.socket()
+        connecting.setblocking(False)
+        connecting.connect_ex(self._listener.getsockname())
+        return connecting
 
     async def first_request(self) -> tuple[float, float]:
-        """When the first request was there, and the time left (s) that it tells."""
+        """Return when the first request arrived, and the deadline (s) that it carries."""
         loop = asyncio.get_running_loop()
         self._listener.setblocking(False)
-        came: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
-        letting_in = loop.create_task(self._let_in(came))
+        arrivals: asyncio.Queue[tuple[float, float]] = asyncio.Queue()
+        accepting = loop.create_task(self._accept(arrivals))
         try:
-            return await came.get()
+            return await arrivals.get()
         finally:
-            letting_in.cancel()
+            accepting.cancel()
 
-    async def _let_in(self, came: asyncio.Queue[tuple[float, float]]) -> None:
-        """Lets in whoever knocks; of two connections of the node it is not known which one it uses."""
+    async def _accept(self, arrivals: asyncio.Queue[tuple[float, float]]) -> None:
+        """Accept all connections: the node may open two, and may use either one."""
         loop = asyncio.get_running_loop()
-        reading = set()
+        readers = set()
         while True:
-            opened, _ = await loop.sock_accept(self._listener)
-            if opened.getpeername() in [knocking.getsockname() for knocking in self._filling]:
-                opened.close()
+            connection, _ = await loop.sock_accept(self._listener)
+            if connection.getpeername() in [filler.getsockname() for filler in self._queue_fillers]:
+                connection.close()
                 continue
-            opened.setblocking(False)
-            reading.add(loop.create_task(self._read(opened, came)))
+            connection.setblocking(False)
+            readers.add(loop.create_task(self._read(connection, arrivals)))
 
-    async def _read(self, opened: socket.socket, came: asyncio.Queue[tuple[float, float]]) -> None:
+    async def _read(self, connection: socket.socket, arrivals: asyncio.Queue[tuple[float, float]]) -> None:
         requests = RequestReader()
-        while piece := await asyncio.get_running_loop().sock_recv(opened, 65536):
-            requests.feed(piece)
+        while data := await asyncio.get_running_loop().sock_recv(connection, 65536):
+            requests.feed(data)
             while (request := requests.next()) is not None:
                 if request.path.startswith(protocol.REQUEST_PATH):
-                    came.put_nowait((time.monotonic(), int(request.headers[protocol.DEADLINE_MS]) / 1000))
-        opened.close()
+                    arrivals.put_nowait((time.monotonic(), int(request.headers[protocol.DEADLINE_MS]) / 1000))
+        connection.close()
 
     def close(self) -> None:
-        for each in (self._listener, *self._filling):
-            each.close()
+        for open_socket in (self._listener, *self._queue_fillers):
+            open_socket.close()
 
 
-def test_a_server_is_told_the_time_that_is_left_once_its_connection_is_up(tmp_path: Path) -> None:
-    async def story() -> None:
-        server = CrowdedListener()
-        told = configuration()
-        # Over the first two spans after which the system knocks again, wherever the first knocks fell.
-        told["settings"]["limits"]["connect_timeout"] = 4000.0
+def test_the_deadline_sent_to_a_server_is_the_time_left_after_its_connection_is_open(tmp_path: Path) -> None:
+    async def scenario() -> None:
+        server = FullQueueListener()
+        document = configuration()
+        # Longer than the first two SYN retransmission intervals, whenever the first SYN was sent.
+        document["settings"]["limits"]["connect_timeout"] = 4000.0
         row = {"name": "s0", "address": server.at, "zone": "a", "group": 0, "status": "active", "since_ms": 0}
-        told["known"] = {"index": 1, "snapshot": True, "endpoints": [row]}
-        async with Program(tmp_path, told) as program:
+        document["known"] = {"index": 1, "snapshot": True, "endpoints": [row]}
+        async with Program(tmp_path, document) as program:
             await program.says("ready")
             client = await Client().open(program.listen)
-            asked_at = time.monotonic()
-            client.ask(left=str(int(LEFT * 1000)))
-            await asyncio.sleep(CROWDED_FOR)
-            async with asyncio.timeout(LEFT):
-                came_at, told_left = await server.first_request()
+            sent_at = time.monotonic()
+            client.ask(left=str(int(TIME_LEFT_S * 1000)))
+            await asyncio.sleep(ACCEPT_DELAY_S)
+            async with asyncio.timeout(TIME_LEFT_S):
+                received_at, deadline_sent = await server.first_request()
         server.close()
-        assert came_at > asked_at + CROWDED_FOR  # else its connection was not late
-        assert told_left <= asked_at + LEFT - came_at + DEADLINE_SLACK
+        assert received_at > sent_at + ACCEPT_DELAY_S  # otherwise the connection was not delayed
+        assert deadline_sent <= sent_at + TIME_LEFT_S - received_at + DEADLINE_TOLERANCE_S
 
-    asyncio.run(story())
+    asyncio.run(scenario())
 
 
 NODES = 16
-OUTAGE = 4.0  # s
-IDEAL = 5.0  # s in which discovery can answer all nodes once, if none comes twice
+OUTAGE_S = 4.0
+MIN_RECOVERY_S = 5.0  # discovery needs this time to answer all nodes once if no node retries
 
 
 @pytest.mark.timeout(120)
-def test_nodes_that_crowd_at_discovery_as_it_comes_back_all_hear_of_a_drain(tmp_path: Path) -> None:
-    """A call that is refused for having waited costs discovery as much as one that it answers."""
+def test_all_nodes_receive_a_drain_after_overloaded_discovery_comes_back(tmp_path: Path) -> None:
+    """A poll that is rejected after it has queued costs discovery as much as one that it answers."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         plan = Plan(1, NODES, 10, 1, 1, 0.0, 1.0, 1024, False, {}, ())
         run = SoakRun(plan, tmp_path)
         loop = asyncio.get_running_loop()
         try:
             await run.open()
             await asyncio.sleep(3.0)
-            manner = run.discovery.behaviour
-            manner.lines_per_second = manner.call_lines * NODES / IDEAL
+            behaviour = run.discovery.behaviour
+            behaviour.lines_per_second = behaviour.call_lines * NODES / MIN_RECOVERY_S
             run.discovery.go_down()
-            await asyncio.sleep(OUTAGE)
+            await asyncio.sleep(OUTAGE_S)
             run.discovery.come_back()
-            back = loop.time()
+            recovered_at = loop.time()
             run.publish((run.backends[0], LEAVING))
-            heard: set[str] = set()
-            while len(heard) < NODES and loop.time() < back + 3 * IDEAL:
+            notified: set[str] = set()
+            while len(notified) < NODES and loop.time() < recovered_at + 3 * MIN_RECOVERY_S:
                 await asyncio.sleep(0.1)
-                heard = {row.node for row in run.journal.notified if row.at > back and not row.active}
+                notified = {
+                    row.node for row in run.journal.notified if row.at > recovered_at and not row.active
+                }
         finally:
             await run.close()
-        assert len(heard) == NODES
+        assert len(notified) == NODES
 
-    asyncio.run(story())
+    asyncio.run(scenario())
--- a/tests/test_state_table.py
+++ b/tests/test_state_table.py
@@ -1,4 +1,4 @@
-"""The generic state table: lookup, order, and what it rejects."""
+"""Tests of the generic state table: lookup, order and rejected tables."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
     assert TABLE.find("open", "close") is CLOSE
 
 
-def test_an_event_without_a_transition_is_none_to_find_and_an_error_to_index() -> None:
+def test_for_an_event_without_a_transition_find_returns_none_and_indexing_raises() -> None:
     assert TABLE.find("open", "open") is None
     with pytest.raises(KeyError):
         TABLE["open", "open"]
 
 
-def test_transitions_come_in_the_order_of_the_table() -> None:
+def test_iteration_follows_the_order_of_the_table() -> None:
     assert list(TABLE) == [OPEN, CLOSE]
 
 
