--- a/tests/test_move.py
+++ b/tests/test_move.py
@@ -300,7 +300,7 @@
             running(server, **{**SIDECAR, "node_count": 2, "node_index": 0}) as (node, address),
         ):
             node._gossip = GossipSocket(free_address(), [], lambda *_: None, node.counters)
-            node._gossip.send = lambda peer, datagram: datagrams.append(datagram)  # type: ignore[method-assign]
+            node._gossip.send = lambda peer, data: datagrams.append(data)  # type: ignore[method-assign]
             client = await Client().open(address)
             client.ask()
             assert (await client.answer()).status == 200
