--- a/tests/test_balancer.py
+++ b/tests/test_balancer.py
@@ -212,7 +212,7 @@
 def test_the_next_poll_follows_within_three_seconds_after_any_number_of_failures(
     poll_interval: float,
 ) -> None:
-    pauses = []
+    poll_delays = []
     for seed in range(20):
         host = FakeHost(polls_list=True, poll_interval=poll_interval, seed=seed)
         for _ in range(40):
@@ -221,8 +221,8 @@
             while host.count_commands("poll_list") == poll_count:
                 host.advance(0.01)
                 assert host.clock - failed_at < 2.97
-        pauses.append(host.clock - failed_at)
-    assert max(pauses) - min(pauses) > 1.5  # jitter: nodes do not all poll at the same moment
+        poll_delays.append(host.clock - failed_at)
+    assert max(poll_delays) - min(poll_delays) > 1.5  # jitter: nodes do not all poll at the same moment
 
 
 @pytest.mark.parametrize(("nodes", "outage_end"), [(1, 0.0), (40, 0.0), (40, 60.0), (200, 0.0)])
--- a/tests/test_slow_start.py
+++ b/tests/test_slow_start.py
@@ -77,14 +77,14 @@
     cold_servers = random.sample(
         range(servers), max(1, int(servers * random.choice((0.1, 0.3, 0.6, 0.9, 1.0))))
     )
-    interval = random.choice((0.0, 0.0, 0.3, 7.0 / len(cold_servers)))
-    down = random.choice((0.3, 2.0, 5.0))
-    last_return = LEARNING_TIME_S + interval * len(cold_servers) + down
+    crash_interval = random.choice((0.0, 0.0, 0.3, 7.0 / len(cold_servers)))
+    downtime = random.choice((0.3, 2.0, 5.0))
+    last_return = LEARNING_TIME_S + crash_interval * len(cold_servers) + downtime
     faults = tuple(
         Fault(
             Kind.CRASH,
-            LEARNING_TIME_S + interval * index,
-            LEARNING_TIME_S + interval * index + down,
+            LEARNING_TIME_S + crash_interval * index,
+            LEARNING_TIME_S + crash_interval * index + downtime,
             (server,),
         )
         for index, server in enumerate(cold_servers)
--- a/tests/test_watch_state.py
+++ b/tests/test_watch_state.py
@@ -26,7 +26,7 @@
     WatchState,
 )
 
-EVENTS_LEADING_TO = {  # the events that lead to each state
+EVENTS_LEADING_TO = {  # in order, from a new watch
     WatchState.NEW: (),
     WatchState.WATCHING: (WatchEvent.ANSWERED,),
     WatchState.UNRESPONSIVE: (WatchEvent.ANSWERED, WatchEvent.TIMED_OUT),
