--- a/notchjunction/experiments/__init__.py
+++ b/notchjunction/experiments/__init__.py
@@ -1,1 +1,1 @@
-"""Experiments on the emulator, and open-loop load on sockets. The node never imports it."""
+"""Experiments on the emulator, and an open-loop load generator. The node does not import this package."""
--- a/notchjunction/experiments/__main__.py
+++ b/notchjunction/experiments/__main__.py
@@ -1,4 +1,4 @@
-"""`python -m notchjunction.experiments`."""
+"""Entry point of `python -m notchjunction.experiments`."""
 
 from notchjunction.experiments.cli import main
 
--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -1,4 +1,7 @@
-"""Experiments as TOML files, checked whole: every error at once, with its place. Times in seconds."""
+"""Parsing and validation of experiment files (TOML). All errors are reported at once, each with its path.
+
+All times in these files are in seconds.
+"""
 
 from __future__ import annotations
 
@@ -26,8 +29,8 @@
 from notchjunction.testbed.links import Kind as LinkKind
 from notchjunction.testbed.links import LinkFault
 
-VERSION = 1  # of the files; another one is refused
-RUNS_MOST = 10_000  # of one experiment; more is a slip of the pen
+VERSION = 1  # version of the file format; any other version is rejected
+MAX_RUNS = 10_000  # runs per experiment; a larger number is most likely a mistake in the file
 COUNT = All(whole_number, Range(min=1))
 SHARE = All(FROM_0, Range(max=1))
 PROFILE = {
@@ -39,7 +42,7 @@
     Optional("group"): In([group.value for group in DeduplicationScope]),
     Optional("window"): FROM_0,
 }
-# A profile's keys in the file, and the fields of the request class that they set.
+# Maps the keys of a profile in the file to the fields of `RequestClass`.
 REQUEST_CLASS_FIELDS = {
     "contract_time": "latency_objective",
     "abandon_time": "deadline",
@@ -73,16 +76,16 @@
     Optional("tier"): All(whole_number, Range(min=0)),
     Optional("zones"): [All(whole_number, Range(min=0))],
 }
-AT: dict[Any, Any] = {Required("at"): FROM_0, Required("until"): ABOVE_0}
+INTERVAL: dict[Any, Any] = {Required("at"): FROM_0, Required("until"): ABOVE_0}
 LINK_FAULT: dict[Any, Any] = {
-    **AT,
+    **INTERVAL,
     Required("kind"): In([kind.value for kind in LinkKind]),
     Optional("size"): FROM_0,
     Optional("sides"): [[WORD]],
     Optional("pairs"): [All([WORD], Length(min=2, max=2, msg="expected two nodes"))],
 }
 PROCESS_FAULT: dict[Any, Any] = {
-    **AT,
+    **INTERVAL,
     Required("kind"): In([kind.value for kind in ProcessKind]),
     Required("node"): All(whole_number, Range(min=0)),
 }
@@ -93,16 +96,17 @@
     Optional("links"): [LINK_FAULT],
     Optional("processes"): [PROCESS_FAULT],
 }
-COUNTS = ("nodes", "servers", "zones", "workers", "queue_most", "client_tries")
-DEFAULT = Scenario("")
-PLAIN = [field.name for field in fields(Scenario) if isinstance(field.default, int | float)]
-POSITIVE = ("length", "cold_time", "tip_span", "list_rate", "overdrive_times")  # of the plain ones, never 0
-SHARES = ("cold_share", "client_patience", "client_leaves")
+COUNT_FIELDS = ("nodes", "servers", "zones", "workers", "queue_most", "client_tries")
+DEFAULT_SCENARIO = Scenario("")
+NUMERIC_FIELDS = [field.name for field in fields(Scenario) if isinstance(field.default, int | float)]
+# Numeric fields that must not be 0.
+POSITIVE_FIELDS = ("length", "cold_time", "tip_span", "list_rate", "overdrive_times")
+SHARE_FIELDS = ("cold_share", "client_patience", "client_leaves")
 SCENARIO: dict[Any, Any] = {
-    **{Optional(name): FROM_0 for name in PLAIN if name != "seed"},
-    **{Optional(name): ABOVE_0 for name in POSITIVE},
-    **{Optional(name): SHARE for name in SHARES},
-    **{Optional(name): COUNT for name in COUNTS},
+    **{Optional(name): FROM_0 for name in NUMERIC_FIELDS if name != "seed"},
+    **{Optional(name): ABOVE_0 for name in POSITIVE_FIELDS},
+    **{Optional(name): SHARE for name in SHARE_FIELDS},
+    **{Optional(name): COUNT for name in COUNT_FIELDS},
     Required("name"): WORD,
     Optional("profiles"): All([PROFILE], Length(min=1)),
     Optional("streams"): All([STREAM], Length(min=1)),
@@ -124,118 +128,130 @@
 
 @dataclass(frozen=True, slots=True)
 class Experiment:
+    """An experiment: every scenario is run with every variant and every seed."""
+
     name: str
     seeds: tuple[int, ...]
     variants: tuple[str, ...]
     scenarios: tuple[Scenario, ...]
-    fleets: Mapping[str, FleetPart]  # by scenario, of those whose nodes are one fleet
+    fleets: Mapping[str, FleetPart]  # by scenario name; only scenarios whose nodes form a fleet
 
 
 def read_experiment(file: Path) -> Experiment:
-    """The experiment in a file; Unfit with all that is wrong with it."""
+    """Read and validate an experiment file.
+
+    Raises `InvalidConfigurationError` with all errors of the file.
+    """
     try:
-        told = tomllib.loads(file.read_text(encoding="utf-8"))
+        document = tomllib.loads(file.read_text(encoding="utf-8"))
     except (tomllib.TOMLDecodeError, UnicodeDecodeError) as error:
         raise InvalidConfigurationError([str(error)]) from error
-    if malformed := errors_of(EXPERIMENT, told):
+    if malformed := errors_of(EXPERIMENT, document):
         raise InvalidConfigurationError(malformed)
     errors = [
-        error for i, row in enumerate(told["scenarios"]) for error in _contradictions(f"scenarios.{i}", row)
+        error
+        for i, row in enumerate(document["scenarios"])
+        for error in _scenario_errors(f"scenarios.{i}", row)
     ]
-    names = [row["name"] for row in told["scenarios"]]
+    names = [row["name"] for row in document["scenarios"]]
     for name in sorted({name for name in names if names.count(name) > 1}):
-        errors.append(f"scenarios: {name} is named twice")
-    for what in ("seeds", "variants"):
-        if len(set(told[what])) < len(told[what]):
-            errors.append(f"{what}: one is named twice, and its runs would count twice")
-    if len(names) * len(told["seeds"]) * len(told["variants"]) > RUNS_MOST:
-        errors.append(f"seeds: more than {RUNS_MOST} runs")
+        errors.append(f"scenarios: duplicate name {name}")
+    for key in ("seeds", "variants"):
+        if len(set(document[key])) < len(document[key]):
+            errors.append(f"{key}: duplicate value, whose runs would be counted twice")
+    if len(names) * len(document["seeds"]) * len(document["variants"]) > MAX_RUNS:
+        errors.append(f"seeds: more than {MAX_RUNS} runs")
     if errors:
         raise InvalidConfigurationError(errors)
-    scenarios = tuple(_scenario(row) for row in told["scenarios"])
-    fleets = {row["name"]: _fleet(row["fleet"]) for row in told["scenarios"] if "fleet" in row}
-    return Experiment(told["name"], tuple(told["seeds"]), tuple(told["variants"]), scenarios, fleets)
+    scenarios = tuple(_scenario(row) for row in document["scenarios"])
+    fleets = {row["name"]: _fleet(row["fleet"]) for row in document["scenarios"] if "fleet" in row}
+    return Experiment(
+        document["name"], tuple(document["seeds"]), tuple(document["variants"]), scenarios, fleets
+    )
 
 
-ONE_TIER = ("servers", "workers", "queue_most")  # said of the one tier, where there are no `tiers`
-SHARED = (Kind.ERRORS, Kind.RESET, Kind.LOSE, Kind.LIST_SPLIT)  # whose size is a share
+SINGLE_TIER_KEYS = ("servers", "workers", "queue_most")  # allowed only without `tiers`
+KINDS_WITH_SHARE = (Kind.ERRORS, Kind.RESET, Kind.LOSE, Kind.LIST_SPLIT)  # their `size` is a share, 0 to 1
 
 
-def _contradictions(stem: str, row: Mapping[str, Any]) -> list[str]:
-    found = []
-    profiles = row.get("profiles", DEFAULT.profiles)
-    tiers = [tier["servers"] for tier in row.get("tiers", ())] or [row.get("servers", DEFAULT.servers)]
+def _scenario_errors(path: str, row: Mapping[str, Any]) -> list[str]:
+    errors = []
+    profiles = row.get("profiles", DEFAULT_SCENARIO.profiles)
+    tiers = [tier["servers"] for tier in row.get("tiers", ())] or [
+        row.get("servers", DEFAULT_SCENARIO.servers)
+    ]
     zones = row.get("zones", 1)
     if zones > tiers[0]:
-        found.append(f"{stem}.zones: more zones than servers")
-    for name in ONE_TIER:
+        errors.append(f"{path}.zones: more zones than servers")
+    for name in SINGLE_TIER_KEYS:
         if "tiers" in row and name in row:
-            found.append(f"{stem}.{name}: said of one tier, and there are tiers")
+            errors.append(f"{path}.{name}: not allowed together with tiers")
     for i, stream in enumerate(row.get("streams", ())):
         if row.get("quotas") and stream.get("operator", 0) >= len(row["quotas"]):
-            found.append(f"{stem}.streams.{i}.operator: has no quota")
+            errors.append(f"{path}.streams.{i}.operator: no quota for this operator")
     for i, profile in enumerate(row.get("profiles", ())):
         if profile["abandon_time"] < profile["contract_time"]:
-            found.append(f"{stem}.profiles.{i}.abandon_time: under the contract time")
+            errors.append(f"{path}.profiles.{i}.abandon_time: less than contract_time")
         if profile.get("window", 0) and profile.get("effect") != Idempotency.KEYED.value:
-            found.append(f"{stem}.profiles.{i}.window: repeats are dropped of numbered profiles alone")
+            errors.append(f"{path}.profiles.{i}.window: only allowed with the effect numbered")
     for i, stream in enumerate(row.get("streams", ())):
         if stream["profile"] >= len(profiles):
-            found.append(f"{stem}.streams.{i}.profile: no such profile")
+            errors.append(f"{path}.streams.{i}.profile: no such profile")
         if stream.get("until", float("inf")) <= stream.get("at", 0.0):
-            found.append(f"{stem}.streams.{i}.until: not after its beginning")
+            errors.append(f"{path}.streams.{i}.until: must be after `at`")
     for i, fault in enumerate(row.get("faults", ())):
         if fault["until"] <= fault["at"]:
-            found.append(f"{stem}.faults.{i}.until: not after its beginning")
+            errors.append(f"{path}.faults.{i}.until: must be after `at`")
         if fault.get("tier", 0) >= len(tiers):
-            found.append(f"{stem}.faults.{i}.tier: no such tier")
+            errors.append(f"{path}.faults.{i}.tier: no such tier")
         elif any(server >= tiers[fault.get("tier", 0)] for server in fault.get("servers", ())):
-            found.append(f"{stem}.faults.{i}.servers: no such server")
+            errors.append(f"{path}.faults.{i}.servers: no such server")
         if any(zone >= zones for zone in fault.get("zones", ())):
-            found.append(f"{stem}.faults.{i}.zones: no such zone")
-        if Kind(fault["kind"]) in SHARED and fault.get("size", 1.0) > 1:
-            found.append(f"{stem}.faults.{i}.size: a share over 1")
-    return found + (_fleet_contradictions(stem + ".fleet", row) if "fleet" in row else [])
+            errors.append(f"{path}.faults.{i}.zones: no such zone")
+        if Kind(fault["kind"]) in KINDS_WITH_SHARE and fault.get("size", 1.0) > 1:
+            errors.append(f"{path}.faults.{i}.size: expected a share of at most 1")
+    return errors + (_fleet_errors(path + ".fleet", row) if "fleet" in row else [])
 
 
-def _fleet_contradictions(stem: str, row: Mapping[str, Any]) -> list[str]:
-    found, fleet, nodes = [], row["fleet"], row.get("nodes", DEFAULT.nodes)
+def _fleet_errors(path: str, row: Mapping[str, Any]) -> list[str]:
+    errors, fleet, nodes = [], row["fleet"], row.get("nodes", DEFAULT_SCENARIO.nodes)
     names = {f"n{number}" for number in range(nodes)}
     if "tiers" in row:
-        found.append(f"{stem}: with one tier alone")
+        errors.append(f"{path}: not allowed together with tiers")
     for name in ("owners", "rates"):
         if name in fleet and len(fleet[name]) != nodes:
-            found.append(f"{stem}.{name}: expected one for each node")
+            errors.append(f"{path}.{name}: expected one value per node")
     if not sum(fleet["owners"]):
-        found.append(f"{stem}.owners: expected one right at least")
+        errors.append(f"{path}.owners: expected at least one permit in total")
     for i, fault in enumerate(fleet.get("processes", ())):
         if fault["node"] >= nodes:
-            found.append(f"{stem}.processes.{i}.node: no such node")
+            errors.append(f"{path}.processes.{i}.node: no such node")
     for i, fault in enumerate(fleet.get("links", ())):
-        strangers = {
-            name for each in (*fault.get("sides", ()), *fault.get("pairs", ())) for name in each
+        unknown_names = {
+            name for nodes_named in (*fault.get("sides", ()), *fault.get("pairs", ())) for name in nodes_named
         } - names
-        if strangers:
-            found.append(f"{stem}.links.{i}: no such node: {', '.join(sorted(strangers))}")
-    for what in ("processes", "links"):
-        for i, fault in enumerate(fleet.get(what, ())):
+        if unknown_names:
+            errors.append(f"{path}.links.{i}: no such node: {', '.join(sorted(unknown_names))}")
+    for key in ("processes", "links"):
+        for i, fault in enumerate(fleet.get(key, ())):
             if fault["until"] <= fault["at"]:
-                found.append(f"{stem}.{what}.{i}.until: not after its beginning")
-    return found
+                errors.append(f"{path}.{key}.{i}.until: must be after `at`")
+    return errors
 
 
 def _scenario(row: Mapping[str, Any]) -> Scenario:
-    told = dict(row)
-    if "profiles" in told:
-        told["profiles"] = tuple(_profile(profile) for profile in told["profiles"])
-    if "streams" in told:
-        told["streams"] = tuple(Stream(**stream) for stream in told["streams"])
-    if "tiers" in told:
-        told["tiers"] = tuple(
-            Tier(**{**tier, "speeds": tuple(tier.get("speeds", Tier().speeds))}) for tier in told["tiers"]
+    arguments = dict(row)
+    if "profiles" in arguments:
+        arguments["profiles"] = tuple(_profile(profile) for profile in arguments["profiles"])
+    if "streams" in arguments:
+        arguments["streams"] = tuple(Stream(**stream) for stream in arguments["streams"])
+    if "tiers" in arguments:
+        arguments["tiers"] = tuple(
+            Tier(**{**tier, "speeds": tuple(tier.get("speeds", Tier().speeds))})
+            for tier in arguments["tiers"]
         )
-    told["quotas"] = tuple(told.get("quotas", ()))
-    told["faults"] = tuple(
+    arguments["quotas"] = tuple(arguments.get("quotas", ()))
+    arguments["faults"] = tuple(
         Fault(
             **{
                 **fault,
@@ -244,9 +260,11 @@
                 "zones": tuple(fault.get("zones", ())),
             }
         )
-        for fault in told.get("faults", ())
+        for fault in arguments.get("faults", ())
+    )
+    return Scenario(
+        **{field.name: arguments[field.name] for field in fields(Scenario) if field.name in arguments}
     )
-    return Scenario(**{field.name: told[field.name] for field in fields(Scenario) if field.name in told})
 
 
 def _fleet(row: Mapping[str, Any]) -> FleetPart:
@@ -265,9 +283,9 @@
 
 
 def _profile(row: Mapping[str, Any]) -> RequestClass:
-    told = {REQUEST_CLASS_FIELDS[key]: value for key, value in row.items()}
-    if "idempotency" in told:
-        told["idempotency"] = Idempotency(told["idempotency"])
-    if "deduplication_scope" in told:
-        told["deduplication_scope"] = DeduplicationScope(told["deduplication_scope"])
-    return RequestClass(**told)
+    arguments = {REQUEST_CLASS_FIELDS[key]: value for key, value in row.items()}
+    if "idempotency" in arguments:
+        arguments["idempotency"] = Idempotency(arguments["idempotency"])
+    if "deduplication_scope" in arguments:
+        arguments["deduplication_scope"] = DeduplicationScope(arguments["deduplication_scope"])
+    return RequestClass(**arguments)
--- a/notchjunction/experiments/report.py
+++ b/notchjunction/experiments/report.py
@@ -1,4 +1,4 @@
-"""What an experiment's runs came to: tables with the spread over seeds and paired differences, and charts."""
+"""Reports on the results of an experiment: tables with spread and paired differences, and charts."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
     "p99",
     "breaches",
 )
-HEADS = (
+SUMMARY_COLUMNS = (
     "scenario",
     "variant",
     "runs",
@@ -31,15 +31,15 @@
     "breaches",
 )
 Result = Mapping[str, Any]
-AGAINST = "module"  # the variant that the others are compared with, seed by seed
+REFERENCE_VARIANT = "module"  # the others are compared with it, seed by seed
 
 
 def table(results: Sequence[Result]) -> str:
-    """One row a run, as CSV."""
-    out = io.StringIO()
-    rows = csv.writer(out, lineterminator="\n")
-    rows.writerow(("scenario", "variant", "seed", "revision", "died", *COLUMNS))
-    for result in _in_order(results):
+    """Return a CSV table with one row per run."""
+    output = io.StringIO()
+    writer = csv.writer(output, lineterminator="\n")
+    writer.writerow(("scenario", "variant", "seed", "revision", "died", *COLUMNS))
+    for result in _sorted(results):
         figures = [_text(result.get(name)) for name in COLUMNS]
         head = [
             result["scenario"],
@@ -48,82 +48,88 @@
             result["revision"],
             result["died"] or "",
         ]
-        rows.writerow([*head, *figures])
-    return out.getvalue()
+        writer.writerow([*head, *figures])
+    return output.getvalue()
 
 
 def summary(name: str, results: Sequence[Result]) -> str:
-    """One row a scenario and variant, as Markdown."""
+    """Return a Markdown table with one row per scenario and variant."""
     lines = [
         f"# {name}",
         "",
-        "Servers are emulated. In time: the share of first tries' revenue that was answered within contract",
-        "time (late answers by their late share): mean, least to most over seeds. Against the module: the",
-        "differences seed by seed, alike.",
+        "Servers are emulated. In time: the share of the revenue of clients' first requests that was",
+        "answered within the contract time (late answers count by their late share): mean (minimum to",
+        "maximum) over seeds. Against the module: the same for the differences to the module, seed by seed.",
         "",
-        "| " + " | ".join(HEADS) + " |",
-        "| " + " | ".join("---" for _ in HEADS) + " |",
+        "| " + " | ".join(SUMMARY_COLUMNS) + " |",
+        "| " + " | ".join("---" for _ in SUMMARY_COLUMNS) + " |",
     ]
-    by = _grouped(results)
-    for (scenario, variant), rows in by.items():
-        sound = [row for row in rows if not row["died"]]
-        died = len(rows) - len(sound)
-        runs = f"{len(rows)}" + (f", {died} died" if died else "")
-        if not sound:
+    groups = _grouped(results)
+    for (scenario, variant), rows in groups.items():
+        completed = [row for row in rows if not row["died"]]
+        crashed = len(rows) - len(completed)
+        runs = f"{len(rows)}" + (f", {crashed} died" if crashed else "")
+        if not completed:
             lines.append(f"| {scenario} | {variant} | {runs} | | | | | | |")
             continue
-        module = {row["seed"]: row for row in by.get((scenario, AGAINST), ()) if not row["died"]}
-        paired = [row["in_time"] - module[row["seed"]]["in_time"] for row in sound if row["seed"] in module]
+        reference = {
+            row["seed"]: row for row in groups.get((scenario, REFERENCE_VARIANT), ()) if not row["died"]
+        }
+        paired = [
+            row["in_time"] - reference[row["seed"]]["in_time"]
+            for row in completed
+            if row["seed"] in reference
+        ]
         cells = (
             scenario,
             variant,
             runs,
-            _spread([row["in_time"] for row in sound]),
-            "" if variant == AGAINST or not paired else _spread(paired, sign="+"),
-            f"{mean(row['tries_a_job'] for row in sound):.2f}",
-            f"{mean(row['dispatches_a_job'] for row in sound):.2f}",
-            f"{mean(row['p99'] or 0.0 for row in sound):.2f}",
-            str(sum(row["breaches"] for row in sound)),
+            _spread([row["in_time"] for row in completed]),
+            "" if variant == REFERENCE_VARIANT or not paired else _spread(paired, sign="+"),
+            f"{mean(row['tries_a_job'] for row in completed):.2f}",
+            f"{mean(row['dispatches_a_job'] for row in completed):.2f}",
+            f"{mean(row['p99'] or 0.0 for row in completed):.2f}",
+            str(sum(row["breaches"] for row in completed)),
         )
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines) + "\n"
 
 
 def charts(name: str, results: Sequence[Result], folder: Path) -> list[Path]:
-    """One chart of all scenarios, and one of the course of each."""
+    """Write one chart of all scenarios and, per scenario, one over time; return the paths of the files."""
     import matplotlib
 
     matplotlib.use("agg")
     from matplotlib import pyplot
 
-    by = _grouped([row for row in results if not row["died"]])
-    scenarios = list(dict.fromkeys(scenario for scenario, _ in by))
-    variants = list(dict.fromkeys(variant for _, variant in by))
-    made = []
+    groups = _grouped([row for row in results if not row["died"]])
+    scenarios = list(dict.fromkeys(scenario for scenario, _ in groups))
+    variants = list(dict.fromkeys(variant for _, variant in groups))
+    paths = []
     figure, axes = pyplot.subplots(figsize=(1.5 + 1.6 * len(scenarios), 4), layout="constrained")
     width = 0.8 / max(1, len(variants))
     for i, variant in enumerate(variants):
         for j, scenario in enumerate(scenarios):
-            values = [row["in_time"] for row in by.get((scenario, variant), ())]
+            values = [row["in_time"] for row in groups.get((scenario, variant), ())]
             if values:
-                middle = mean(values)
-                spread = [[middle - min(values)], [max(values) - middle]]
+                average = mean(values)
+                spread = [[average - min(values)], [max(values) - average]]
                 label = variant if j == 0 else None
-                axes.bar(j + i * width, middle, width, yerr=spread, label=label, color=f"C{i}", capsize=2)
+                axes.bar(j + i * width, average, width, yerr=spread, label=label, color=f"C{i}", capsize=2)
     axes.set_xticks([j + 0.4 - width / 2 for j in range(len(scenarios))], scenarios, rotation=15)
     axes.set_ylabel("revenue answered in time")
     axes.set_title(name)
     axes.legend(fontsize="small")
-    made.append(folder / "in-time.png")
-    figure.savefig(made[-1], dpi=90)
+    paths.append(folder / "in-time.png")
+    figure.savefig(paths[-1], dpi=90)
     pyplot.close(figure)
     for scenario in scenarios:
         figure, axes = pyplot.subplots(figsize=(7, 3.2), layout="constrained")
         for i, variant in enumerate(variants):
             course: dict[int, list[float]] = {}
-            for row in by.get((scenario, variant), ()):
-                for at, gain, most in row["course"]:
-                    course.setdefault(at, []).append(gain / most if most else 0.0)
+            for row in groups.get((scenario, variant), ()):
+                for second, earned, possible in row["course"]:
+                    course.setdefault(second, []).append(earned / possible if possible else 0.0)
             axes.plot(
                 list(course), [mean(values) for values in course.values()], label=variant, color=f"C{i}"
             )
@@ -132,21 +138,21 @@
         axes.set_ylim(0, 1.05)
         axes.set_title(scenario)
         axes.legend(fontsize="small")
-        made.append(folder / f"course-{scenario.replace(' ', '-')}.png")
-        figure.savefig(made[-1], dpi=90)
+        paths.append(folder / f"course-{scenario.replace(' ', '-')}.png")
+        figure.savefig(paths[-1], dpi=90)
         pyplot.close(figure)
-    return made
+    return paths
 
 
-def _in_order(results: Sequence[Result]) -> list[Result]:
+def _sorted(results: Sequence[Result]) -> list[Result]:
     return sorted(results, key=lambda row: (row["scenario"], row["variant"], row["seed"]))
 
 
 def _grouped(results: Sequence[Result]) -> dict[tuple[str, str], list[Result]]:
-    by: dict[tuple[str, str], list[Result]] = {}
+    groups: dict[tuple[str, str], list[Result]] = {}
     for row in results:
-        by.setdefault((row["scenario"], row["variant"]), []).append(row)
-    return by
+        groups.setdefault((row["scenario"], row["variant"]), []).append(row)
+    return groups
 
 
 def _spread(values: Sequence[float], sign: str = "") -> str:
--- a/notchjunction/experiments/runs.py
+++ b/notchjunction/experiments/runs.py
@@ -1,4 +1,8 @@
-"""Runs of an experiment: each a file of its own, in parallel, resumable; one that dies is a result too."""
+"""Execution of an experiment's runs in parallel processes.
+
+Each run's result is stored in its own file, so that an interrupted experiment can be resumed. A run that
+crashes also has a result, which holds the error.
+"""
 
 from __future__ import annotations
 
@@ -28,14 +32,16 @@
 from notchjunction.experiments.baselines import VARIANTS
 from notchjunction.experiments.files import Experiment
 
-STRETCH = 1.0  # s of a run that make one figure of its course
-BREACHES_KEPT = 5  # of a run, as text; all are counted
+COURSE_INTERVAL_S = 1.0  # length of the intervals in `course`, seconds
+MAX_BREACH_MESSAGES = 5  # messages stored per run; the count of breaches includes all
 
-Done = Callable[[dict[str, Any]], None]
+ResultCallback = Callable[[dict[str, Any]], None]
 
 
 @dataclass(frozen=True, slots=True)
 class Run:
+    """One run: a scenario played with one variant and one seed, by one revision of the code."""
+
     scenario: Scenario
     variant: str
     seed: int
@@ -43,11 +49,12 @@
 
     @property
     def key(self) -> str:
-        """The same for the same run of the same code; another scenario under an old name is another run."""
-        told = json.dumps([asdict(self.scenario), self.variant, self.seed, self.revision], default=str)
-        return hashlib.sha256(told.encode()).hexdigest()[:16]
+        """Hash of scenario, variant, seed and revision; it changes when any value of the scenario changes."""
+        text = json.dumps([asdict(self.scenario), self.variant, self.seed, self.revision], default=str)
+        return hashlib.sha256(text.encode()).hexdigest()[:16]
 
-    def said(self) -> dict[str, Any]:
+    def identity(self) -> dict[str, Any]:
+        """Return the fields that identify the run in its result."""
         return {
             "scenario": self.scenario.name,
             "variant": self.variant,
@@ -58,6 +65,7 @@
 
 
 def runs_of(experiment: Experiment, revision: str) -> Iterator[Run]:
+    """Yield all runs of an experiment."""
     for scenario in experiment.scenarios:
         for variant in experiment.variants:
             for seed in experiment.seeds:
@@ -65,121 +73,146 @@
 
 
 def play(run: Run) -> dict[str, Any]:
-    """One run; its figures."""
-    story = World(replace(run.scenario, seed=run.seed), VARIANTS[run.variant]).play()
-    return {**run.said(), "died": None, **figures(story, breaches(story))}
+    """Play one run in the emulator and return its result."""
+    trace = World(replace(run.scenario, seed=run.seed), VARIANTS[run.variant]).play()
+    return {**run.identity(), "died": None, **figures(trace, breaches(trace))}
+
+
+def figures(trace: Trace, breach_messages: list[str], started_at: float = BEGAN) -> dict[str, Any]:
+    """Return the figures of a run.
 
+    They are counted per first request of a client: a client's retry belongs to the request that it repeats.
 
-def figures(story: Trace, broken: list[str], began: float = BEGAN) -> dict[str, Any]:
-    """What a run came to, by clients' first tries: a retry belongs to the try that it repeats."""
-    first_at: dict[int, float] = {}
-    profile_of: dict[int, int] = {}
-    tries: dict[tuple[int, int], int] = {}
-    honoured_at: dict[int, float] = {}
+    Args:
+        trace: The trace of the run.
+        breach_messages: A message for each rule that the run broke.
+        started_at: When the load began, in seconds on the trace's clock.
+    """
+    first_sent_at: dict[int, float] = {}
+    request_class_of: dict[int, int] = {}
+    first_request_of: dict[tuple[int, int], int] = {}
+    succeeded_at: dict[int, float] = {}
     counts: Counter[str] = Counter()
     responses: Counter[FinalResponse] = Counter()
-    for row in story.rows:
+    for row in trace.rows:
         if isinstance(row, RequestAccepted) and row.first_request != NO_TRY:
-            first_at.setdefault(row.first_request, row.at)
-            profile_of[row.first_request] = row.request_class
-            tries[row.node, row.request] = row.first_request
+            first_sent_at.setdefault(row.first_request, row.at)
+            request_class_of[row.first_request] = row.request_class
+            first_request_of[row.node, row.request] = row.first_request
             counts["tries"] += 1
         elif isinstance(row, AttemptSent):
             counts["again" if row.attempt else "first"] += 1
         elif isinstance(row, ProbeSent):
             counts["probes"] += 1
         elif isinstance(row, RequestAnswered):
-            if (row.node, row.request) not in tries:
-                continue  # a call that a server made
+            if (row.node, row.request) not in first_request_of:
+                continue  # a request from a server to another tier
             responses[row.final] += 1
             if row.final is FinalResponse.SUCCEEDED:
-                honoured_at.setdefault(tries[row.node, row.request], row.at)
-    worth = earned = 0.0
+                succeeded_at.setdefault(first_request_of[row.node, row.request], row.at)
+    possible_revenue = earned_revenue = 0.0
     course: dict[int, list[float]] = {}
-    longest = max(profile.deadline for profile in story.request_classes)
-    seconds = []
-    for first, at in first_at.items():
-        if at > story.ended_at - longest:
-            continue  # its answer may still be due
-        profile = story.request_classes[profile_of[first]]
-        gain = 0.0
-        if first in honoured_at:
-            took = honoured_at[first] - at
-            seconds.append(took)
-            gain = profile.priority_weight * (
-                1.0 if took <= profile.latency_objective else profile.late_weight
+    max_deadline = max(request_class.deadline for request_class in trace.request_classes)
+    latencies = []
+    for first_request, sent_at in first_sent_at.items():
+        if sent_at > trace.ended_at - max_deadline:
+            continue  # the run ended before the deadline of this request
+        request_class = trace.request_classes[request_class_of[first_request]]
+        revenue = 0.0
+        if first_request in succeeded_at:
+            latency = succeeded_at[first_request] - sent_at
+            latencies.append(latency)
+            revenue = request_class.priority_weight * (
+                1.0 if latency <= request_class.latency_objective else request_class.late_weight
             )
-        worth += profile.priority_weight
-        earned += gain
-        stretch = course.setdefault(int((at - began) / STRETCH), [0.0, 0.0])
-        stretch[0] += gain
-        stretch[1] += profile.priority_weight
-    seconds.sort()
+        possible_revenue += request_class.priority_weight
+        earned_revenue += revenue
+        interval = course.setdefault(int((sent_at - started_at) / COURSE_INTERVAL_S), [0.0, 0.0])
+        interval[0] += revenue
+        interval[1] += request_class.priority_weight
+    latencies.sort()
     return {
-        "in_time": earned / worth if worth else 0.0,
-        "tries_a_job": counts["tries"] / max(1, len(first_at)),
-        "dispatches_a_job": (counts["first"] + counts["again"]) / max(1, len(first_at)),
+        "in_time": earned_revenue / possible_revenue if possible_revenue else 0.0,
+        "tries_a_job": counts["tries"] / max(1, len(first_sent_at)),
+        "dispatches_a_job": (counts["first"] + counts["again"]) / max(1, len(first_sent_at)),
         "retry_share": counts["again"] / max(1, counts["first"]),
         "probes_a_dispatch": counts["probes"] / max(1, counts["first"]),
         "turned_back": responses[FinalResponse.REJECTED],
         "written_off": responses[FinalResponse.FAILED],
-        "p50": seconds[len(seconds) // 2] if seconds else None,
-        "p99": seconds[int(len(seconds) * 0.99)] if seconds else None,
-        "breaches": len(broken),
-        "breaches_said": broken[:BREACHES_KEPT],
-        "course": [[at, gain, most] for at, (gain, most) in sorted(course.items())],
+        "p50": latencies[len(latencies) // 2] if latencies else None,
+        "p99": latencies[int(len(latencies) * 0.99)] if latencies else None,
+        "breaches": len(breach_messages),
+        "breaches_said": breach_messages[:MAX_BREACH_MESSAGES],
+        "course": [[start, earned, possible] for start, (earned, possible) in sorted(course.items())],
     }
 
 
 def run_all(
-    runs: list[Run], folder: Path, workers: int, said: Done, work: Callable[[Run], dict[str, Any]] = play
+    runs: list[Run],
+    folder: Path,
+    workers: int,
+    on_result: ResultCallback,
+    work: Callable[[Run], dict[str, Any]] = play,
 ) -> int:
-    """Plays what the folder does not hold yet; how many runs died."""
+    """Play the runs that have no result in the folder yet, and store their results there.
+
+    Args:
+        runs: The runs of the experiment.
+        folder: The folder of the results; it is created if it does not exist.
+        workers: The number of processes.
+        on_result: Called with each new result.
+        work: Plays one run; replaced in tests.
+
+    Returns:
+        The number of runs that crashed.
+    """
     folder.mkdir(parents=True, exist_ok=True)
-    missing = [run for run in runs if kept(folder, run) is None]
-    died = 0
-    left: list[Run] = []
+    missing = [run for run in runs if stored_result(folder, run) is None]
+    crashed = 0
+    interrupted: list[Run] = []
     with ProcessPoolExecutor(max_workers=workers) as pool:
-        out: dict[Future[dict[str, Any]], Run] = {pool.submit(work, run): run for run in missing}
-        for future in as_completed(out):
-            run = out[future]
+        pending: dict[Future[dict[str, Any]], Run] = {pool.submit(work, run): run for run in missing}
+        for future in as_completed(pending):
+            run = pending[future]
             try:
                 result = future.result()
             except BrokenProcessPool:
-                left.append(run)  # it, or one beside it, took the process down
+                interrupted.append(run)  # this run or a concurrent one crashed its process
                 continue
             except Exception as error:
-                result = {**run.said(), "died": repr(error)}
-                died += 1
-            _keep(folder, run, result)
-            said(result)
-    # One at a time tells which run it is that takes its process down.
-    return died + sum(_alone(run, folder, said, work) for run in left)
+                result = {**run.identity(), "died": repr(error)}
+                crashed += 1
+            _store(folder, run, result)
+            on_result(result)
+    # Run one at a time, to find out which of them crashes its process.
+    return crashed + sum(_run_alone(run, folder, on_result, work) for run in interrupted)
 
 
-def _alone(run: Run, folder: Path, said: Done, work: Callable[[Run], dict[str, Any]]) -> bool:
+def _run_alone(
+    run: Run, folder: Path, on_result: ResultCallback, work: Callable[[Run], dict[str, Any]]
+) -> bool:
     with ProcessPoolExecutor(max_workers=1) as pool:
         try:
             result = pool.submit(work, run).result()
         except BrokenProcessPool:
-            result = {**run.said(), "died": "its process ended"}
+            result = {**run.identity(), "died": "its process ended"}
         except Exception as error:
-            result = {**run.said(), "died": repr(error)}
-    _keep(folder, run, result)
-    said(result)
+            result = {**run.identity(), "died": repr(error)}
+    _store(folder, run, result)
+    on_result(result)
     return result["died"] is not None
 
 
-def kept(folder: Path, run: Run) -> dict[str, Any] | None:
-    """The result that the folder holds of a run; one that is torn counts as none."""
+def stored_result(folder: Path, run: Run) -> dict[str, Any] | None:
+    """Return the stored result of a run, or None if there is none or the file is incomplete."""
     try:
-        found = json.loads((folder / f"{run.key}.json").read_text(encoding="utf-8"))
+        result = json.loads((folder / f"{run.key}.json").read_text(encoding="utf-8"))
     except (OSError, ValueError):
         return None
-    return found if isinstance(found, dict) and found.get("key") == run.key else None
+    return result if isinstance(result, dict) and result.get("key") == run.key else None
 
 
-def _keep(folder: Path, run: Run, result: dict[str, Any]) -> None:
-    torn = folder / f"{run.key}.{os.getpid()}.part"
-    torn.write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
-    torn.rename(folder / f"{run.key}.json")
+def _store(folder: Path, run: Run, result: dict[str, Any]) -> None:
+    partial = folder / f"{run.key}.{os.getpid()}.part"
+    partial.write_text(json.dumps(result, indent=1) + "\n", encoding="utf-8")
+    partial.rename(folder / f"{run.key}.json")
