--- a/notchjunction/experiments/files.py
+++ b/notchjunction/experiments/files.py
@@ -155,7 +155,7 @@
     ]
     names = [row["name"] for row in document["scenarios"]]
     for name in sorted({name for name in names if names.count(name) > 1}):
-        errors.append(f"scenarios: duplicate name {name}")
+        errors.append(f"scenarios: name {name} is used more than once")
     for key in ("seeds", "variants"):
         if len(set(document[key])) < len(document[key]):
             errors.append(f"{key}: duplicate value, whose runs would be counted twice")
--- a/notchjunction/experiments/load.py
+++ b/notchjunction/experiments/load.py
@@ -109,7 +109,7 @@
     if row["effect"] not in EFFECTS:
         raise ValueError(f"effect must be one of {', '.join(EFFECTS)}")
     if row["id"] in earlier_ids:
-        raise ValueError(f"duplicate id {row['id']}")
+        raise ValueError(f"id {row['id']} is used in an earlier row")
     if row["first_try"] != row["id"] and row["first_try"] not in earlier_ids:
         raise ValueError(f"first_try {row['first_try']} is not the id of an earlier row")
     return ScheduledRequest(at, row["profile"], timeout, row["effect"], row["first_try"])
