--- a/benchmarks/job_path.py
+++ b/benchmarks/job_path.py
@@ -65,7 +65,7 @@
 
 
 def permit_time(owned: int, lent: int) -> float:
-    """Return the time to acquire, extend and release a permit, an own one or one borrowed from another node."""
+    """Return the time to acquire, extend and release a permit, either an own or a borrowed one."""
     plan = Plan("l", Split(1, {"a": owned, "b": 8 - owned}))
     quotas = Quotas(Sender("a", 1), [plan], LeaseTiming(0.01, 1.0), 1, 0.0)
     quotas.receive(1.0, Sender("b", 1), PhaseAnnouncement("l", 1, Phase.GROWN, False))
--- a/benchmarks/sameness_player.py
+++ b/benchmarks/sameness_player.py
@@ -1,9 +1,10 @@
-"""Runs one recorder against one tree in a process of its own; started by `sameness`, by path.
+"""Runs the recorder of one tree; `sameness` starts this file in a separate process.
 
     python sameness_player.py RECORDER PLAY SEEDS OUTPUT [MUTATION]
 
-The tree is the working directory. Its project is imported from there, but the modules that know no project
-names come from beside this file, so that both trees are played by the same scripts.
+The working directory is the root of the tree, and the project is imported from there. The modules that use
+no names of the project are loaded from the folder of this file, so that both trees are played with the same
+scripts. From the recorder, only its dictionary `PLAYS` is used.
 """
 
 from __future__ import annotations
@@ -18,7 +19,7 @@
 
 
 def load_shared(name: str) -> ModuleType:
-    """The module beside this file, known by the name under which a recorder imports it."""
+    """Load a module from the folder of this file, under the name by which recorders import it."""
     qualified = f"benchmarks.{name}"
     spec = importlib.util.spec_from_file_location(qualified, Path(__file__).with_name(f"{name}.py"))
     assert spec is not None and spec.loader is not None
@@ -31,13 +32,13 @@
 
 
 def main(recorder: str, play: str, seeds: str, output: str, mutation: str = "") -> None:
-    """Plays the seeds one after another and writes the rows."""
-    sys.path[0] = str(Path.cwd())  # in place of this file's folder
+    """Play the seeds one after another and write the rows to the output file."""
+    sys.path[0] = str(Path.cwd())  # instead of the folder of this file
     shared = {name: load_shared(name) for name in SHARED}
     rows = shared["sameness_rows"]
-    planted = rows.Mutation(mutation) if mutation else None
-    rows.plant(planted)
-    recording = rows.Recording(planted)
+    injected = rows.Mutation(mutation) if mutation else None
+    rows.install_mutation(injected)
+    recording = rows.Recording(injected)
     plays = runpy.run_path(recorder)["PLAYS"]
     for seed in map(int, seeds.split(",")):
         recording.add(0.0, rows.Code.PLAY, -1, seed)
--- a/benchmarks/sameness_rows.py
+++ b/benchmarks/sameness_rows.py
@@ -1,8 +1,11 @@
-"""Rows of recorded commands: codes, text, and how two recordings compare. Knows no name of the project.
+"""Rows of recorded commands: their codes and text, and the comparison of two recordings.
 
-A recorder writes one row for each command that the code under test gave. A row holds numbers alone, so that
-it stays the same whatever is renamed. `Mutation` is for the check of the check: a recorder that is asked for
-one plants a single small difference, which the comparison has to find.
+A recorder writes one row for each command of the code under test. A row holds only numbers, so that renaming
+does not change it. A `Mutation` tests the comparison: on request, a recorder injects a single small
+difference, which the comparison has to find.
+
+This module uses no name of the project. Recorders of older revisions import it, so the names that they use
+(`Code`, `Recording`, `flattened`) must not change.
 """
 
 from __future__ import annotations
@@ -16,18 +19,18 @@
 from typing import Any, NamedTuple
 from zlib import crc32
 
-MUTATED_DRAW = 800  # the random draw from 0 to 1, counted over a recording, before which one more is made
-MUTATED_TIMER = 40  # the timer that it delays
-MUTATED_TIMER_DELAY_S = 0.001  # by so much
-MUTATED_ROW = 200  # the row from which on it looks for two unequal commands to swap
+MUTATED_DRAW = 800  # number of the random draw from 0 to 1 in a recording before which `DRAW` makes one more
+MUTATED_TIMER = 40  # number of the timer that `TIMER` delays
+MUTATED_TIMER_DELAY_S = 0.001  # by which `TIMER` delays it
+MUTATED_ROW = 200  # first row at which `ORDER` looks for two unequal commands to swap
 NO_ENDPOINT = -1
-ABSENT = -1.0  # in place of a number that is not given
+ABSENT = -1.0  # in place of a number that is None
 
 
 class Code(IntEnum):
-    """Kinds of rows."""
+    """The kind of a row."""
 
-    PLAY = 0  # the beginning of a play: its number and its seed
+    PLAY = 0  # the start of a play, or of one of its parts, with the seed
     ATTEMPT = 1
     CANCEL = 2
     PROBE = 3
@@ -37,20 +40,20 @@
     POLL_LIST = 7
     EJECT = 8
     GOSSIP = 9
-    REPEAT_LIMIT = 10  # the answer to a host's question until when a repeat does no harm
-    WATCH = 20  # what the watch of the endpoint list decided
-    LIMIT_MOVE = 30  # a move in a world of hard limits
-    LIMIT_MESSAGE = 31  # a message that is on its way after it
+    REPEAT_LIMIT = 10  # until when an attempt may be repeated without harm, as returned to the host
+    WATCH = 20  # a decision of the watch of the endpoint list
+    LIMIT_MOVE = 30  # a step of the exploration of quotas
+    LIMIT_MESSAGE = 31  # a message in flight after that step
     LIMIT_STATE = 32
-    DATAGRAM = 40  # sent from one member of a fleet to another
+    DATAGRAM = 40  # sent by a fleet member to another
     REFUSED_DATAGRAM = 41
-    PERMIT = 42  # the answer to a member that asked for one
+    PERMIT = 42  # whether a member acquired a permit
     MEMBER_STATE = 43
-    RENEWAL = 44  # whether a member took a changed split
+    RENEWAL = 44  # whether a member accepted a changed split of a quota
 
 
 class Mutation(Enum):
-    """The one difference that a recorder plants on request."""
+    """The difference that a recorder injects on request."""
 
     DRAW = "draw"
     TIMER = "timer"
@@ -58,7 +61,7 @@
 
 
 class Row(NamedTuple):
-    """One command as recorded."""
+    """One recorded command."""
 
     sequence: int
     time: float
@@ -67,12 +70,12 @@
     numbers: tuple[float, ...]
 
     def text(self) -> str:
-        """The row as a line; every digit of a float is kept."""
+        """Return the row as a line of text, with all digits of floats."""
         return " ".join(map(repr, (self.sequence, self.time, int(self.code), self.endpoint, *self.numbers)))
 
 
 class Difference(NamedTuple):
-    """The first place where two recordings differ; a side that has ended there has no row."""
+    """The first pair of different rows; None for a side that has already ended."""
 
     base: str | None
     other: str | None
@@ -80,58 +83,58 @@
 
 @dataclass(slots=True)
 class Recording:
-    """Takes the rows of one process in order."""
+    """The recorded rows of one process, in order."""
 
     mutation: Mutation | None = None
     rows: list[Row] = field(default_factory=list)
     _timers: int = 0
 
     def add(self, time: float, code: Code, endpoint: int = NO_ENDPOINT, *numbers: float) -> None:
-        """Appends a row."""
+        """Append a row."""
         self.rows.append(Row(len(self.rows), time, int(code), endpoint, numbers))
 
     def timer_delay(self, delay: float) -> float:
-        """The delay to set a timer with: as given, but for the one that a mutation changes."""
+        """Return the delay (s) to set a timer with: the given one, unless the mutation changes this timer."""
         self._timers += 1
         mutated = self.mutation is Mutation.TIMER and self._timers == MUTATED_TIMER
         return delay + MUTATED_TIMER_DELAY_S if mutated else delay
 
     def lines(self) -> Iterator[str]:
-        """The rows as text."""
+        """Return the rows as text."""
         rows = swapped(self.rows) if self.mutation is Mutation.ORDER else self.rows
         return (row.text() for row in rows)
 
 
 def swapped(rows: Sequence[Row]) -> list[Row]:
-    """The rows with the first two neighbours exchanged, from MUTATED_ROW on, that differ in command."""
-    found = list(rows)
+    """Return the rows with two neighbours swapped: the first different ones from MUTATED_ROW on."""
+    result = list(rows)
     for number in range(min(MUTATED_ROW, len(rows) // 2), len(rows) - 1):
-        first, second = found[number : number + 2]
+        first, second = result[number : number + 2]
         if first[1:] != second[1:]:
-            found[number] = second._replace(sequence=first.sequence)
-            found[number + 1] = first._replace(sequence=second.sequence)
+            result[number] = second._replace(sequence=first.sequence)
+            result[number + 1] = first._replace(sequence=second.sequence)
             break
-    return found
+    return result
 
 
 def first_difference(base: Iterable[str], other: Iterable[str]) -> Difference | None:
-    """The first pair of lines that are not the same; none where all are."""
-    for one, two in zip_longest(base, other):
-        if one != two:
-            return Difference(one, two)
+    """Return the first pair of different lines, or None if all are equal."""
+    for base_line, other_line in zip_longest(base, other):
+        if base_line != other_line:
+            return Difference(base_line, other_line)
     return None
 
 
 def digest(lines: Iterable[str]) -> str:
-    """A short mark of a recording."""
-    mark = blake2b(digest_size=8)
+    """Return a short hash of lines."""
+    line_hash = blake2b(digest_size=8)
     for line in lines:
-        mark.update(line.encode() + b"\n")
-    return mark.hexdigest()
+        line_hash.update(line.encode() + b"\n")
+    return line_hash.hexdigest()
 
 
 def flattened(value: Any) -> Iterator[float]:
-    """The numbers in nested sequences and maps; text and bytes by a checksum, None as ABSENT."""
+    """Yield the numbers in nested sequences and maps; a checksum for text and bytes, ABSENT for None."""
     if value is None:
         yield ABSENT
     elif isinstance(value, bool | int | float):
@@ -141,31 +144,32 @@
     elif isinstance(value, bytes):
         yield crc32(value)
     elif isinstance(value, dict):
-        for key, inner in value.items():
+        for key, item in value.items():
             yield from flattened(key)
-            yield from flattened(inner)
+            yield from flattened(item)
     else:
-        for inner in value:
-            yield from flattened(inner)
+        for item in value:
+            yield from flattened(item)
 
 
 class _MutatedRandom(random.Random):
-    """A generator whose draws are the usual ones, but for one more of all generators of the process."""
+    """A random generator that skips one draw: draw number MUTATED_DRAW of all generators of the process."""
 
-    drawn = 0
+    draw_count = 0
 
     def random(self) -> float:
-        _MutatedRandom.drawn += 1
-        if _MutatedRandom.drawn == MUTATED_DRAW:
+        _MutatedRandom.draw_count += 1
+        if _MutatedRandom.draw_count == MUTATED_DRAW:
             super().random()
         return super().random()
 
     def getrandbits(self, k: int, /) -> int:
-        # Guards against other draws of whole numbers: a class that has `random` alone would make them by it.
+        # Guards against different draws of integers: `Random` derives them from `random` in subclasses that
+        # override only `random`.
         return super().getrandbits(k)
 
 
-def plant(mutation: Mutation | None) -> None:
-    """To be called before the code under test is imported: prepares the mutation of a random draw."""
+def install_mutation(mutation: Mutation | None) -> None:
+    """Prepare a mutation of random draws. Must be called before the code under test is imported."""
     if mutation is Mutation.DRAW:
         random.Random = _MutatedRandom  # type: ignore[misc]
