--- a/benchmarks/sameness_recorder.py
+++ b/benchmarks/sameness_recorder.py
@@ -1,8 +1,9 @@
-"""Plays fixed seeds against the decisions of the tree that it is found in, and records the commands.
+"""Plays fixed seeds with the balancer, fleet and list watch of this tree and records their commands.
 
-It speaks this tree's names and is renamed along with them; all that depends on no name (scripts, rows) is in
-the modules `sameness_rows`, `sameness_script` and `sameness_fleet`. Run by `sameness_player`. What is
-listed here in an order (results, states) is known by number there: the order must stay.
+`sameness_player` runs this file and uses its dictionary `PLAYS`. This module follows renames in its tree.
+Scripts and rows, which use no names of the project, are in `sameness_rows`, `sameness_script` and
+`sameness_fleet`. These modules refer to results, states and kinds by their position in the tuples below, so
+the order of the tuples must not change.
 """
 
 from __future__ import annotations
@@ -29,9 +30,7 @@
     RequestClass,
 )
 from notchjunction.discovery.endpoints import EndpointState
-from notchjunction.discovery.watch_state import ListWatch
-from notchjunction.discovery.watch_state import PollAction as WatchEffect
-from notchjunction.discovery.watch_state import WatchEvent as WatchInput
+from notchjunction.discovery.watch_state import ListWatch, PollAction, WatchEvent
 from notchjunction.emulator.scenario import Fault, Kind, Scenario, Stream, Tier
 from notchjunction.emulator.world import World
 from notchjunction.errors import FleetError
@@ -41,10 +40,10 @@
 from notchjunction.fleet.quotas.plan import Plan, Split
 from notchjunction.fleet.quotas.state import Permit
 
-EFFECTS = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
-GROUPS = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.GROUP)
-PRESENCES = (EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED)
-NEWS = (ListUpdate.CHANGES, ListUpdate.SNAPSHOT, ListUpdate.CACHED, ListUpdate.FAILED)
+IDEMPOTENCIES = (Idempotency.IDEMPOTENT, Idempotency.KEYED, Idempotency.NON_IDEMPOTENT)
+DEDUPLICATION_SCOPES = (DeduplicationScope.ALL, DeduplicationScope.ZONE, DeduplicationScope.GROUP)
+ENDPOINT_STATES = (EndpointState.ACTIVE, EndpointState.DRAINING, EndpointState.REMOVED)
+LIST_UPDATES = (ListUpdate.CHANGES, ListUpdate.SNAPSHOT, ListUpdate.CACHED, ListUpdate.FAILED)
 RESULTS = (
     AttemptResult.SUCCEEDED,
     AttemptResult.ERROR,
@@ -59,11 +58,11 @@
 )
 
 
-# The hosts.
+# Hosts.
 
 
 class RecordingHost:
-    """Stands before a host and records each command; `node` tells several hosts of one play apart."""
+    """Records each command and passes it to the host; `node` distinguishes several hosts of one play."""
 
     def __init__(self, host: BalancerHost, node: int, recording: Recording) -> None:
         self._host, self._node, self._recording = host, node, recording
@@ -72,124 +71,124 @@
         self._recording.add(self._host.now(), code, endpoint, self._node, *numbers)
 
     def now(self) -> float:
-        """The host's clock."""
+        """Return the time of the host's clock."""
         return self._host.now()
 
-    def send_attempt(self, job: int, server: int, within: float) -> None:
-        """An attempt."""
-        self._record(Code.ATTEMPT, server, job, within)
-        self._host.send_attempt(job, server, within)
+    def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        """Send an attempt."""
+        self._record(Code.ATTEMPT, endpoint, request, timeout)
+        self._host.send_attempt(request, endpoint, timeout)
 
-    def cancel_attempt(self, job: int, dispatch: int) -> None:
-        """A cancel."""
-        self._record(Code.CANCEL, -1, job, dispatch)
-        self._host.cancel_attempt(job, dispatch)
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        """Cancel an attempt."""
+        self._record(Code.CANCEL, -1, request, attempt)
+        self._host.cancel_attempt(request, attempt)
 
-    def send_probe(self, server: int) -> None:
-        """A probe."""
-        self._record(Code.PROBE, server)
-        self._host.send_probe(server)
+    def send_probe(self, endpoint: int) -> None:
+        """Send a probe."""
+        self._record(Code.PROBE, endpoint)
+        self._host.send_probe(endpoint)
 
-    def reject(self, job: int, come_back_in: float) -> None:
-        """A final answer: come again."""
-        self._record(Code.REJECT, -1, job, come_back_in)
-        self._host.reject(job, come_back_in)
+    def reject(self, request: int, retry_after: float) -> None:
+        """Reject a request."""
+        self._record(Code.REJECT, -1, request, retry_after)
+        self._host.reject(request, retry_after)
 
-    def fail(self, job: int) -> None:
-        """A final answer: it failed."""
-        self._record(Code.FAIL, -1, job)
-        self._host.fail(job)
+    def fail(self, request: int) -> None:
+        """Fail a request."""
+        self._record(Code.FAIL, -1, request)
+        self._host.fail(request)
 
     def set_timer(self, delay: float, token: int) -> None:
-        """A timer."""
+        """Set a timer."""
         delay = self._recording.timer_delay(delay)
         self._record(Code.SET_TIMER, -1, delay, token)
         self._host.set_timer(delay, token)
 
     def poll_list(self) -> None:
-        """A poll of the endpoint list."""
+        """Poll the endpoint list."""
         self._record(Code.POLL_LIST, -1)
         self._host.poll_list()
 
-    def report_ejection(self, server: int, seconds: float) -> None:
-        """An ejection."""
-        self._record(Code.EJECT, server, seconds)
-        self._host.report_ejection(server, seconds)
+    def report_ejection(self, endpoint: int, seconds: float) -> None:
+        """Report an ejection."""
+        self._record(Code.EJECT, endpoint, seconds)
+        self._host.report_ejection(endpoint, seconds)
 
-    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
-        """Gossip to a peer."""
-        self._record(Code.GOSSIP, -1, peer, newest, *flattened(told))
-        self._host.send_gossip(peer, newest, told)
+    def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
+        """Send gossip to a peer."""
+        self._record(Code.GOSSIP, -1, peer, newest, *flattened(outcomes))
+        self._host.send_gossip(peer, newest, outcomes)
 
 
 class ScriptedHost:
-    """Gives commands to a script."""
+    """Passes commands to a script."""
 
-    def __init__(self, played: script.Script) -> None:
-        self._script = played
+    def __init__(self, running: script.Script) -> None:
+        self._script = running
 
     def now(self) -> float:
-        """The host's clock."""
+        """Return the time of the host's clock."""
         return self._script.clock
 
-    def send_attempt(self, job: int, server: int, within: float) -> None:
-        """An attempt."""
-        self._script.attempt(job, server, within)
+    def send_attempt(self, request: int, endpoint: int, timeout: float) -> None:
+        """Send an attempt."""
+        self._script.attempt(request, endpoint, timeout)
 
-    def cancel_attempt(self, job: int, dispatch: int) -> None:
-        """A cancel."""
-        self._script.cancel(job, dispatch)
+    def cancel_attempt(self, request: int, attempt: int) -> None:
+        """Cancel an attempt."""
+        self._script.cancel(request, attempt)
 
-    def send_probe(self, server: int) -> None:
-        """A probe."""
-        self._script.probe(server)
+    def send_probe(self, endpoint: int) -> None:
+        """Send a probe."""
+        self._script.probe(endpoint)
 
-    def reject(self, job: int, come_back_in: float) -> None:
-        """A final answer: come again."""
-        self._script.close(job)
+    def reject(self, request: int, retry_after: float) -> None:
+        """Reject a request."""
+        self._script.close(request)
 
-    def fail(self, job: int) -> None:
-        """A final answer: it failed."""
-        self._script.close(job)
+    def fail(self, request: int) -> None:
+        """Fail a request."""
+        self._script.close(request)
 
     def set_timer(self, delay: float, token: int) -> None:
-        """A timer."""
+        """Set a timer."""
         self._script.set_timer(delay, token)
 
     def poll_list(self) -> None:
-        """A script gives list news when it likes."""
+        """Do nothing: the script updates the list at times of its own."""
 
-    def report_ejection(self, server: int, seconds: float) -> None:
-        """Nothing follows from it."""
+    def report_ejection(self, endpoint: int, seconds: float) -> None:
+        """Do nothing."""
 
-    def send_gossip(self, peer: int, newest: int, told: Sequence[PeerOutcome]) -> None:
-        """Nothing follows from it."""
+    def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
+        """Do nothing."""
 
 
-# Decisions behind a script.
+# The balancer with a script.
 
 
-def profiles_of(settings: script.Settings) -> list[RequestClass]:
-    """Request classes in this tree's type."""
+def request_classes_of(settings: script.Settings) -> list[RequestClass]:
+    """Convert request classes to the type of this tree."""
     return [
         RequestClass(
-            each.objective,
-            each.deadline,
-            each.weight,
-            each.late_share,
-            EFFECTS[each.effect],
-            GROUPS[each.group],
-            each.window,
+            request_class.objective,
+            request_class.deadline,
+            request_class.weight,
+            request_class.late_share,
+            IDEMPOTENCIES[request_class.effect],
+            DEDUPLICATION_SCOPES[request_class.group],
+            request_class.window,
         )
-        for each in settings.classes
+        for request_class in settings.classes
     ]
 
 
-def terms_of(settings: script.Settings) -> BalancerSettings:
-    """Settings in this tree's type."""
+def settings_of(settings: script.Settings) -> BalancerSettings:
+    """Convert settings to the type of this tree."""
     return BalancerSettings(
         seed=settings.seed,
-        request_classes=profiles_of(settings),
+        request_classes=request_classes_of(settings),
         tenant_quotas=script.TENANT_QUOTAS,
         over_quota_weight=0.3,
         node_count=settings.nodes,
@@ -216,30 +215,36 @@
 
 
 def entries_of(endpoints: Sequence[script.Endpoint]) -> list[EndpointEntry]:
-    """Endpoints in this tree's type."""
+    """Convert endpoints to the type of this tree."""
     return [
         EndpointEntry(
-            each.number, PRESENCES[each.state], each.started_at, each.zone, each.cell, each.power, each.tag
+            endpoint.number,
+            ENDPOINT_STATES[endpoint.state],
+            endpoint.started_at,
+            endpoint.zone,
+            endpoint.cell,
+            endpoint.power,
+            endpoint.tag,
         )
-        for each in endpoints
+        for endpoint in endpoints
     ]
 
 
 def load_of(report: script.LoadReport | None) -> LoadReport | None:
-    """A load report in this tree's type."""
+    """Convert a load report to the type of this tree."""
     return None if report is None else LoadReport(*report.figures)
 
 
-class ScriptedDecisions:
-    """The decisions as a script's driver."""
+class BalancerDriver:
+    """Implements `script.Driver` with the balancer of this tree."""
 
-    def __init__(self, played: script.Script, recording: Recording) -> None:
-        self._script, self._recording = played, recording
-        self._host = RecordingHost(ScriptedHost(played), 0, recording)
-        self._balancer = Balancer(terms_of(played.settings), self._host)
+    def __init__(self, running: script.Script, recording: Recording) -> None:
+        self._script, self._recording = running, recording
+        self._host = RecordingHost(ScriptedHost(running), 0, recording)
+        self._balancer = Balancer(settings_of(running.settings), self._host)
 
     def submit(self, request: script.Request) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.request_arrived(
             NewRequest(
                 id=request.number,
@@ -253,7 +258,7 @@
         )
 
     def end(self, ending: script.Ending) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.attempt_ended(
             AttemptOutcome(
                 request=ending.request,
@@ -268,63 +273,63 @@
         )
 
     def complete_body(self, request: int, time_left: float) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.body_completed(request, time_left)
 
     def repeat_limit(self, request: int, attempt: int) -> float:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         limit = self._balancer.repeatable_until(request, attempt)
         self._recording.add(self._script.clock, Code.REPEAT_LIMIT, -1, request, attempt, limit)
         return limit
 
     def begin_answer(self, request: int, attempt: int) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.response_started(request, attempt)
 
     def withdraw(self, request: int) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.request_cancelled(request)
 
     def end_probe(self, endpoint: int, result: int, load: script.LoadReport | None) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.probe_ended(endpoint, RESULTS[result], load_of(load))
 
     def fire(self, token: int) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.timer_fired(token)
 
     def update_list(self, kind: int, endpoints: Sequence[script.Endpoint]) -> None:
-        """As in `script.Driver`."""
-        self._balancer.list_updated(NEWS[kind], entries_of(endpoints))
+        """See `script.Driver`."""
+        self._balancer.list_updated(LIST_UPDATES[kind], entries_of(endpoints))
 
     def ban(self, endpoint: int, banned: bool) -> None:
-        """As in `script.Driver`."""
+        """See `script.Driver`."""
         self._balancer.ban_changed(endpoint, banned)
 
     def receive_gossip(self, outcomes: Sequence[script.PeerOutcome]) -> None:
-        """As in `script.Driver`."""
-        self._balancer.gossip_received([PeerOutcome(*each) for each in outcomes])
+        """See `script.Driver`."""
+        self._balancer.gossip_received([PeerOutcome(*outcome) for outcome in outcomes])
 
     def reconfigure(self, settings: script.Settings) -> None:
-        """As in `script.Driver`."""
-        self._balancer.settings_changed(terms_of(settings), dict(enumerate(profiles_of(settings))))
+        """See `script.Driver`."""
+        self._balancer.settings_changed(settings_of(settings), dict(enumerate(request_classes_of(settings))))
 
     def replace(self, settings: script.Settings, endpoints: Sequence[script.Endpoint]) -> None:
-        """As in `script.Driver`."""
-        lessons = self._balancer.export_state()
-        self._balancer = Balancer(terms_of(settings), self._host)
+        """See `script.Driver`."""
+        learned_state = self._balancer.export_state()
+        self._balancer = Balancer(settings_of(settings), self._host)
         self._balancer.list_updated(ListUpdate.CACHED, entries_of(endpoints))
-        self._balancer.restore_state(lessons)
+        self._balancer.restore_state(learned_state)
 
 
 def play_script(seed: int, recording: Recording) -> None:
-    """One script against the decisions, without sockets."""
-    played = script.Script(seed)
-    played.begin(ScriptedDecisions(played, recording))
-    played.play()
+    """Play one script with the balancer, without sockets."""
+    running = script.Script(seed)
+    running.begin(BalancerDriver(running, recording))
+    running.play()
 
 
-# The emulator's worlds.
+# Scenarios of the emulator.
 
 USUAL = Scenario("usual", length=14.0)
 CONNECTIONS = Scenario(
@@ -358,19 +363,19 @@
 
 
 def play_world(scenario: Scenario, recording: Recording) -> None:
-    """One world of the emulator; its nodes are numbered in the order in which they come up."""
+    """Play one scenario of the emulator; its nodes are numbered in the order of their starts."""
     nodes = 0
 
-    def make(terms: BalancerSettings, host: BalancerHost) -> RequestBalancer:
+    def make(settings: BalancerSettings, host: BalancerHost) -> RequestBalancer:
         nonlocal nodes
         nodes += 1
-        return Balancer(terms, RecordingHost(host, nodes, recording))
+        return Balancer(settings, RecordingHost(host, nodes, recording))
 
     World(scenario, make).play()
 
 
 def play_worlds(seed: int, recording: Recording) -> None:
-    """All worlds with one seed."""
+    """Play all scenarios with one seed."""
     for number, (scenario, faults) in enumerate(WORLDS):
         recording.add(0.0, Code.PLAY, -1, number, seed)
         fields = {name: getattr(scenario, name) for name in scenario.__dataclass_fields__}
@@ -401,8 +406,8 @@
 CLOCK_RATES = (1.05, 1.0, 1 / 1.05, 1 / 1.05, 1.05)
 
 
-class LimitMoves:
-    """A world of limits as the fleet's part of the script sees it."""
+class QuotaExploration:
+    """Implements `fleet.LimitWorld` with the exploration of this tree."""
 
     def __init__(self) -> None:
         before = Split(1, {"a": 2, "b": 1, "c": 1})
@@ -414,58 +419,58 @@
         self._moves = list(self._world.moves())
 
     def now(self) -> float:
-        """As in `fleet.LimitWorld`."""
+        """See `fleet.LimitWorld`."""
         return self._world.now
 
     def moves(self) -> Sequence[fleet.Move]:
-        """As in `fleet.LimitWorld`."""
+        """See `fleet.LimitWorld`."""
         self._moves = list(self._world.moves())
         return [fleet.Move(MOVE_KINDS.index(move.kind), move.position) for move in self._moves]
 
     def take(self, number: int) -> None:
-        """As in `fleet.LimitWorld`."""
+        """See `fleet.LimitWorld`."""
         self._world.apply(self._moves[number])
 
     def messages(self) -> Sequence[fleet.Message]:
-        """As in `fleet.LimitWorld`."""
+        """See `fleet.LimitWorld`."""
         return [
-            fleet.Message(flight.to, tuple(flattened(fleet.wire_value(flight.message))))
-            for flight in self._world.messages
+            fleet.Message(in_flight.to, tuple(flattened(fleet.wire_value(in_flight.message))))
+            for in_flight in self._world.messages
         ]
 
     def state(self) -> Iterator[tuple[float, ...]]:
-        """As in `fleet.LimitWorld`."""
+        """See `fleet.LimitWorld`."""
         for number in range(len(self._world.nodes)):
-            figures = self._world.quotas_of(number).stats(self._world.clock(number), LIMIT)
-            yield tuple(flattened(figures))
+            stats = self._world.quotas_of(number).stats(self._world.clock(number), LIMIT)
+            yield tuple(flattened(stats))
 
 
-class SpentPermit:
-    """A permit with the member that gave it."""
+class AcquiredPermit:
+    """Implements `fleet.Permit`: a permit with the member that holds it."""
 
     def __init__(self, member: FleetAgent, permit: Permit) -> None:
         self._member, self._permit = member, permit
 
     def extend(self, now: float, until: float) -> bool:
-        """As in `fleet.Permit`."""
+        """See `fleet.Permit`."""
         return self._member.quotas.extend(now, self._permit, until)
 
     def hold(self, until: float) -> None:
-        """As in `fleet.Permit`."""
+        """See `fleet.Permit`."""
         self._member.quotas.expire_at(self._permit, until)
 
     def release(self, now: float) -> list[fleet.Sent]:
-        """As in `fleet.Permit`."""
+        """See `fleet.Permit`."""
         return sent(self._member.pack(self._member.quotas.release(now, self._permit)))
 
 
 def sent(datagrams: Sequence[Datagram]) -> list[fleet.Sent]:
-    """Datagrams in the script's type."""
-    return [fleet.Sent(*each) for each in datagrams]
+    """Convert datagrams to the type of `sameness_fleet`."""
+    return [fleet.Sent(*datagram) for datagram in datagrams]
 
 
-def fleet_input(number: int, revision: int, follows: bool) -> FleetConfig:
-    """What a member's file says; odd and even revisions give two rights each to other owners."""
+def fleet_config(number: int, revision: int, follows: bool) -> FleetConfig:
+    """Return a member's configuration; odd and even revisions have different splits of the four permits."""
     splits: dict[int, Mapping[str, int]] = {0: {"n0": 2, "n1": 2}, 1: {"n0": 3, "n2": 1}}
     split = Split(revision, splits[revision % 2])
     before = Split(revision - 1, splits[(revision - 1) % 2]) if follows else None
@@ -482,52 +487,52 @@
 
 
 class FleetMember:
-    """One start of a member."""
+    """Implements `fleet.Member`."""
 
     def __init__(self, number: int, name: int, start: int, seed: int, now: float) -> None:
         self._number = number
-        told = fleet_input(number, 1, follows=False)
-        self._member = FleetAgent(f"n{name}", start, told, 1.0, seed, now)
+        config = fleet_config(number, 1, follows=False)
+        self._member = FleetAgent(f"n{name}", start, config, 1.0, seed, now)
 
     def tick(self, now: float) -> list[fleet.Sent]:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         return sent(self._member.tick(now))
 
     def receive(self, now: float, data: bytes, source: str) -> list[fleet.Sent] | None:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         try:
             return sent(self._member.receive(now, data, source))
         except FleetError:
             return None
 
     def leave(self, now: float) -> list[fleet.Sent]:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         return sent(self._member.leave(now))
 
     def spend(self, now: float, until: float) -> fleet.Permit | None:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         permit = self._member.quotas.acquire(now, LIMIT, until)
-        return None if permit is None else SpentPermit(self._member, permit)
+        return None if permit is None else AcquiredPermit(self._member, permit)
 
     def seek(self, now: float) -> list[fleet.Sent]:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         return sent(self._member.pack(self._member.quotas.set_waiting(now, LIMIT, 1)))
 
     def renew(self, now: float, revision: int, follows: bool) -> bool:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         try:
-            self._member.apply_config(now, fleet_input(self._number, revision, follows))
+            self._member.apply_config(now, fleet_config(self._number, revision, follows))
         except FleetError:
             return False
         return True
 
     def state(self, now: float) -> Iterator[float]:
-        """As in `fleet.Member`."""
+        """See `fleet.Member`."""
         member = self._member
         yield from (member.membership.is_away(now), member.unknown_peers, len(member.faults(now)))
         yield from flattened(member.membership.digest())
-        for name, held in member.membership.members().items():
-            yield from flattened((name, held.start, held.incarnation, held.state, held.since))
+        for name, peer in member.membership.members().items():
+            yield from flattened((name, peer.start, peer.incarnation, peer.state, peer.since))
         for name, before, after in member.membership.take_changes():
             yield from flattened((name, before and before.state, after and after.state))
         yield from (member.quotas.may_be_granted(LIMIT), member.quotas.retry_after(now, LIMIT))
@@ -535,54 +540,54 @@
 
 
 def play_fleet(seed: int, recording: Recording) -> None:
-    """Moves among limits, then members over a network."""
+    """Play an exploration of quotas, then members over a network."""
     recording.add(0.0, Code.PLAY, -1, 0, seed)
-    fleet.play_limits(LimitMoves(), seed, MOVE_WEIGHTS, recording)
+    fleet.play_limits(QuotaExploration(), seed, MOVE_WEIGHTS, recording)
     recording.add(0.0, Code.PLAY, -1, 1, seed)
     fleet.Network(FleetMember, seed, recording).play()
 
 
 # The watch of the endpoint list.
 
-WATCH_INPUTS = (
-    WatchInput.ANSWERED,
-    WatchInput.TIMED_OUT,
-    WatchInput.REJECTED,
-    WatchInput.RATE_LIMITED,
-    WatchInput.CONNECTION_LOST,
-    WatchInput.ADDRESS_CHANGED,
+WATCH_EVENTS = (
+    WatchEvent.ANSWERED,
+    WatchEvent.TIMED_OUT,
+    WatchEvent.REJECTED,
+    WatchEvent.RATE_LIMITED,
+    WatchEvent.CONNECTION_LOST,
+    WatchEvent.ADDRESS_CHANGED,
 )
-WATCH_EFFECTS = (WatchEffect.CONTINUE, WatchEffect.RETRY_NOW, WatchEffect.BACK_OFF, WatchEffect.RESUME)
+POLL_ACTIONS = (PollAction.CONTINUE, PollAction.RETRY_NOW, PollAction.BACK_OFF, PollAction.RESUME)
 
 
 class Watch:
-    """The state machine of the watch, as its script sees it."""
+    """Implements `script.Watch` with the list watch of this tree."""
 
-    def __init__(self, poll_within: float, pushed: bool, seed: int, nodes: int) -> None:
-        self._following = ListWatch(poll_within, pushed, seed, nodes)
+    def __init__(self, poll_interval: float, pushed: bool, seed: int, nodes: int) -> None:
+        self._watch = ListWatch(poll_interval, pushed, seed, nodes)
 
     def call(self, now: float, known: bool) -> tuple[float, float]:
-        """As in `script.Watch`."""
-        wait = self._following.next_wait(known)
-        return wait, self._following.poll_started(now, wait)
+        """See `script.Watch`."""
+        wait = self._watch.next_wait(known)
+        return wait, self._watch.poll_started(now, wait)
 
     def end(self, now: float, event: int) -> tuple[float, ...]:
-        """As in `script.Watch`."""
-        following, told = self._following, WATCH_INPUTS[event]
-        if told is WatchInput.REJECTED:
-            told = following.classify_rejection(now)
-        effect = following.poll_ended(told, now)
-        moments = (
-            following.backoff(),
-            following.address_change_delay(),
-            following.initial_wait(),
-            following.notified_by(),
+        """See `script.Watch`."""
+        watch, watch_event = self._watch, WATCH_EVENTS[event]
+        if watch_event is WatchEvent.REJECTED:
+            watch_event = watch.classify_rejection(now)
+        action = watch.poll_ended(watch_event, now)
+        times = (
+            watch.backoff(),
+            watch.address_change_delay(),
+            watch.initial_wait(),
+            watch.notified_by(),
         )
-        return (WATCH_INPUTS.index(told), WATCH_EFFECTS.index(effect), *moments)
+        return (WATCH_EVENTS.index(watch_event), POLL_ACTIONS.index(action), *times)
 
 
 def play_watch(seed: int, recording: Recording) -> None:
-    """Watches of the endpoint list whose calls end by chance."""
+    """Play watches of the endpoint list, whose polls end at random."""
     script.play_watches(Watch, seed, recording)
 
 
--- a/benchmarks/sameness_script.py
+++ b/benchmarks/sameness_script.py
@@ -1,9 +1,12 @@
-"""Random scripts, drawn from a seed, that drive decisions through a socket-free host. Knows no project names.
+"""Random scripts, drawn from a seed, that drive a balancer through a host without sockets.
 
-`Script` plays the host's part: it submits requests, ends attempts, answers probes, changes the endpoint list
-and lets time pass. What it does next depends on the commands that the decisions gave so far, which come to it
-through the methods of `Script` that share a name with a command. A recorder implements `Driver`, which turns
-the values here into calls of the decisions.
+`Script` acts as the host: it submits requests, ends attempts and probes, changes the endpoint list and lets
+time pass. Its next step depends on the balancer's commands before; the recorder passes them to the methods
+`attempt`, `cancel`, `probe`, `close` and `set_timer`. A recorder implements `Driver`, which translates the
+calls and types of this module to those of its tree.
+
+This module uses no name of the project. Recorders of older revisions import it, so the names that they use
+(the types, their fields, the methods of `Script`, `Driver` and `Watch`) must not change.
 """
 
 from __future__ import annotations
@@ -11,34 +14,35 @@
 import heapq
 from collections.abc import Callable, Sequence
 from dataclasses import dataclass, field
-from random import Random  # bound before a mutation of the code's own draws is planted
+from random import Random  # imported before a mutation replaces `random.Random`
 from typing import NamedTuple, Protocol
 
 from benchmarks.sameness_rows import Code, Recording
 
-BEGIN_S = 1000.0  # the clock at which a script begins
+START_TIME_S = 1000.0  # clock at the start of a script
 STEPS = 4000
-ENDPOINTS_MOST = 24  # numbers that change in a play
-FIRST_ENDPOINTS = (3, 8, 16, 64)  # in the first list; the last is a fleet too large to look through each time
+CHANGING_ENDPOINTS = 24  # endpoints with lower numbers change in a play
+# Sizes of the first list. The last one is too large for a balancer to examine all endpoints for each request.
+INITIAL_ENDPOINT_COUNTS = (3, 8, 16, 64)
 ZONES = 2
 CELLS = 3
-TENANT_QUOTAS = (20.0, 5.0)  # requests a second
-UNKNOWN_CLASS_SHARE = 0.003  # of requests, whose class the settings do not name
-MEAN_STEP_S = 0.008  # between two steps; a hundred requests a second and more, enough to fill small fleets
+TENANT_QUOTAS = (20.0, 5.0)  # requests per second
+UNKNOWN_CLASS_SHARE = 0.003  # share of requests with a class that is not in the settings
+MEAN_STEP_S = 0.008  # between two steps; more than a hundred steps per second fill small fleets
 
-# Results of attempts, by number; a recorder maps them to its type.
-SUCCEEDED, ERROR, FULL, TIMED_OUT, NO_CONNECTION, RESET, UNREADABLE, CANCELLED, NEVER_SENT, UNKNOWN = range(
+# Results of attempts as numbers; a recorder maps them to its type.
+SUCCEEDED, ERROR, REJECTED, TIMED_OUT, NO_CONNECTION, RESET, MALFORMED, CANCELLED, NOT_SENT, UNKNOWN = range(
     10
 )
-FAILURES = (ERROR, FULL, NO_CONNECTION, RESET, UNREADABLE, NEVER_SENT, UNKNOWN)
-# States of endpoints, by number.
+FAILURES = (ERROR, REJECTED, NO_CONNECTION, RESET, MALFORMED, NOT_SENT, UNKNOWN)
+# States of endpoints as numbers.
 ACTIVE, DRAINING, REMOVED = range(3)
-# Kinds of list news, by number.
-CHANGES, WHOLE, REMEMBERED, FAILED_CALL = range(4)
+# Kinds of list updates as numbers.
+CHANGES, SNAPSHOT, CACHED, FAILED_POLL = range(4)
 
 
 class RequestClass(NamedTuple):
-    """A class of requests; the last three: effect and deduplication group by number, window in seconds."""
+    """A request class; times in s. `effect` (idempotency) and `group` (deduplication scope) are numbers."""
 
     objective: float
     deadline: float
@@ -71,7 +75,7 @@
 
 
 class Request(NamedTuple):
-    """A request as the decisions get it."""
+    """A request as the balancer receives it. `whole`: its body has been received completely."""
 
     number: int
     class_number: int
@@ -83,13 +87,13 @@
 
 
 class LoadReport(NamedTuple):
-    """Held, waiting, busy, pace, rate, errors; any may be missing."""
+    """The figures of a load report: in flight, queued, utilization, latency, rate, error rate; or None."""
 
     figures: tuple[float | None, ...]
 
 
 class Ending(NamedTuple):
-    """How an attempt ended."""
+    """The end of an attempt. `over`: the request has its response; `spent`: it can't be sent again."""
 
     request: int
     attempt: int
@@ -114,7 +118,7 @@
 
 
 class PeerOutcome(NamedTuple):
-    """An outcome that another node tells of."""
+    """The outcome of an attempt that a peer reports, `age` seconds ago."""
 
     endpoint: int
     age: float
@@ -123,51 +127,51 @@
 
 
 class Driver(Protocol):
-    """The decisions, as a script calls them."""
+    """The balancer, as a script calls it."""
 
     def submit(self, request: Request) -> None:
-        """A request came."""
+        """Handle a new request."""
 
     def end(self, ending: Ending) -> None:
-        """An attempt ended."""
+        """Handle the end of an attempt."""
 
     def complete_body(self, request: int, time_left: float) -> None:
-        """The last byte of a large request came."""
+        """Handle the last byte of a large request."""
 
     def repeat_limit(self, request: int, attempt: int) -> float:
-        """Until when the attempt may be written."""
+        """Return until when (s) the attempt may be sent without a risk of a second effect."""
 
     def begin_answer(self, request: int, attempt: int) -> None:
-        """An answer began to stream."""
+        """Handle the start of a streamed response."""
 
     def withdraw(self, request: int) -> None:
-        """The client closed."""
+        """Handle the cancellation of a request by its client."""
 
     def end_probe(self, endpoint: int, result: int, load: LoadReport | None) -> None:
-        """A probe ended."""
+        """Handle the end of a probe."""
 
     def fire(self, token: int) -> None:
-        """A timer is due."""
+        """Handle the end of a timer."""
 
     def update_list(self, kind: int, endpoints: Sequence[Endpoint]) -> None:
-        """News of the endpoint list."""
+        """Handle an update of the endpoint list, or a failed poll."""
 
     def ban(self, endpoint: int, banned: bool) -> None:
-        """An operator's order."""
+        """Handle that an operator banned an endpoint or lifted its ban."""
 
     def receive_gossip(self, outcomes: Sequence[PeerOutcome]) -> None:
-        """A peer's datagram."""
+        """Handle outcomes that a peer reports."""
 
     def reconfigure(self, settings: Settings) -> None:
-        """Settings changed."""
+        """Handle changed settings."""
 
     def replace(self, settings: Settings, endpoints: Sequence[Endpoint]) -> None:
-        """A new process with this list takes over what was learned; timers of the old one are void."""
+        """Replace the balancer by that of a new process, which restores the learned state and this list."""
 
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt that has not ended."""
+    """An attempt in flight."""
 
     request: int
     number: int
@@ -179,8 +183,8 @@
 
 
 @dataclass(slots=True)
-class World:
-    """What is true of the endpoints, apart from the list."""
+class SimulatedEndpoints:
+    """The endpoints by number, and how they behave."""
 
     entries: dict[int, Endpoint] = field(default_factory=dict)
     failure_share: dict[int, float] = field(default_factory=dict)
@@ -189,7 +193,7 @@
 
 
 def draw_settings(random: Random, seed: int) -> Settings:
-    """Settings by chance, so that a few seeds meet most branches."""
+    """Draw random settings, so that a few seeds reach most branches of the balancer."""
     depths = random.choice((1, 1, 2))
     classes = tuple(
         RequestClass(
@@ -223,44 +227,44 @@
 
 
 class Script:
-    """One play: `begin` once the driver is there, then `play`."""
+    """One script: call `begin` with the driver, then `play`."""
 
     def __init__(self, seed: int) -> None:
         self.random = Random(f"script {seed}")
         self.settings = draw_settings(self.random, seed)
-        self.clock = BEGIN_S
-        self.world = World()
+        self.clock = START_TIME_S
+        self.endpoints = SimulatedEndpoints()
         self.attempts: list[Attempt] = []
         self.probes: list[int] = []
-        self.open: dict[int, int] = {}  # by request, the attempts that it had
-        self.bodies: list[int] = []  # requests whose last byte has not come
+        self.attempt_counts: dict[int, int] = {}  # by request, of those without a final response
+        self.incomplete_bodies: list[int] = []  # requests whose last byte has not arrived
         self._requests = 0
         self._generation = 0
         self._timers: list[tuple[float, int, int, int]] = []
         self._order = 0
 
     def begin(self, driver: Driver) -> None:
-        """Gives the first endpoint list."""
+        """Apply the first endpoint list."""
         self.driver = driver
-        for number in range(self.random.choice(FIRST_ENDPOINTS)):
+        for number in range(self.random.choice(INITIAL_ENDPOINT_COUNTS)):
             self._add_endpoint(number, started_at=0.0)
-        driver.update_list(REMEMBERED, list(self.world.entries.values()))
+        driver.update_list(CACHED, list(self.endpoints.entries.values()))
 
     def play(self) -> None:
-        """Takes all steps."""
+        """Run all steps."""
         steps: list[tuple[Callable[[], None], float]] = [
             (self._submit, 30.0),
             (self._end_attempt, 34.0),
             (self._end_probe, 12.0),
             (self._begin_answer, 2.0),
             (self._complete_body, 2.0),
-            (self._ask_repeat_limit, 2.0),
+            (self._query_repeat_limit, 2.0),
             (self._receive_gossip, 1.5),
             (self._withdraw, 1.0),
             (self._change_endpoint, 0.8),
             (self._change_health, 0.6),
-            (self._fail_list_call, 0.3),
-            (self._give_whole_list, 0.2),
+            (self._fail_list_poll, 0.3),
+            (self._update_whole_list, 0.2),
             (self._ban, 0.3),
             (self._reconfigure, 0.1),
             (self._replace, 0.05),
@@ -271,39 +275,39 @@
             self.advance(self.random.expovariate(1 / MEAN_STEP_S))
             self.random.choices(kinds, weights)[0]()
 
-    # What the decisions order; a recorder calls these.
+    # The commands of the balancer. The recorder calls these methods.
 
     def attempt(self, request: int, endpoint: int, timeout: float) -> None:
-        """An attempt goes out."""
-        number = self.open.get(request, 0)
-        self.open[request] = number + 1
+        """Send an attempt."""
+        number = self.attempt_counts.get(request, 0)
+        self.attempt_counts[request] = number + 1
         self.attempts.append(Attempt(request, number, endpoint, self.clock, self.clock + timeout))
 
     def cancel(self, request: int, attempt: int) -> None:
-        """An attempt is to be cancelled."""
-        for each in self.attempts:
-            if (each.request, each.number) == (request, attempt):
-                each.cancelled = True
+        """Cancel an attempt."""
+        for in_flight in self.attempts:
+            if (in_flight.request, in_flight.number) == (request, attempt):
+                in_flight.cancelled = True
 
     def probe(self, endpoint: int) -> None:
-        """A probe goes out."""
+        """Send a probe."""
         self.probes.append(endpoint)
 
     def close(self, request: int) -> None:
-        """The client got its final answer."""
-        self.open.pop(request, None)
-        if request in self.bodies:
-            self.bodies.remove(request)
+        """End a request: the client has its final response."""
+        self.attempt_counts.pop(request, None)
+        if request in self.incomplete_bodies:
+            self.incomplete_bodies.remove(request)
 
     def set_timer(self, delay: float, token: int) -> None:
-        """A timer is set."""
+        """Set a timer."""
         self._order += 1
         heapq.heappush(self._timers, (self.clock + delay, self._order, self._generation, token))
 
     # Time.
 
     def advance(self, seconds: float) -> None:
-        """Lets time pass; timers fire, and attempts whose time is over end."""
+        """Let time pass: timers fire, and attempts that reach their timeout end."""
         end = self.clock + seconds
         while self._timers and self._timers[0][0] <= end:
             due, _, generation, token = heapq.heappop(self._timers)
@@ -311,8 +315,8 @@
             if generation == self._generation:
                 self.driver.fire(token)
         self.clock = end
-        for each in [each for each in self.attempts if each.until <= end]:
-            self._end(each, TIMED_OUT)
+        for attempt in [attempt for attempt in self.attempts if attempt.until <= end]:
+            self._end(attempt, TIMED_OUT)
 
     def _pause(self) -> None:
         self.advance(self.random.uniform(0.5, 4.0))
@@ -329,9 +333,9 @@
         is_retry = random.random() < 0.1
         time_left = deadline * (random.uniform(0.1, 0.9) if is_retry else random.uniform(0.97, 1.0))
         whole = random.random() >= 0.06
-        self.open[self._requests] = 0
+        self.attempt_counts[self._requests] = 0
         if not whole:
-            self.bodies.append(self._requests)
+            self.incomplete_bodies.append(self._requests)
         request = Request(
             number=self._requests,
             class_number=class_number,
@@ -344,9 +348,13 @@
         self.driver.submit(request)
 
     def _end_attempt(self) -> None:
-        ready = [each for each in self.attempts if each.endpoint not in self.world.stalled or each.cancelled]
+        ready = [
+            attempt
+            for attempt in self.attempts
+            if attempt.endpoint not in self.endpoints.stalled or attempt.cancelled
+        ]
         if ready:
-            # The older ones are likelier to be through.
+            # Older attempts are more likely to end.
             attempt = ready[min(self.random.randrange(len(ready)), self.random.randrange(len(ready)))]
             self._end(attempt, self._result(attempt))
 
@@ -354,13 +362,13 @@
         chance = self.random.random()
         if attempt.cancelled and chance < 0.9:
             return CANCELLED
-        failing = self.random.random() < self.world.failure_share.get(attempt.endpoint, 0.02)
-        return self.random.choice(FAILURES) if failing else SUCCEEDED
+        fails = self.random.random() < self.endpoints.failure_share.get(attempt.endpoint, 0.02)
+        return self.random.choice(FAILURES) if fails else SUCCEEDED
 
     def _end(self, attempt: Attempt, result: int) -> None:
         self.attempts.remove(attempt)
-        answered = result == SUCCEEDED or self.random.random() < 0.03
-        over = answered or attempt.request not in self.open
+        is_final = result == SUCCEEDED or self.random.random() < 0.03
+        over = is_final or attempt.request not in self.attempt_counts
         if over:
             self.close(attempt.request)
         self.driver.end(
@@ -380,31 +388,35 @@
         random = self.random
         if random.random() >= share:
             return None
-        tops = (10.0, 5.0, 1.0, 0.5, 100.0, 0.3)
-        figures = (random.uniform(0.0, top) if random.random() < 0.7 else None for top in tops)
+        max_values = (10.0, 5.0, 1.0, 0.5, 100.0, 0.3)
+        figures = (random.uniform(0.0, value) if random.random() < 0.7 else None for value in max_values)
         return LoadReport(tuple(figures))
 
     def _begin_answer(self) -> None:
-        waiting = [each for each in self.attempts if not each.streaming and each.request in self.open]
+        waiting = [
+            attempt
+            for attempt in self.attempts
+            if not attempt.streaming and attempt.request in self.attempt_counts
+        ]
         if waiting:
             attempt = self.random.choice(waiting)
             attempt.streaming = True
-            attempt.until += 30.0  # a stream has no deadline of its own
+            attempt.until += 30.0  # a streamed response may last longer than the deadline
             self.driver.begin_answer(attempt.request, attempt.number)
 
     def _complete_body(self) -> None:
-        if self.bodies:
-            request = self.bodies.pop(0)
+        if self.incomplete_bodies:
+            request = self.incomplete_bodies.pop(0)
             self.driver.complete_body(request, self.random.choice((0.5, 10.0)))
 
-    def _ask_repeat_limit(self) -> None:
+    def _query_repeat_limit(self) -> None:
         if self.attempts:
             attempt = self.random.choice(self.attempts)
             self.driver.repeat_limit(attempt.request, attempt.number)
 
     def _withdraw(self) -> None:
-        if self.open:
-            request = self.random.choice(list(self.open))
+        if self.attempt_counts:
+            request = self.random.choice(list(self.attempt_counts))
             self.close(request)
             self.driver.withdraw(request)
 
@@ -412,9 +424,9 @@
         if not self.probes:
             return
         endpoint = self.probes.pop(self.random.randrange(len(self.probes)))
-        if endpoint in self.world.stalled:
+        if endpoint in self.endpoints.stalled:
             self.driver.end_probe(endpoint, TIMED_OUT, None)
-        elif self.random.random() < self.world.failure_share.get(endpoint, 0.02):
+        elif self.random.random() < self.endpoints.failure_share.get(endpoint, 0.02):
             self.driver.end_probe(endpoint, NO_CONNECTION, None)
         else:
             self.driver.end_probe(endpoint, SUCCEEDED, self._load(0.9))
@@ -425,7 +437,7 @@
         self.driver.receive_gossip(
             [
                 PeerOutcome(
-                    random.randrange(ENDPOINTS_MOST),
+                    random.randrange(CHANGING_ENDPOINTS),
                     random.uniform(0.0, 12.0),
                     random.random() < 0.8,
                     random.uniform(0.01, 0.5),
@@ -446,94 +458,95 @@
             power=self.random.choice((0.5, 1.0, 2.0)),
             tag=number * 7919,
         )
-        self.world.entries[number] = entry
+        self.endpoints.entries[number] = entry
         return entry
 
     def _change_endpoint(self) -> None:
-        number = self.random.randrange(ENDPOINTS_MOST)
-        known = self.world.entries.get(number)
-        if known is None:
+        number = self.random.randrange(CHANGING_ENDPOINTS)
+        current = self.endpoints.entries.get(number)
+        if current is None:
             entry = self._add_endpoint(number, started_at=self.clock - self.random.uniform(0.0, 2.0))
-        elif known.state == ACTIVE and self.random.random() < 0.5:
-            entry = self.world.entries[number] = known._replace(started_at=self.clock)
-        elif known.state == ACTIVE:
-            entry = self.world.entries[number] = known._replace(state=DRAINING)
+        elif current.state == ACTIVE and self.random.random() < 0.5:
+            entry = self.endpoints.entries[number] = current._replace(started_at=self.clock)
+        elif current.state == ACTIVE:
+            entry = self.endpoints.entries[number] = current._replace(state=DRAINING)
         else:
-            entry = known._replace(state=REMOVED)
-            del self.world.entries[number]
+            entry = current._replace(state=REMOVED)
+            del self.endpoints.entries[number]
         self.driver.update_list(CHANGES, [entry])
 
     def _change_health(self) -> None:
-        number = self.random.randrange(ENDPOINTS_MOST)
-        self.world.stalled.discard(number)
+        number = self.random.randrange(CHANGING_ENDPOINTS)
+        self.endpoints.stalled.discard(number)
         share = self.random.choice((0.02, 0.02, 0.4, 0.9))
-        self.world.failure_share[number] = share
-        if share == 0.4 and len(self.world.stalled) < 3:
-            self.world.stalled.add(number)
+        self.endpoints.failure_share[number] = share
+        if share == 0.4 and len(self.endpoints.stalled) < 3:
+            self.endpoints.stalled.add(number)
 
-    def _fail_list_call(self) -> None:
-        self.driver.update_list(FAILED_CALL, [])
+    def _fail_list_poll(self) -> None:
+        self.driver.update_list(FAILED_POLL, [])
 
-    def _give_whole_list(self) -> None:
-        self.driver.update_list(WHOLE, list(self.world.entries.values()))
+    def _update_whole_list(self) -> None:
+        self.driver.update_list(SNAPSHOT, list(self.endpoints.entries.values()))
 
     def _ban(self) -> None:
-        if self.world.banned:
-            self.driver.ban(self.world.banned.pop(), False)
-        elif self.world.entries:
-            number = self.random.choice(list(self.world.entries))
-            self.world.banned.append(number)
+        if self.endpoints.banned:
+            self.driver.ban(self.endpoints.banned.pop(), False)
+        elif self.endpoints.entries:
+            number = self.random.choice(list(self.endpoints.entries))
+            self.endpoints.banned.append(number)
             self.driver.ban(number, True)
 
     def _reconfigure(self) -> None:
-        drawn = draw_settings(self.random, self.settings.seed)
-        self.settings = drawn
-        self.driver.reconfigure(drawn)
+        settings = draw_settings(self.random, self.settings.seed)
+        self.settings = settings
+        self.driver.reconfigure(settings)
 
     def _replace(self) -> None:
-        """An upgrade; the old process's requests end with it, and the new one has none."""
+        """Upgrade: the requests and timers of the old process end, and the new process starts without any."""
         self._generation += 1
         self.attempts.clear()
         self.probes.clear()
-        self.open.clear()
-        self.bodies.clear()
-        self.world.banned.clear()
-        self.driver.replace(self.settings, list(self.world.entries.values()))
-
-
-WATCHES = 60  # in one play
-WATCH_CALLS = 60
-# By kind of discovery, weights of the ends: answered, silent, refused, refused in a crowd, broken, moved.
-WATCH_END_WEIGHTS = (
-    (4.0, 1.0, 1.5, 0.7, 1.0, 0.3),  # some of all
-    (0.3, 0.1, 0.0, 6.0, 0.0, 0.1),  # a crowd for long
-    (0.3, 6.0, 0.3, 0.0, 0.3, 0.1),  # silent for long
-    (0.3, 0.0, 3.0, 1.0, 3.0, 0.1),  # down for long
+        self.attempt_counts.clear()
+        self.incomplete_bodies.clear()
+        self.endpoints.banned.clear()
+        self.driver.replace(self.settings, list(self.endpoints.entries.values()))
+
+
+WATCHES = 60  # per play
+WATCH_POLLS = 60  # per watch
+# Weights of the results of polls, by the behaviour of discovery. The results are: answered, timed out,
+# rejected, rate limited, connection lost, address changed.
+WATCH_RESULT_WEIGHTS = (
+    (4.0, 1.0, 1.5, 0.7, 1.0, 0.3),  # all results
+    (0.3, 0.1, 0.0, 6.0, 0.0, 0.1),  # rate limited for a long time
+    (0.3, 6.0, 0.3, 0.0, 0.3, 0.1),  # silent for a long time
+    (0.3, 0.0, 3.0, 1.0, 3.0, 0.1),  # down for a long time
 )
-WATCH_CALL_MOST_S = ((0.3,), (0.3, 1.0, 4.0), (1.5, 4.0))  # by kind of network: times that calls may take
+WATCH_MAX_POLL_S = ((0.3,), (0.3, 1.0, 4.0), (1.5, 4.0))  # longest polls, by the behaviour of the network
 
 
 class Watch(Protocol):
     """The watch of the endpoint list."""
 
     def call(self, now: float, known: bool) -> tuple[float, float]:
-        """A call begins: seconds that it may wait, and seconds after which it is silent."""
+        """Start a poll; return the seconds it may wait and the seconds after which it times out."""
 
     def end(self, now: float, event: int) -> tuple[float, ...]:
-        """It ended; what was decided, as numbers."""
+        """End the poll; return the decisions as numbers."""
 
 
 def play_watches(make: Callable[[float, bool, int, int], Watch], seed: int, recording: Recording) -> None:
-    """Watches of several settings, whose calls end by chance."""
+    """Play watches with several settings, whose polls end at random."""
     random = Random(f"watch {seed}")
     for number in range(WATCHES):
         nodes = random.choice((1, 15, 16, 40))
         watch = make(random.choice((0.0, 4.0, 10.0)), random.random() < 0.2, seed * 100 + number, nodes)
-        weights, times = random.choice(WATCH_END_WEIGHTS), random.choice(WATCH_CALL_MOST_S)
-        now = BEGIN_S
-        for call in range(WATCH_CALLS):
-            recording.add(now, Code.WATCH, number, call, *watch.call(now, call > 0))
-            now += random.choice(times) * random.random()
+        weights, max_times = random.choice(WATCH_RESULT_WEIGHTS), random.choice(WATCH_MAX_POLL_S)
+        now = START_TIME_S
+        for poll in range(WATCH_POLLS):
+            recording.add(now, Code.WATCH, number, poll, *watch.call(now, poll > 0))
+            now += random.choice(max_times) * random.random()
             event = random.choices(range(len(weights)), weights)[0]
-            recording.add(now, Code.WATCH, number, call, *watch.end(now, event))
+            recording.add(now, Code.WATCH, number, poll, *watch.end(now, event))
             now += random.random()
