--- a/benchmarks/sameness_script.py
+++ b/benchmarks/sameness_script.py
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Settings:
-    """The settings of one script."""
+    """The settings of a script, which a recorder converts to those of its balancer."""
 
     seed: int
     classes: tuple[RequestClass, ...]
--- a/notchjunction/experiments/cli.py
+++ b/notchjunction/experiments/cli.py
@@ -276,7 +276,7 @@
     "--tries",
     default=1,
     show_default=True,
-    help="most requests that a client sends for one, if it is rejected",
+    help="maximum number of tries per request; rejected requests are retried",
 )
 @click.option("--seed", default=1, show_default=True)
 def load(
