--- a/tests/test_http1.py
+++ b/tests/test_http1.py
@@ -1,4 +1,4 @@
-"""Messages: however they are cut, whatever is wrong with them."""
+"""Parsing and encoding of HTTP/1.1 messages, split at any byte or malformed."""
 
 from __future__ import annotations
 
@@ -15,21 +15,21 @@
 from notchjunction.http1.parser import RequestReader, ResponseReader
 
 POST = b"POST /api HTTP/1.1\r\n"
-CHUNKS = b"Transfer-Encoding: chunked\r\n\r\n"
+CHUNKED_HEADER_END = b"Transfer-Encoding: chunked\r\n\r\n"
 
 
 @pytest.mark.parametrize("step", [1, 3, 7, 1000])
-def test_requests_are_read_however_they_are_cut(step: int) -> None:
+def test_pipelined_requests_parse_the_same_for_any_split_of_the_input(step: int) -> None:
     wire = (
         b"\r\n" + POST + b"Req-Id: 1\r\nContent-Length: 3\r\n\r\nabc"
         b"GET /api?x=1 HTTP/1.1\r\nX: a\r\nx: b\r\nConnection: close\r\n\r\n"
         + POST
-        + CHUNKS
+        + CHUNKED_HEADER_END
         + b"3;x=y\r\nabc\r\n2\r\nde\r\n0\r\nT: 1\r\n\r\n"
     )
     reader, found = RequestReader(), []
-    for at in range(0, len(wire), step):
-        reader.feed(wire[at : at + step])
+    for start in range(0, len(wire), step):
+        reader.feed(wire[start : start + step])
         while (request := reader.next()) is not None:
             found.append(request)
     assert [request.body for request in found] == [b"abc", b"", b"abcde"]
@@ -49,7 +49,7 @@
         (b"GET /api HTTP/1.1\r\nA: b\r\n folded\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nA: b\nB: c\r\n\r\n", 400),
         (POST + b"Content-Length: 1\r\nContent-Length: 1\r\n\r\n", 400),
-        (POST + b"Content-Length: 3\r\n" + CHUNKS, 400),
+        (POST + b"Content-Length: 3\r\n" + CHUNKED_HEADER_END, 400),
         (POST + b"Content-Length: -1\r\n\r\n", 400),
         (POST + b"Content-Length: 1e3\r\n\r\n", 400),
         (POST + b"Content-Length: %d\r\n\r\n" % (MAX_BODY_BYTES + 1), 413),
@@ -57,46 +57,46 @@
         (POST + b"Transfer-Encoding: gzip\r\n\r\n", 501),
         (b"\r\n" * 9 + b"GET /api HTTP/1.1\r\n\r\n", 400),
         (b"GET /api HTTP/1.1\r\nA: a\x07b\r\n\r\n", 400),
-        (POST + CHUNKS + b"0\r\n" + b"A: b\r\n" * 40, 431),
-        (POST + CHUNKS + b"x\r\n", 400),
-        (POST + CHUNKS + b"1\r\nabc", 400),
-        (POST + CHUNKS + b"fffffff\r\n", 413),
-        (POST + CHUNKS + b"1;" + b"x" * 300, 400),
+        (POST + CHUNKED_HEADER_END + b"0\r\n" + b"A: b\r\n" * 40, 431),
+        (POST + CHUNKED_HEADER_END + b"x\r\n", 400),
+        (POST + CHUNKED_HEADER_END + b"1\r\nabc", 400),
+        (POST + CHUNKED_HEADER_END + b"fffffff\r\n", 413),
+        (POST + CHUNKED_HEADER_END + b"1;" + b"x" * 300, 400),
         (b"GET /api HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_BYTES, 431),
         (b"GET /api HTTP/1.1\r\nA: " + b"a" * MAX_HEAD_BYTES + b"\r\n\r\n", 431),
     ],
 )
-def test_what_is_no_request_has_one_plain_answer(wire: bytes, status: int) -> None:
+def test_a_malformed_or_unsupported_request_raises_the_expected_status(wire: bytes, status: int) -> None:
     reader = RequestReader()
     reader.feed(wire)
-    with pytest.raises(MalformedMessageError) as caught:
+    with pytest.raises(MalformedMessageError) as raised:
         reader.next()
-    assert caught.value.status == status
+    assert raised.value.status == status
 
 
 @pytest.mark.parametrize(
-    ("wire", "at_once", "at_the_end"),
+    ("wire", "body_before_end", "body_at_end"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", b"ok", None),
-        (b"HTTP/1.1 200 OK\r\n" + CHUNKS + b"2\r\nok\r\n0\r\n\r\n", b"ok", None),
+        (b"HTTP/1.1 200 OK\r\n" + CHUNKED_HEADER_END + b"2\r\nok\r\n0\r\n\r\n", b"ok", None),
         (b"HTTP/1.1 200 OK\r\n\r\nok", None, b"ok"),
         (b"HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", b"ok", None),
         (b"HTTP/1.1 204 None\r\n\r\n", b"", None),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok", None, None),
-        (b"HTTP/1.1 200 OK\r\n" + CHUNKS + b"2\r\nok\r\n", None, None),
+        (b"HTTP/1.1 200 OK\r\n" + CHUNKED_HEADER_END + b"2\r\nok\r\n", None, None),
         (b"HTTP/1.1 200 OK\r\nConte", None, None),
     ],
 )
-def test_a_cut_body_is_never_a_whole_answer(
-    wire: bytes, at_once: bytes | None, at_the_end: bytes | None
+def test_a_truncated_body_is_never_a_complete_response(
+    wire: bytes, body_before_end: bytes | None, body_at_end: bytes | None
 ) -> None:
     reader = ResponseReader()
     reader.feed(wire)
     found = reader.next()
-    assert (found.body if found else None) == at_once
+    assert (found.body if found else None) == body_before_end
     if found is None:
-        last = reader.finish()
-        assert (last.body if last else None) == at_the_end and (last is None or not last.keep_alive)
+        final = reader.finish()
+        assert (final.body if final else None) == body_at_end and (final is None or not final.keep_alive)
 
 
 @pytest.mark.parametrize(
@@ -110,14 +110,14 @@
         b"\x00\xff\r\n\r\n",
     ],
 )
-def test_a_spoilt_answer_is_given_up_at_its_head(wire: bytes) -> None:
+def test_a_malformed_response_head_is_rejected(wire: bytes) -> None:
     reader = ResponseReader()
     reader.feed(wire)
     with pytest.raises(MalformedMessageError):
         reader.next()
 
 
-def test_an_odd_header_spoils_no_answer() -> None:
+def test_invalid_bytes_in_a_header_do_not_make_a_response_malformed() -> None:
     reader = ResponseReader()
     reader.feed(b"HTTP/1.1 200 OK\r\nSrv-Load: {\x00\x07\xff\r\nContent-Length: 2\r\n\r\nok")
     found = reader.next()
@@ -125,7 +125,7 @@
 
 
 @pytest.mark.parametrize(
-    ("wire", "keep"),
+    ("wire", "keep_alive"),
     [
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n", True),
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\nConnection: Close\r\n\r\n", False),
@@ -133,17 +133,19 @@
         (b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\nleftover", False),
     ],
 )
-def test_a_connection_is_kept_only_when_both_sides_may_go_on(wire: bytes, keep: bool) -> None:
+def test_keep_alive_needs_http_1_1_no_close_header_and_no_leftover_bytes(
+    wire: bytes, keep_alive: bool
+) -> None:
     reader = ResponseReader()
     reader.feed(wire)
     found = reader.next()
-    assert found is not None and found.keep_alive is keep
+    assert found is not None and found.keep_alive is keep_alive
 
 
-def test_what_is_encoded_is_read_back() -> None:
-    requests, answers = RequestReader(), ResponseReader()
-    requests.feed(encode_request(Request("POST", "/api?a=b", {"req-id": "1"}, b"body")))
-    answers.feed(encode_response(Response(503, {"retry-after": "0.250"}, b"", keep_alive=False)))
-    request, answer = requests.next(), answers.next()
+def test_encoded_messages_are_parsed_back() -> None:
+    request_reader, response_reader = RequestReader(), ResponseReader()
+    request_reader.feed(encode_request(Request("POST", "/api?a=b", {"req-id": "1"}, b"body")))
+    response_reader.feed(encode_response(Response(503, {"retry-after": "0.250"}, b"", keep_alive=False)))
+    request, response = request_reader.next(), response_reader.next()
     assert request is not None and (request.target, request.body) == ("/api?a=b", b"body")
-    assert answer is not None and answer.headers["retry-after"] == "0.250" and not answer.keep_alive
+    assert response is not None and response.headers["retry-after"] == "0.250" and not response.keep_alive
