--- a/tests/test_socket_stream.py
+++ b/tests/test_socket_stream.py
@@ -1,4 +1,4 @@
-"""Reads and writes for which the operating system has no memory for a moment (recv(2), send(2))."""
+"""Socket reads and writes that fail because the kernel is briefly out of memory: ENOBUFS or ENOMEM."""
 
 from __future__ import annotations
 
@@ -14,60 +14,60 @@
 from tests.test_net import run
 
 
-def fail_first(monkeypatch: pytest.MonkeyPatch, call: str, number: int) -> set[int]:
-    """The first such call on each connection of the node fails; the connections that it failed on, so far."""
-    known = getattr(IOStream, call)
+def fail_first_call(monkeypatch: pytest.MonkeyPatch, method: str, error_number: int) -> set[int]:
+    """Make this method's first call fail on each of the node's streams; return the ids of those streams."""
+    original = getattr(IOStream, method)
     failed: set[int] = set()
 
-    def failing(self: IOStream, data: Any) -> Any:
+    def fail_once(self: IOStream, data: Any) -> Any:
         if id(self) not in failed:
             failed.add(id(self))
-            raise OSError(number, os.strerror(number))
-        return known(self, data)
+            raise OSError(error_number, os.strerror(error_number))
+        return original(self, data)
 
-    monkeypatch.setattr(IOStream, call, failing)
+    monkeypatch.setattr(IOStream, method, fail_once)
     return failed
 
 
-@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
-@pytest.mark.parametrize("call", ["read_from_fd", "write_to_fd"])
-def test_a_moment_without_memory_ends_no_connection(
-    call: str, number: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error_number", [errno.ENOBUFS, errno.ENOMEM])
+@pytest.mark.parametrize("method", ["read_from_fd", "write_to_fd"])
+def test_a_brief_lack_of_kernel_memory_closes_no_connection(
+    method: str, error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Neither the caller's, whose answer would be lost, nor the server's, which would look like its fault."""
+    """Closing the client's would lose the response; closing the server's would look like its fault."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            failed = fail_first(monkeypatch, call, number)
+            failed = fail_first_call(monkeypatch, method, error_number)
             client = await Client().open(address)
             client.ask()
             assert (await client.answer()).status == 200
             assert len(peer.requests) == 1 and len(failed) >= 2
-            figures = node.counters.read()
-            assert figures["attempts_first"] == 1 and "attempts_retried" not in figures
+            counters = node.counters.read()
+            assert counters["attempts_first"] == 1 and "attempts_retried" not in counters
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("number", [errno.ENOBUFS, errno.ENOMEM])
-def test_a_look_that_fails_for_want_of_memory_says_nothing_of_the_caller(
-    number: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error_number", [errno.ENOBUFS, errno.ENOMEM])
+def test_a_peek_that_fails_for_lack_of_memory_does_not_mark_the_client_as_gone(
+    error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whether a caller is there is looked at before its request is sent on."""
-    receive = socket.socket.recv
-    looked_at: set[socket.socket] = set()
+    """The node peeks at the client's socket before it forwards a request."""
+    original_recv = socket.socket.recv
+    peeked: set[socket.socket] = set()
 
-    def failing(self: socket.socket, size: int, flags: int = 0) -> bytes:
-        if flags & socket.MSG_PEEK and self not in looked_at:
-            looked_at.add(self)
-            raise OSError(number, os.strerror(number))
-        return receive(self, size, flags)
+    def fail_first_peek(self: socket.socket, size: int, flags: int = 0) -> bytes:
+        if flags & socket.MSG_PEEK and self not in peeked:
+            peeked.add(self)
+            raise OSError(error_number, os.strerror(error_number))
+        return original_recv(self, size, flags)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (_, address):
-            monkeypatch.setattr(socket.socket, "recv", failing)
+            monkeypatch.setattr(socket.socket, "recv", fail_first_peek)
             client = await Client().open(address)
             client.ask()
             assert (await client.answer()).status == 200 and len(peer.requests) == 1
 
-    run(story())
+    run(scenario())
