--- a/tests/known_red.py
+++ b/tests/known_red.py
@@ -25,7 +25,7 @@
 
 
 def parse(text: str) -> list[KnownRed]:
-    """Return the rows of the file; raise pytest.UsageError if one is malformed or repeated, or there are too many."""
+    """Return the rows of the file; raise pytest.UsageError for malformed, repeated or too many rows."""
     rows: list[KnownRed] = []
     for line in text.splitlines():
         if not line.strip() or line.startswith("#"):
