--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -40,7 +40,7 @@
     rows,
     running,
 )
-from tests.test_net import Dispatches, run
+from tests.test_net import PoolHarness, run
 
 
 async def status_of(client: Client) -> int:
@@ -269,9 +269,9 @@
 def test_where_the_operating_system_has_no_descriptor_one_at_rest_is_given_up() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             asked = DiscoveryClient(peer.address, ListWatch(0.0), time.monotonic, lambda: spare())
-            sent.servers._close_idle_client = lambda: spare()
+            sent.pool._close_idle_client = lambda: spare()
 
             def spare() -> bool:
                 for _ in range(2):  # one for the node, one for the peer, which is in this process too
@@ -283,7 +283,7 @@
                 peer.reply = news(4, [])
                 assert (await asked.next_update()).version == 4
             asked.close()
-            sent.servers.close()
+            sent.pool.close()
             assert sent.descriptors.in_use == 0
 
     run(story())
--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -27,7 +27,7 @@
 from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
 from tests.test_large_bodies import Talk, served
-from tests.test_net import JOB, Dispatches, hanging, run
+from tests.test_net import REQUEST, PoolHarness, hang, run
 
 BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is whole before it goes on
 
@@ -177,11 +177,11 @@
 def test_a_connection_that_nothing_was_written_on_stays_fit() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            dispatches = Dispatches(peer)
+            dispatches = PoolHarness(peer)
             assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
-            dispatches.rested()
-            refused = await dispatches.servers.attempt(
-                AttemptSpec("s0", dispatches.clock + 2.0, acquire_quota=lambda _: False), JOB
+            dispatches.pass_reuse_delay()
+            refused = await dispatches.pool.attempt(
+                AttemptSpec("s0", dispatches.clock + 2.0, acquire_quota=lambda _: False), REQUEST
             )
             assert refused.outcome.result is AttemptResult.NOT_SENT
             assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
@@ -311,7 +311,7 @@
 def test_a_caller_that_goes_while_its_body_waits_for_room_is_seen_to_go(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(UpstreamConnection, "open", hanging)  # so that nothing of the body is taken
+    monkeypatch.setattr(UpstreamConnection, "open", hang)  # so that nothing of the body is taken
 
     async def story() -> None:
         async with Peer() as peer, running(peer) as (node, address):
@@ -437,7 +437,7 @@
 ) -> None:
     async def story() -> None:
         async with Peer() as peer:
-            dispatches = Dispatches(peer)
+            dispatches = PoolHarness(peer)
             figures = dispatches.counters.read
 
             async def send() -> None:
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -34,7 +34,7 @@
 from notchjunction.node.node import Node
 from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
-from tests.test_net import JOB, Dispatches, run
+from tests.test_net import REQUEST, PoolHarness, run
 from tests.test_upgrade import until_yes
 
 MB = 1024 * 1024
@@ -1060,11 +1060,11 @@
 def test_the_nodes_own_end_of_a_connection_is_no_answers_end() -> None:
     async def story() -> None:
         async with Scripted(never_ends) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             begun: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
             work = asyncio.create_task(
-                sent.servers.attempt(
-                    AttemptSpec("s0", sent.clock + 2.0, on_response_start=begun.set_result), JOB
+                sent.pool.attempt(
+                    AttemptSpec("s0", sent.clock + 2.0, on_response_start=begun.set_result), REQUEST
                 )
             )
             download = await begun
--- a/tests/test_net.py
+++ b/tests/test_net.py
@@ -49,7 +49,7 @@
 from tests.helpers import FULL, OK, SILENT, Client, Peer, Reply, configuration, news, rows, running
 
 PROGRAM = [sys.executable, "-m", "notchjunction"]
-JOB = Request(
+REQUEST = Request(
     "POST",
     "/api",
     {"req-id": "1", "connection": "keep-alive", "host": "app", "x-odd": "\xff", "accept": "\xff"},
@@ -61,11 +61,11 @@
     asyncio.run(asyncio.wait_for(story, 20))  # s, far over what any story takes
 
 
-async def hanging(*_: object) -> None:
+async def hang(*_: object) -> None:
     await asyncio.Event().wait()
 
 
-class Dispatches:
+class PoolHarness:
     """The owner of connections alone, with one server and a clock set by hand."""
 
     def __init__(self, peer: Peer, sockets: int = 1024) -> None:
@@ -73,17 +73,19 @@
         self.counters = Counters()
         self.descriptors = Descriptors(sockets)
         self.peer = peer
-        self.servers = UpstreamPool(
+        self.pool = UpstreamPool(
             lambda: self.clock, 0.5, 4.0, "/status/load", lambda: False, self.descriptors, self.counters
         )
-        self.servers.set_endpoints({"s0": peer.address})
+        self.pool.set_endpoints({"s0": peer.address})
 
-    def rested(self) -> None:
+    def pass_reuse_delay(self) -> None:
         """Kept connections may be used again."""
         self.clock += 2 * MIN_IDLE_BEFORE_REUSE_S
 
-    async def send(self, within: float = 2.0, server: str = "s0", request: Request = JOB) -> ExchangeResult:
-        return await self.servers.attempt(AttemptSpec(server, self.clock + within), request)
+    async def send(
+        self, within: float = 2.0, server: str = "s0", request: Request = REQUEST
+    ) -> ExchangeResult:
+        return await self.pool.attempt(AttemptSpec(server, self.clock + within), request)
 
 
 def answer(head: bytes, body: bytes = b"") -> bytes:
@@ -113,10 +115,10 @@
 def test_each_end_of_a_dispatch_has_its_outcome(reply: Reply, result: AttemptResult) -> None:
     async def story() -> None:
         async with Peer(reply) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             exchanged = await sent.send(0.1 if reply is SILENT else 2.0)
             assert exchanged.outcome.result is result and len(peer.requests) == 1
-            sent.servers.close()
+            sent.pool.close()
             assert sent.descriptors.in_use == 0
 
     run(story())
@@ -126,7 +128,7 @@
     async def story() -> None:
         async with Peer() as peer:
             pass
-        sent = Dispatches(peer)
+        sent = PoolHarness(peer)
         assert (await sent.send()).outcome.result is AttemptResult.NO_CONNECTION
         assert (await sent.send(1.0, "unheard of")).outcome.result is AttemptResult.NO_CONNECTION
         assert sent.descriptors.in_use == 0
@@ -141,13 +143,13 @@
             await connection.open()
             connection.close()
             with pytest.raises(RequestNotSentError):
-                await connection.exchange(JOB, ResponseReader())
-            sent = Dispatches(peer)
-            monkeypatch.setattr(UpstreamConnection, "open", hanging)
+                await connection.exchange(REQUEST, ResponseReader())
+            sent = PoolHarness(peer)
+            monkeypatch.setattr(UpstreamConnection, "open", hang)
             assert (await sent.send(0.05)).outcome.result is AttemptResult.NO_CONNECTION
             # One that hangs may still come up for a later request; the end gives it back.
             assert peer.requests == [] and sent.descriptors.in_use == 1
-            sent.servers.close()
+            sent.pool.close()
             async with asyncio.timeout(1):
                 while sent.descriptors.in_use:
                     await asyncio.sleep(0)
@@ -158,7 +160,7 @@
 def test_without_a_descriptor_nothing_is_sent_and_no_server_is_blamed() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer, sockets=16)
+            sent = PoolHarness(peer, sockets=16)
             for _ in range(8):
                 sent.descriptors.take()
             assert (await sent.send()).outcome.result is AttemptResult.NOT_SENT and peer.requests == []
@@ -169,7 +171,7 @@
 def test_a_request_goes_on_unchanged_but_for_its_connection_and_its_time() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            await Dispatches(peer).send(0.75)
+            await PoolHarness(peer).send(0.75)
             (request,) = peer.requests
             assert (request.method, request.target, request.body) == ("POST", "/api", b"body")
             assert request.headers == {
@@ -187,11 +189,11 @@
 def test_a_connection_is_used_again_until_it_is_retired(idle: float, connections: int, swept: bool) -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             await sent.send()
             sent.clock += idle
             if swept:
-                sent.servers.close_stale()
+                sent.pool.close_stale()
             await sent.send()
             assert peer.connections == connections and sent.descriptors.in_use == 1
 
@@ -201,12 +203,12 @@
 def test_a_kept_connection_that_has_gone_is_replaced_before_writing() -> None:
     async def story() -> None:
         async with Peer((OK[0], "close")) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             for _ in range(3):
                 peer.left.clear()
                 assert (await sent.send()).outcome.result is AttemptResult.SUCCEEDED
                 await peer.left.wait()
-                sent.rested()
+                sent.pass_reuse_delay()
             assert len(peer.requests) == peer.connections == 3
             assert sent.counters.read().get("connections_unsettled", 0) == 0
 
@@ -216,21 +218,21 @@
 def test_after_a_reset_on_a_kept_connection_what_may_run_once_gets_new_ones_for_a_while() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             await sent.send()
-            sent.rested()
+            sent.pass_reuse_delay()
             peer.reply = (b"", "reset")
             assert (await sent.send()).outcome.result is AttemptResult.RESET and peer.connections == 1
             peer.reply = OK
             for connections in (2, 3):
                 await sent.send()
                 assert peer.connections == connections
-                sent.rested()
+                sent.pass_reuse_delay()
             await sent.send(request=Request("GET", "/api", {"req-id": "1"}))
             assert peer.connections == 3
             sent.clock += 10.5
             await sent.send()  # the kept ones have stood idle for too long by now
-            sent.rested()
+            sent.pass_reuse_delay()
             await sent.send()
             assert peer.connections == 4
 
@@ -240,26 +242,26 @@
 def test_a_server_that_ends_idle_connections_early_is_not_met_at_that_moment() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
-            assert sent.servers._idle_limit("s0") == 3.0
+            sent = PoolHarness(peer)
+            assert sent.pool._idle_limit("s0") == 3.0
             for _ in range(3):
                 await sent.send()
                 await asyncio.sleep(0.1)
                 peer.end_all()
-                (connection,) = sent.servers._idle["s0"]
+                (connection,) = sent.pool._idle["s0"]
                 while connection.idle_lifetime is None:
                     await asyncio.sleep(0.001)
-                sent.servers.close_stale()
-            limit = sent.servers._idle_limit("s0")
+                sent.pool.close_stale()
+            limit = sent.pool._idle_limit("s0")
             assert 0.05 < limit < 0.5
             await sent.send()
             sent.clock += limit + 0.01
             await sent.send()
             assert peer.connections == 5 and sent.descriptors.in_use == 1
             sent.clock += 61.0
-            assert sent.servers._idle_limit("s0") == 3.0
-            sent.servers.set_endpoints({})
-            assert sent.servers._idle_lifetimes == {}
+            assert sent.pool._idle_limit("s0") == 3.0
+            sent.pool.set_endpoints({})
+            assert sent.pool._idle_lifetimes == {}
 
     run(story())
 
@@ -267,7 +269,7 @@
 def test_a_timed_out_connection_is_never_used_again() -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             await sent.send(0.05)
             peer.reply = OK
             assert (await sent.send()).outcome.result is AttemptResult.SUCCEEDED
@@ -294,7 +296,7 @@
 
     async def story() -> None:
         async with Peer(SILENT) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             monkeypatch.setattr(IOStream, "write_to_fd", late)
             assert (await sent.send(within)).outcome.result is AttemptResult.TIMED_OUT
             await peer.asked.wait()
@@ -306,10 +308,10 @@
 def test_a_server_dropped_while_connecting_gets_no_request() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             task = asyncio.create_task(sent.send())
             await asyncio.sleep(0)
-            sent.servers.set_endpoints({})
+            sent.pool.set_endpoints({})
             assert (await task).outcome.result is AttemptResult.NO_CONNECTION
             assert peer.requests == [] and sent.descriptors.in_use == 0
 
@@ -319,10 +321,10 @@
 def test_a_server_dropped_while_it_works_keeps_no_connection() -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             task = asyncio.create_task(sent.send())
             await peer.asked.wait()
-            sent.servers.set_endpoints({})
+            sent.pool.set_endpoints({})
             peer.go_on.set()
             assert (await task).outcome.result is AttemptResult.SUCCEEDED and sent.descriptors.in_use == 0
 
@@ -332,9 +334,9 @@
 def test_a_new_address_under_an_old_name_gets_new_connections() -> None:
     async def story() -> None:
         async with Peer() as old, Peer() as new:
-            sent = Dispatches(old)
+            sent = PoolHarness(old)
             await sent.send()
-            sent.servers.set_endpoints({"s0": new.address})
+            sent.pool.set_endpoints({"s0": new.address})
             await old.left.wait()
             await sent.send()
             assert (len(old.requests), len(new.requests), sent.descriptors.in_use) == (1, 1, 1)
@@ -345,9 +347,9 @@
 def test_a_server_at_anothers_address_gets_none_of_the_others_connections() -> None:
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             await sent.send()
-            sent.servers.set_endpoints({"s1": peer.address})
+            sent.pool.set_endpoints({"s1": peer.address})
             await peer.left.wait()
             await sent.send(server="s1")
             assert (len(peer.requests), peer.connections, sent.descriptors.in_use) == (2, 2, 1)
@@ -358,7 +360,7 @@
 def test_a_stopped_dispatch_closes_its_connection() -> None:
     async def story() -> None:
         async with Peer(SILENT) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             task = asyncio.create_task(sent.send())
             await peer.asked.wait()
             task.cancel()
@@ -374,12 +376,12 @@
 def test_an_unreadable_report_spoils_no_answer(report: bytes) -> None:
     async def story() -> None:
         async with Peer((answer(b"200 OK\r\nSrv-Load: " + report, b"ok"), "keep")) as peer:
-            sent = Dispatches(peer)
+            sent = PoolHarness(peer)
             for _ in range(2):
                 exchanged = await sent.send()
                 assert exchanged.outcome.result is AttemptResult.SUCCEEDED
                 assert exchanged.response is not None and exchanged.response.body == b"ok"
-                sent.rested()
+                sent.pass_reuse_delay()
             assert peer.connections == 1
 
     run(story())
@@ -388,7 +390,7 @@
 def test_a_probe_brings_the_servers_figures() -> None:
     async def story() -> None:
         async with Peer((answer(b"200 OK", b'{"q":3,"lat_ms":20,"new":{}}'), "keep")) as peer:
-            ended = await Dispatches(peer).servers.probe("s0")
+            ended = await PoolHarness(peer).pool.probe("s0")
             assert ended.load is not None and (ended.load.queued, ended.load.latency) == (3.0, 0.02)
             assert peer.requests[0].target == "/status/load"
 
@@ -524,7 +526,7 @@
     ("part", "failing"),
     [
         ("next_command", broken_later),
-        ("next_command", hanging),
+        ("next_command", hang),
         ("report_attempt", broken),
         ("submit", broken),
     ],
@@ -1403,15 +1405,15 @@
     async def story() -> None:
         for length in (10, None):
             async with Peer((b"", "reset")) as peer:
-                sent, upload = Dispatches(peer), Upload(StreamBuffers())
+                sent, upload = PoolHarness(peer), Upload(StreamBuffers())
                 monkeypatch.setattr(UpstreamConnection, "_write_piece", crossed if length else write_piece)
                 upload.put(b"12345", False)
                 upload.put(b"67890", True)
-                begun = replace(JOB, body=b"", more_body=True, length=length)
-                exchanged = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, upload), begun)
+                begun = replace(REQUEST, body=b"", more_body=True, length=length)
+                exchanged = await sent.pool.attempt(AttemptSpec("s0", sent.clock + 2.0, upload), begun)
                 assert [request.body for request in peer.requests] == [b"1234567890"]
                 assert exchanged.outcome.result is AttemptResult.RESET
-                sent.servers.close()
+                sent.pool.close()
 
     run(story())
 
@@ -1426,20 +1428,18 @@
 
     async def story() -> None:
         async with Peer() as peer:
-            sent = Dispatches(peer)
-            begun = replace(JOB, body=b"", more_body=True, length=10)
+            sent = PoolHarness(peer)
+            begun = replace(REQUEST, body=b"", more_body=True, length=10)
             whole, part = Upload(StreamBuffers()), Waits(StreamBuffers())
             whole.put(b"1234567890", True)
-            first = await sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, whole), begun)
+            first = await sent.pool.attempt(AttemptSpec("s0", sent.clock + 2.0, whole), begun)
             sent.clock += 2 * MIN_IDLE_BEFORE_REUSE_S
-            second = asyncio.create_task(
-                sent.servers.attempt(AttemptSpec("s0", sent.clock + 2.0, part), begun)
-            )
+            second = asyncio.create_task(sent.pool.attempt(AttemptSpec("s0", sent.clock + 2.0, part), begun))
             await asked.wait()  # its head is out, and none of its body has come yet
             peer.end_all()
             results = first.outcome.result, (await second).outcome.result
             assert results == (AttemptResult.SUCCEEDED, AttemptResult.NO_CONNECTION) and peer.connections == 1
-            sent.servers.close()
+            sent.pool.close()
 
     run(story())
 
