--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -1,4 +1,4 @@
-"""A caller that closes or cancels has gone: whatever moment it chooses, nothing more is sent on for it."""
+"""After a client disconnects or a request is cancelled, at whatever moment, nothing more is sent for it."""
 
 from __future__ import annotations
 
@@ -29,262 +29,268 @@
 from tests.test_large_bodies import Talk, served
 from tests.test_net import REQUEST, PoolHarness, hang, run
 
-BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is whole before it goes on
+BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is buffered before a request is forwarded
 
-GOING = ["close", "reset", "half"]
+DISCONNECTS = ["close", "reset", "half"]
 
 
-def at_the_writing(monkeypatch: pytest.MonkeyPatch, which: int, happens: Callable[[], object]) -> None:
-    """Lets something happen between finding a connection for that dispatch and writing to it.
+def call_before_write(
+    monkeypatch: pytest.MonkeyPatch, attempt_number: int, callback: Callable[[], object]
+) -> None:
+    """Call back between the acquisition of a connection for that attempt and the write to it.
 
-    The loop does not run in between: what it would have told is in the operating system's hands only.
+    The event loop does not run in between: only the operating system knows yet of what the callback did.
     """
-    found, calls = UpstreamPool._acquire, 0
+    original_acquire, calls = UpstreamPool._acquire, 0
 
-    async def hooked(self: UpstreamPool, *args: Any, **kept: Any) -> UpstreamConnection:
+    async def acquire_and_call(self: UpstreamPool, *args: Any, **kwargs: Any) -> UpstreamConnection:
         nonlocal calls
-        connection = await found(self, *args, **kept)
+        connection = await original_acquire(self, *args, **kwargs)
         calls += 1
-        if calls == which:
-            happens()
+        if calls == attempt_number:
+            callback()
         return connection
 
-    monkeypatch.setattr(UpstreamPool, "_acquire", hooked)
+    monkeypatch.setattr(UpstreamPool, "_acquire", acquire_and_call)
 
 
-async def withdrawn(node: Node, count: int = 1) -> dict[str, float]:
-    """The counters once so many jobs were withdrawn and nothing is left of any."""
+async def wait_cancelled(node: Node, count: int = 1) -> dict[str, float]:
+    """Return the counters once this many requests were cancelled and none is tracked any more."""
     async with asyncio.timeout(5):
-        while (figures := node.counters.read()).get("requests_cancelled", 0) < count or figures[
+        while (counters := node.counters.read()).get("requests_cancelled", 0) < count or counters[
             "requests_tracked"
         ]:
-            assert not figures.get("responses_rejected") and not figures.get("responses_failed")
+            assert not counters.get("responses_rejected") and not counters.get("responses_failed")
             await asyncio.sleep(0.001)
-    assert figures["requests_in_flight"] == 0 and not figures.get("internal_errors")
-    return figures
+    assert counters["requests_in_flight"] == 0 and not counters.get("internal_errors")
+    return counters
 
 
-async def warm(address: Address, jobs: int = 1) -> None:
-    """Leaves connections to servers that are kept, and may be used again."""
+async def warm_up(address: Address, request_count: int = 1) -> None:
+    """Leave idle connections to servers, which may be reused at once."""
     client = await Client().open(address)
-    for _ in range(jobs):
+    for _ in range(request_count):
         client.ask()
         assert (await client.answer()).status == 200
     client.writer.close()
     await asyncio.sleep(2 * MIN_IDLE_BEFORE_REUSE_S)
 
 
-@pytest.mark.parametrize("ahead", [0, 1])
-@pytest.mark.parametrize("how", GOING)
-def test_of_a_caller_whose_end_came_with_its_requests_none_is_sent_on(how: str, ahead: int) -> None:
-    async def story() -> None:
+@pytest.mark.parametrize("pipelined", [0, 1])
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_requests_that_arrive_together_with_the_disconnect_of_their_client_are_not_sent(
+    disconnect: str, pipelined: int
+) -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            await warm(address)
-            # All of it before the loop runs again: the node finds request and end side by side.
+            await warm_up(address)
+            # All before the event loop runs again: the node finds the request and the disconnect together.
             client = RawClient(address)
-            for _ in range(1 + ahead):
+            for _ in range(1 + pipelined):
                 client.ask()
-            client.go(how)
-            await withdrawn(node)
+            client.go(disconnect)
+            await wait_cancelled(node)
             assert len(peer.requests) == 1 and peer.connections == 1
-            await warm(address)
-            assert len(peer.requests) == 2 and peer.connections == 1  # what was not written on is kept
+            await warm_up(address)
+            # The connection that nothing was written to is kept.
+            assert len(peer.requests) == 2 and peer.connections == 1
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("ahead", [0, 1, 300])  # requests that stand unread before the end
-@pytest.mark.parametrize("how", GOING)
-@pytest.mark.parametrize("kept", [False, True])
-def test_a_caller_that_goes_at_the_very_writing_is_not_sent_on(
-    kept: bool, how: str, ahead: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("pipelined", [0, 1, 300])  # pipelined requests that are unread before the disconnect
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+@pytest.mark.parametrize("reuses", [False, True])
+def test_a_request_whose_client_disconnects_right_before_the_write_is_not_sent(
+    reuses: bool, disconnect: str, pipelined: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            if kept:
-                await warm(address)
+            if reuses:
+                await warm_up(address)
             client = RawClient(address)
 
-            def goes() -> None:
-                for _ in range(ahead):
+            def disconnect_client() -> None:
+                for _ in range(pipelined):
                     client.ask()
-                client.go(how)
+                client.go(disconnect)
 
-            at_the_writing(monkeypatch, 1, goes)
+            call_before_write(monkeypatch, 1, disconnect_client)
             client.ask()
-            figures = await withdrawn(node)
-            assert len(peer.requests) == kept and figures["attempts_first"] == 1 + kept
+            counters = await wait_cancelled(node)
+            assert len(peer.requests) == reuses and counters["attempts_first"] == 1 + reuses
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("how", GOING)
-def test_a_caller_that_goes_before_a_further_dispatch_is_not_sent_on_again(
-    how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_a_request_whose_client_disconnects_before_a_retry_is_not_sent_again(
+    disconnect: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
-            await warm(address, 10)  # for the budget of retries
+            await warm_up(address, 10)  # fills the retry budget
             first.reply, first.requests = FULL, []
             second.reply, second.requests = FULL, []
             client = RawClient(address)
-            at_the_writing(monkeypatch, 2, lambda: client.go(how))
+            call_before_write(monkeypatch, 2, lambda: client.go(disconnect))
             client.ask()
-            figures = await withdrawn(node)
+            counters = await wait_cancelled(node)
             assert len(first.requests) + len(second.requests) == 1
-            assert figures["attempts_retried"] == 1 and figures["attempts_not_sent"] == 1
+            assert counters["attempts_retried"] == 1 and counters["attempts_not_sent"] == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_job_that_is_withdrawn_at_the_very_writing_is_not_sent_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story() -> None:
+def test_a_request_cancelled_right_before_the_write_is_not_sent(monkeypatch: pytest.MonkeyPatch) -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
             client = RawClient(address)
 
-            def withdraw() -> None:
-                (caller,) = node._clients.connections
-                assert caller._open_request is not None
-                caller._open_request.handler.cancel()
+            def cancel_request() -> None:
+                (connection,) = node._clients.connections
+                assert connection._open_request is not None
+                connection._open_request.handler.cancel()
 
-            at_the_writing(monkeypatch, 1, withdraw)
+            call_before_write(monkeypatch, 1, cancel_request)
             client.ask()
-            await withdrawn(node)
+            await wait_cancelled(node)
             assert not peer.requests
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("order", [RejectRequest(0.0), FailRequest(), CancelAttempt(0)])
-def test_a_dispatch_that_is_no_longer_wanted_at_the_very_writing_is_not_written(
-    order: RejectRequest | FailRequest | CancelAttempt, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("command", [RejectRequest(0.0), FailRequest(), CancelAttempt(0)])
+def test_an_attempt_no_longer_wanted_right_before_the_write_is_not_written(
+    command: RejectRequest | FailRequest | CancelAttempt, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as first, Peer() as second, running(first, second, tier_count=2) as (node, address):
-            await warm(address, 10)  # for the budget of retries
+            await warm_up(address, 10)  # fills the retry budget
             client = await Client().open(address)
-            at_the_writing(monkeypatch, 1, lambda: node._engine._issue_command(11, order))
+            call_before_write(monkeypatch, 1, lambda: node._engine._issue_command(11, command))
             client.ask()
             status = (await client.answer()).status
-            assert status == (502 if isinstance(order, FailRequest) else 503)
-            figures = node.counters.read()
-            assert figures["attempts_first"] == 11 and figures["attempts_not_sent"] == 1
+            assert status == (502 if isinstance(command, FailRequest) else 503)
+            counters = node.counters.read()
+            assert counters["attempts_first"] == 11 and counters["attempts_not_sent"] == 1
             assert len(first.requests) + len(second.requests) == 10
 
-    run(story())
+    run(scenario())
 
 
-def test_a_connection_that_nothing_was_written_on_stays_fit() -> None:
-    async def story() -> None:
+def test_a_connection_that_nothing_was_written_to_stays_reusable() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            dispatches = PoolHarness(peer)
-            assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
-            dispatches.pass_reuse_delay()
-            refused = await dispatches.pool.attempt(
-                AttemptSpec("s0", dispatches.clock + 2.0, acquire_quota=lambda _: False), REQUEST
+            harness = PoolHarness(peer)
+            assert (await harness.send()).outcome.result is AttemptResult.SUCCEEDED
+            harness.pass_reuse_delay()
+            withheld = await harness.pool.attempt(
+                AttemptSpec("s0", harness.clock + 2.0, acquire_quota=lambda _: False), REQUEST
             )
-            assert refused.outcome.result is AttemptResult.NOT_SENT
-            assert (await dispatches.send()).outcome.result is AttemptResult.SUCCEEDED
+            assert withheld.outcome.result is AttemptResult.NOT_SENT
+            assert (await harness.send()).outcome.result is AttemptResult.SUCCEEDED
             assert len(peer.requests) == 2 and peer.connections == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_body_does_not_become_whole_at_a_server_once_its_caller_has_gone() -> None:
-    async def story() -> None:
-        whole: list[bytes] = []
+def test_a_body_is_not_completed_at_the_server_after_its_client_disconnects() -> None:
+    async def scenario() -> None:
+        bodies: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
-            whole.append((await talk.request())[1])
+        async def read_request(upstream: Talk) -> None:
+            bodies.append((await upstream.request())[1])
 
-        async with served(reads) as (node, address, (peer,)):
+        async with served(read_request) as (node, address, (peer,)):
             client = RawClient(address)
             client.ask(BODY, "POST", length=len(BODY) + 10)
             while not peer.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._clients.connections
-            while caller._intake.parser.body_received < len(BODY):
+            (connection,) = node._clients.connections
+            while connection._intake.parser.body_received < len(BODY):
                 await asyncio.sleep(0.001)
-            # Its last bytes and its end come side by side.
+            # Its last bytes and its disconnect arrive together.
             client.more(b"y" * 10)
             client.go("close")
-            await withdrawn(node)
+            await wait_cancelled(node)
             await peer.gone.wait()
-            assert not whole
+            assert not bodies
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("how", GOING)
-def test_a_caller_that_goes_before_its_large_body_is_written_is_not_sent_on(
-    how: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("disconnect", DISCONNECTS)
+def test_a_large_request_whose_client_disconnects_before_the_write_is_not_sent(
+    disconnect: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
-        begun: list[bytes] = []
+    async def scenario() -> None:
+        first_bytes: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
-            begun.append(await talk.reader.read(1))
+        async def read_first_byte(upstream: Talk) -> None:
+            first_bytes.append(await upstream.reader.read(1))
 
-        async with served(reads) as (node, address, _):
+        async with served(read_first_byte) as (node, address, _):
             client = RawClient(address)
 
-            def goes() -> None:
+            def send_and_disconnect() -> None:
                 client.more(BODY[:10])
-                client.go(how)
+                client.go(disconnect)
 
-            at_the_writing(monkeypatch, 1, goes)
+            call_before_write(monkeypatch, 1, send_and_disconnect)
             client.ask(BODY, "POST", length=len(BODY) + 10)
-            await withdrawn(node)
-            assert begun in ([], [b""])
+            await wait_cancelled(node)
+            assert first_bytes in ([], [b""])
 
-    run(story())
+    run(scenario())
 
 
-async def waiting(node: Node, address: Address, peer: Peer) -> tuple[Client, ClientConnection]:
-    """A caller whose one request is at its server."""
+async def send_and_await_server(node: Node, address: Address, peer: Peer) -> tuple[Client, ClientConnection]:
+    """Return a client whose one request is at its server, and the node's connection to that client."""
     client = await Client().open(address)
     client.ask()
     await peer.asked.wait()
-    (caller,) = node._clients.connections
-    return client, caller
+    (connection,) = node._clients.connections
+    return client, connection
 
 
-def send_ahead(client: Client, least: int) -> int:
-    """Whole requests of so many bytes; how many they are."""
-    count = -(-least // 8000)
+def pipeline_requests(client: Client, min_bytes: int) -> int:
+    """Send complete requests of at least this many bytes in total; return their number."""
+    count = -(-min_bytes // 8000)
     for _ in range(count):
         client.ask(extra="X: " + "x" * 8000 + "\r\n")
     return count
 
 
-@pytest.mark.parametrize(
-    "bulk", [READ_CHUNK_BYTES, 6 * READ_CHUNK_BYTES]
-)  # bytes sent ahead while the first request waits
-@pytest.mark.parametrize("how", ["close", "reset"])
-def test_a_caller_that_sends_much_ahead_and_goes_is_seen_to_go(how: str, bulk: int) -> None:
-    async def story() -> None:
+# The bytes pipelined while the first request is in flight.
+@pytest.mark.parametrize("byte_count", [READ_CHUNK_BYTES, 6 * READ_CHUNK_BYTES])
+@pytest.mark.parametrize("disconnect", ["close", "reset"])
+def test_the_disconnect_of_a_client_that_pipelined_many_bytes_is_detected(
+    disconnect: str, byte_count: int
+) -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            client, caller = await waiting(node, address, peer)
-            send_ahead(client, bulk)
-            # Whatever the node kept of it so far is in before the end comes.
-            while caller._intake.parser.unread < READ_CHUNK_BYTES:
+            client, connection = await send_and_await_server(node, address, peer)
+            pipeline_requests(client, byte_count)
+            # The node has buffered part of it before the client disconnects.
+            while connection._intake.parser.unread < READ_CHUNK_BYTES:
                 await asyncio.sleep(0.001)
-            client.writer.close() if how == "close" else client.writer.transport.abort()
-            figures = await withdrawn(node)
-            assert figures["attempts_first"] == 1 and len(peer.requests) == 1
+            client.writer.close() if disconnect == "close" else client.writer.transport.abort()
+            counters = await wait_cancelled(node)
+            assert counters["attempts_first"] == 1 and len(peer.requests) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_what_is_sent_far_ahead_is_kept_in_bounds_and_what_was_not_kept_is_told_so() -> None:
-    async def story() -> None:
+def test_pipelined_bytes_are_bounded_and_discarded_requests_are_answered_with_413() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            client, caller = await waiting(node, address, peer)
-            count, most = send_ahead(client, 6 * READ_CHUNK_BYTES), 0
-            while not caller._intake.bytes_discarded:
+            client, connection = await send_and_await_server(node, address, peer)
+            count, max_unread = pipeline_requests(client, 6 * READ_CHUNK_BYTES), 0
+            while not connection._intake.bytes_discarded:
                 await asyncio.sleep(0)
-                most = max(most, caller._intake.parser.unread)
-            assert READ_CHUNK_BYTES < most <= request_intake.MAX_READ_AHEAD_BYTES
+                max_unread = max(max_unread, connection._intake.parser.unread)
+            assert READ_CHUNK_BYTES < max_unread <= request_intake.MAX_READ_AHEAD_BYTES
             peer.reply = OK
             peer.go_on.set()
             statuses = []
@@ -293,226 +299,228 @@
             assert status == 413 and await client.closed()
             assert READ_CHUNK_BYTES // 9000 < len(statuses) == len(peer.requests) < count
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_that_never_stops_sending_ahead_is_refused_and_its_job_withdrawn() -> None:
-    async def story() -> None:
+def test_a_client_that_pipelines_past_the_limit_is_rejected_and_its_request_cancelled() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            client, _ = await waiting(node, address, peer)
-            send_ahead(client, 2 * request_intake.MAX_DISCARDED_BYTES)
+            client, _ = await send_and_await_server(node, address, peer)
+            pipeline_requests(client, 2 * request_intake.MAX_DISCARDED_BYTES)
             assert (await client.answer()).status == 413
-            await withdrawn(node)
+            await wait_cancelled(node)
             assert len(peer.requests) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_that_goes_while_its_body_waits_for_room_is_seen_to_go(
+def test_a_disconnect_while_a_body_waits_for_buffer_space_is_detected(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(UpstreamConnection, "open", hang)  # so that nothing of the body is taken
+    monkeypatch.setattr(UpstreamConnection, "open", hang)  # so that no part of the body is consumed
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            node._upstreams._connect_timeout = 10.0  # s, over what the story waits
+            node._upstreams._connect_timeout = 10.0  # s, longer than the scenario waits
             client = RawClient(address)
             client.ask(BODY[:1000], "POST", length=10 * len(BODY))
             while not node._clients.connections:
                 await asyncio.sleep(0.001)
-            (caller,) = node._clients.connections
+            (connection,) = node._clients.connections
             while (
-                (request := caller._open_request) is None
+                (request := connection._open_request) is None
                 or request.upload is None
                 or request.upload.has_room()
             ):
-                seen = caller._intake.parser.body_received
+                received = connection._intake.parser.body_received
                 client.more(BODY[:8000])
-                while caller._intake.parser.body_received == seen:
+                while connection._intake.parser.body_received == received:
                     await asyncio.sleep(0.001)
-            client.more(BODY[:8000])  # for which there is no room
+            client.more(BODY[:8000])  # there is no buffer space for these
             client.go("close")
-            await withdrawn(node)
+            await wait_cancelled(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_that_goes_while_it_waits_for_rights_is_not_sent_on() -> None:
-    async def story() -> None:
+def test_a_request_whose_client_disconnects_while_it_waits_for_quota_is_not_sent() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            await warm(address)
-            asked, given = asyncio.Event(), asyncio.Event()
+            await warm_up(address)
+            quota_requested, quota_granted = asyncio.Event(), asyncio.Event()
 
-            async def admit(ask: RequestSpec) -> tuple[None, RequestSpec]:
-                asked.set()
-                await given.wait()
-                return None, ask
+            async def admit(spec: RequestSpec) -> tuple[None, RequestSpec]:
+                quota_requested.set()
+                await quota_granted.wait()
+                return None, spec
 
             node._clients.admit = admit
             client = RawClient(address)
             client.ask()
-            await asked.wait()
+            await quota_requested.wait()
             client.go("close")
-            given.set()
-            await withdrawn(node)
+            quota_granted.set()
+            await wait_cancelled(node)
             assert len(peer.requests) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_that_goes_while_its_answer_is_written_has_its_next_request_not_sent_on(
+def test_the_next_request_of_a_client_that_disconnects_during_a_response_is_not_sent(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    write = ResponseWriter.write
+    original_write = ResponseWriter.write
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
-            await warm(address)
+            await warm_up(address)
             client = RawClient(address)
 
-            async def goes(self: ResponseWriter, wire: bytes) -> None:
-                await write(self, wire)
+            async def write_and_disconnect(self: ResponseWriter, wire: bytes) -> None:
+                await original_write(self, wire)
                 client.go("close")
 
-            monkeypatch.setattr(ResponseWriter, "write", goes)
+            monkeypatch.setattr(ResponseWriter, "write", write_and_disconnect)
             client.ask()
             client.ask()
-            await withdrawn(node)
+            await wait_cancelled(node)
             assert len(peer.requests) == 2
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("error", [errno.EHOSTUNREACH, errno.ECONNRESET])
-def test_an_end_that_the_system_words_otherwise_withdraws_the_job_too(
-    error: int, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("error_number", [errno.EHOSTUNREACH, errno.ECONNRESET])
+def test_any_read_error_on_the_client_connection_cancels_its_request(
+    error_number: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            taken = node._clients.start_request
+            original_start_request = node._clients.start_request
 
-            def take(*args: Any) -> Any:
-                # From the moment that the job is there, each read of its caller's bytes fails.
-                (caller,) = node._clients.connections
-                monkeypatch.setattr(caller._stream, "read_from_fd", fails)
-                return taken(*args)
+            def start_and_fail_reads(*args: Any) -> Any:
+                # Once the request has started, every read from its client fails.
+                (connection,) = node._clients.connections
+                monkeypatch.setattr(connection._stream, "read_from_fd", fail_read)
+                return original_start_request(*args)
 
-            def fails(_: object) -> int:
-                raise OSError(error, "gone")
+            def fail_read(_: object) -> int:
+                raise OSError(error_number, "gone")
 
-            monkeypatch.setattr(node._clients, "start_request", take)
+            monkeypatch.setattr(node._clients, "start_request", start_and_fail_reads)
             client = RawClient(address)
             client.ask()
-            await withdrawn(node)
+            await wait_cancelled(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_failure_of_the_node_itself_beside_a_job_leaves_no_dispatch(
+def test_an_internal_failure_during_a_request_leaves_no_attempt(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    def broken(_: object) -> None:
+    def raise_error(_: object) -> None:
         raise RuntimeError("own")
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer, running(peer) as (node, address):
-            client, _ = await waiting(node, address, peer)
-            monkeypatch.setattr(RequestIntake, "feed", broken)
+            client, _ = await send_and_await_server(node, address, peer)
+            monkeypatch.setattr(RequestIntake, "feed", raise_error)
             client.ask()
             assert (await client.answer()).status == 500
-            while (figures := node.counters.read())["requests_tracked"]:
+            while (counters := node.counters.read())["requests_tracked"]:
                 await asyncio.sleep(0.001)
-            assert figures["attempts_cancelled"] == 1
-            assert not figures.get("responses_rejected") and not figures.get("responses_failed")
+            assert counters["attempts_cancelled"] == 1
+            assert not counters.get("responses_rejected") and not counters.get("responses_failed")
 
-    run(story())
+    run(scenario())
 
 
-LATE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
+LATE_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate"
 
 
-@pytest.mark.parametrize("spare", [LATE, LATE[:9]])  # a second answer, half a line
-def test_a_kept_connection_is_used_again_only_once_it_has_rested(
-    spare: bytes, monkeypatch: pytest.MonkeyPatch
+# A second response, and a part of its status line.
+@pytest.mark.parametrize("extra", [LATE_RESPONSE, LATE_RESPONSE[:9]])
+def test_a_connection_is_reused_only_after_the_reuse_delay(
+    extra: bytes, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            dispatches = PoolHarness(peer)
-            figures = dispatches.counters.read
+            harness = PoolHarness(peer)
+            read_counters = harness.counters.read
 
             async def send() -> None:
-                exchanged = await dispatches.send()
+                exchanged = await harness.send()
                 assert exchanged.outcome.result is AttemptResult.SUCCEEDED and exchanged.response is not None
                 assert exchanged.response.body == b"ok"
 
-            # The very first spare bytes come in the moment in which the next request is written.
+            # The first extra bytes arrive at the moment in which the next request is written.
             await send()
-            at_the_writing(monkeypatch, 1, lambda: peer._writers[0].write(spare))
+            call_before_write(monkeypatch, 1, lambda: peer._writers[0].write(extra))
             await send()
-            assert peer.connections == 2 and figures()["connections_unsettled"] == 1
-            # They are seen while it rests; it is not used again, and the other one is, once it has rested.
+            assert peer.connections == 2 and read_counters()["connections_unsettled"] == 1
+            # They are detected during the delay: that connection is not reused; the other one is, after its delay.
             async with asyncio.timeout(5):
-                while not figures().get("responses_unsolicited"):
+                while not read_counters().get("responses_unsolicited"):
                     await asyncio.sleep(0)
-            dispatches.clock += MIN_IDLE_BEFORE_REUSE_S - 0.001
+            harness.clock += MIN_IDLE_BEFORE_REUSE_S - 0.001
             await send()
-            assert peer.connections == 3 and figures()["connections_unsettled"] == 2
-            dispatches.clock += 0.002
+            assert peer.connections == 3 and read_counters()["connections_unsettled"] == 2
+            harness.clock += 0.002
             await send()
-            assert peer.connections == 3 and figures()["connections_unsettled"] == 2
-            # However long ago that was, each has to rest.
-            for times in (1, 2):
-                dispatches.clock += 100.0
+            assert peer.connections == 3 and read_counters()["connections_unsettled"] == 2
+            # Every connection has to wait for the delay, however long ago that was.
+            for repeat in (1, 2):
+                harness.clock += 100.0
                 await send()
                 await send()
-                assert peer.connections == 3 + 2 * times
-                assert figures()["connections_unsettled"] == 2 + times
-            assert figures()["responses_unsolicited"] == 1
+                assert peer.connections == 3 + 2 * repeat
+                assert read_counters()["connections_unsettled"] == 2 + repeat
+            assert read_counters()["responses_unsolicited"] == 1
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("recalls", [True, False])
-@pytest.mark.parametrize("pieces", [True, False])
-def test_what_its_server_has_not_taken_as_its_caller_goes_does_not_come_there(
-    pieces: bool, recalls: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("cancellation", [True, False])
+@pytest.mark.parametrize("in_pieces", [True, False])
+def test_bytes_not_yet_written_when_the_client_disconnects_never_reach_the_server(
+    in_pieces: bool, cancellation: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    body = (BODY if pieces else b"x" * 1000) + b"the last of it"
-    write, held, room = IOStream.write_to_fd, asyncio.Event(), False
+    body = (BODY if in_pieces else b"x" * 1000) + b"the last of it"
+    original_write, write_blocked, has_room = IOStream.write_to_fd, asyncio.Event(), False
 
-    def without_room(stream: IOStream, data: memoryview) -> int | None:
-        if type(stream) is NodeStream and bytes(data[-10:]) == body[-10:] and not room:
-            held.set()
+    def write_if_room(stream: IOStream, data: memoryview) -> int | None:
+        if type(stream) is NodeStream and bytes(data[-10:]) == body[-10:] and not has_room:
+            write_blocked.set()
             raise BlockingIOError
-        return write(stream, data)
+        return original_write(stream, data)
 
-    async def story() -> None:
-        nonlocal room
-        whole: list[bytes] = []
+    async def scenario() -> None:
+        nonlocal has_room
+        bodies: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
-            whole.append((await talk.request())[1])
+        async def read_request(upstream: Talk) -> None:
+            bodies.append((await upstream.request())[1])
 
-        async with served(reads, cancellation=recalls) as (node, address, (peer,)):
-            monkeypatch.setattr(IOStream, "write_to_fd", without_room)
+        async with served(read_request, cancellation=cancellation) as (node, address, (peer,)):
+            monkeypatch.setattr(IOStream, "write_to_fd", write_if_room)
             client = RawClient(address)
             client.ask(body, "POST")
-            await held.wait()
+            await write_blocked.wait()
             client.go("close")
-            # There is room only once the job is over. With no look its dispatch ends by its time, or by none.
-            figures = await withdrawn(node)
-            room = True
+            # The socket has room only once the request is over. Without the regular check whether the request is
+            # still wanted, its attempt would end only by its timeout, if at all.
+            counters = await wait_cancelled(node)
+            has_room = True
             async with asyncio.timeout(5):
                 await peer.gone.wait()
-            broken_off = "attempts_not_sent", "attempts_cancelled"
-            assert not whole and sum(figures.get(name, 0) for name in broken_off) == 1
+            aborted = "attempts_not_sent", "attempts_cancelled"
+            assert not bodies and sum(counters.get(name, 0) for name in aborted) == 1
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("sent", [b"", b"GET /api HTTP/1.1\r\n", b"GET /ready HTTP/1.1\r\n\r\n"])
 def test_a_connection_that_has_ended_leaves_nothing_to_the_cycle_collector(sent: bytes) -> None:
-    """Else a crowd of clients that come and go would fill the memory before the collector runs."""
+    """Otherwise many short-lived client connections would fill the memory before the collector runs."""
 
     async def scenario() -> None:
         async with Peer() as peer, running(peer) as (node, address):
