--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -457,7 +457,7 @@
             call_before_write(monkeypatch, 1, lambda: peer._writers[0].write(extra))
             await send()
             assert peer.connections == 2 and read_counters()["connections_unsettled"] == 1
-            # They are detected during the delay: that connection is not reused; the other one is, after its delay.
+            # They are detected during the delay: that connection is not reused, the other is after its own.
             async with asyncio.timeout(5):
                 while not read_counters().get("responses_unsolicited"):
                     await asyncio.sleep(0)
@@ -506,8 +506,8 @@
             client.ask(body, "POST")
             await write_blocked.wait()
             client.go("close")
-            # The socket has room only once the request is over. Without the regular check whether the request is
-            # still wanted, its attempt would end only by its timeout, if at all.
+            # The socket has room only once the request is over. Without the regular check whether the request
+            # is still wanted, its attempt would end only by its timeout, if at all.
             counters = await wait_cancelled(node)
             has_room = True
             async with asyncio.timeout(5):
