--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Spans of the node shortened for all stories, so that none waits for a drain."""
+"""Shortens the node's intervals and timeouts for all tests, so that none waits for a drain."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 pytest_plugins = ("tests.known_red",)
 
-SPANS = {
+SHORT_TIMES_S = {
     "DRAIN_CHECK_INTERVAL_S": 0.005,
     "READINESS_NOTICE_S": 0.05,
     "IDLE_GRACE_S": 0.05,
@@ -19,9 +19,9 @@
 
 
 @pytest.fixture(autouse=True)
-def _short_spans(monkeypatch: pytest.MonkeyPatch) -> None:
-    for name, span in SPANS.items():
-        monkeypatch.setattr(node_module, name, span)
+def _short_times(monkeypatch: pytest.MonkeyPatch) -> None:
+    for name, seconds in SHORT_TIMES_S.items():
+        monkeypatch.setattr(node_module, name, seconds)
     monkeypatch.setattr(shutdown, "ACCEPT_TIME_S", 0.05)
     monkeypatch.setattr(shutdown, "MIGRATE_AFTER_S", 0.1)
     monkeypatch.setattr(shutdown, "DRAIN_SHARE", 1.0)
--- a/tests/helpers.py
+++ b/tests/helpers.py
@@ -109,7 +109,7 @@
     def send_gossip(self, peer: int, newest: int, outcomes: Sequence[PeerOutcome]) -> None:
         self.commands.append(("send_gossip", peer, newest, list(outcomes)))
 
-    # What tests do with the balancer.
+    # Calls that tests make to the balancer.
 
     def list_endpoints(
         self, *endpoints: int, state: EndpointState = EndpointState.ACTIVE, **entry: Any
@@ -191,14 +191,14 @@
 
 # Loopback peers.
 
-Reply = tuple[bytes, str]  # what is written, and then: "keep", "close", "reset" or "hold"
+Reply = tuple[bytes, str]  # the bytes to write, and what follows: "keep", "close", "reset" or "hold"
 OK: Reply = (b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", "keep")
 FULL: Reply = (b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n", "keep")
 SILENT: Reply = (b"", "hold")
 
 
 class Peer:
-    """Stands in for a server or for discovery; `reply` says what it does with a request."""
+    """A fake server or discovery service; `reply` determines how it responds to a request."""
 
     def __init__(
         self, reply: Callable[[Request], Reply] | Reply = OK, address: Address | None = None
@@ -234,22 +234,22 @@
         self._writers.append(writer)
         requests = RequestReader()
         try:
-            while piece := await reader.read(65536):
-                requests.feed(piece)
+            while received := await reader.read(65536):
+                requests.feed(received)
                 while (request := requests.next()) is not None:
                     self.requests.append(request)
                     self.asked.set()
-                    answer, then = self.reply(request) if callable(self.reply) else self.reply
-                    writer.write(answer)
-                    if then == "hold":
+                    response, next_action = self.reply(request) if callable(self.reply) else self.reply
+                    writer.write(response)
+                    if next_action == "hold":
                         await self.go_on.wait()
                         writer.write(OK[0])
-                    if then == "reset":
+                    if next_action == "reset":
                         linger = struct.pack("ii", 1, 0)
                         writer.get_extra_info("socket").setsockopt(
                             socket.SOL_SOCKET, socket.SO_LINGER, linger
                         )
-                    if then in ("close", "reset"):
+                    if next_action in ("close", "reset"):
                         return
         except ConnectionError:
             pass
@@ -271,13 +271,13 @@
 
 
 def wire_of(job_id: int, left: int = 2000, extra: str = "") -> bytes:
-    """A whole request, for callers that write it at a moment of their own."""
+    """Return the bytes of a complete request, for tests that write it themselves."""
     head = f"GET /api?x=1 HTTP/1.1\r\nHost: app\r\nReq-Id: {job_id}\r\nReq-Kind: plain\r\n"
     return f"{head}Req-Deadline-Ms: {left}\r\n{extra}\r\n".encode()
 
 
 class Client:
-    """A caller with one connection; each job has an id of its own."""
+    """A client with one connection; each request has an id of its own."""
 
     opened = 0
 
@@ -299,11 +299,11 @@
 
     async def answer(self) -> Response:
         async with asyncio.timeout(5):
-            while (answer := self._answers.next()) is None:
-                piece = await self._reader.read(65536)
-                assert piece, "closed without an answer"
-                self._answers.feed(piece)
-        return answer
+            while (response := self._answers.next()) is None:
+                received = await self._reader.read(65536)
+                assert received, "closed without an answer"
+                self._answers.feed(received)
+        return response
 
     async def closed(self) -> bool:
         async with asyncio.timeout(5):
@@ -311,7 +311,7 @@
 
 
 class RawClient:
-    """A caller whose bytes and end are in the operating system's hands before the loop runs again."""
+    """A client whose sends and disconnect reach the operating system before the event loop runs again."""
 
     def __init__(self, address: Address) -> None:
         Client.opened += 1
@@ -319,19 +319,19 @@
         self.socket = socket.create_connection(address)
 
     def ask(self, body: bytes = b"", method: str = "GET", length: int | None = None) -> None:
-        """A request; of a body that is longer than what is given, the rest is sent by `more`."""
+        """Send a request; if `length` exceeds the body, `more` sends the rest of it."""
         self._job_id += 1
         framing = f"Content-Length: {length or len(body)}\r\n" if body else ""
         head = f"{method} /api HTTP/1.1\r\nHost: app\r\nReq-Id: {self._job_id}\r\nReq-Kind: plain\r\n"
         self.more(f"{head}Req-Deadline-Ms: 2000\r\n{framing}\r\n".encode() + body)
 
     def more(self, text: bytes) -> None:
-        # Guards against waiting here for a node that reads in the same thread.
+        # Guards against blocking here: the node that would read the bytes runs in the same thread.
         self.socket.setblocking(False)
         assert self.socket.send(text) == len(text)
 
     def go(self, how: str) -> None:
-        """Ends the connection: "close" and "half" with an end, of both ways or one; "reset" with a reset."""
+        """Disconnect: "close" ends both directions, "half" only the sending one, "reset" sends a reset."""
         if how == "half":
             self.socket.shutdown(socket.SHUT_WR)
             return
@@ -348,29 +348,35 @@
 
 
 async def call(mgmt: Address, method: str, path: str, body: bytes = b"") -> int:
-    """One operators' call; the status of its answer."""
+    """Call the admin API; return the status of the response."""
     reader, writer = await asyncio.open_connection(*mgmt)
     writer.write(
         f"{method} {path} HTTP/1.1\r\nHost: n\r\nContent-Length: {len(body)}\r\n\r\n".encode() + body
     )
     async with asyncio.timeout(5):
-        answer = await reader.read()
+        response = await reader.read()
     writer.close()
-    return int(answer.split(b" ")[1])
+    return int(response.split(b" ")[1])
 
 
 def configuration(discovery: str = "127.0.0.1:1", **settings: Any) -> dict[str, Any]:
-    """A sound file of a node; settings by their paths' last names replace those here."""
-    plain = {"name": "plain", "effect": "repeatable", "contract_time": 1000, "abandon_time": 2000}
-    told: dict[str, Any] = {
+    """Return a valid configuration of a node; `settings` replace the top-level settings given here."""
+    request_class = {"name": "plain", "effect": "repeatable", "contract_time": 1000, "abandon_time": 2000}
+    settings_document: dict[str, Any] = {
         "layers": ["web"],
         "layer": 0,
         "localities": ["a"],
         "limits": {"max_dispatches": 5, "cancel": True},
-        "profiles": [{**plain, "tardy_revenue": 0.5}],
+        "profiles": [{**request_class, "tardy_revenue": 0.5}],
         **settings,
     }
-    return {"name": "n", "listen": "127.0.0.1:2", "discovery": discovery, "seed": "7", "settings": told}
+    return {
+        "name": "n",
+        "listen": "127.0.0.1:2",
+        "discovery": discovery,
+        "seed": "7",
+        "settings": settings_document,
+    }
 
 
 @asynccontextmanager
@@ -389,9 +395,9 @@
     starting: Callable[[Node], Awaitable[None]] | None = None,
     **terms: Any,
 ) -> AsyncIterator[tuple[Node, Address]]:
-    """A node on a free port of the loopback address, with its list remembered or not."""
+    """Run a node on a free port of the loopback address, with a cached list if `known`."""
     listen = listen or free_address()
-    given = NodeConfig(
+    config = NodeConfig(
         name="n",
         listen=listen,
         discovery=discovery.address if discovery else listen,
@@ -409,8 +415,8 @@
         fleet=fleet,
         document=told or {},
     )
-    node = Node(given)
-    run = asyncio.create_task(node.run())
+    node = Node(config)
+    node_run = asyncio.create_task(node.run())
     if starting is not None:
         await starting(node)
     await node.listening.wait()
@@ -419,36 +425,38 @@
     finally:
         node.stop()
         async with asyncio.timeout(5):
-            await run
+            await node_run
 
 
 PROGRAM = (sys.executable, "-m", "notchjunction")
-# With so many descriptors by the operating system's word, some of which something else in the process holds.
-BOUNDED = f"""
+# Runs the program with a limit of open descriptors, some of which the process inherits as already open.
+LIMITED_PROGRAM = f"""
 import os, resource, sys
-most, lost = map(int, sys.argv[1:])
-for _ in range(lost):
+limit, inherited = map(int, sys.argv[1:])
+for _ in range(inherited):
     os.set_inheritable(os.dup(0), True)
-resource.setrlimit(resource.RLIMIT_NOFILE, (most, most))
+resource.setrlimit(resource.RLIMIT_NOFILE, (limit, limit))
 os.execv(sys.executable, {PROGRAM!r})
 """
 
 
 class Program:
-    """The program in a process of its own; `descriptors`: as many as it may open, some of them `lost`."""
+    """The program in a process of its own; `descriptors` limits its open ones, `lost` of them are in use."""
 
-    def __init__(self, folder: Path, told: Mapping[str, Any], descriptors: int = 0, lost: int = 0) -> None:
+    def __init__(
+        self, folder: Path, document: Mapping[str, Any], descriptors: int = 0, lost: int = 0
+    ) -> None:
         self.listen = free_address()
-        self._file = folder / "told.json"
-        self._file.write_text(json.dumps({**told, "listen": f"{self.listen[0]}:{self.listen[1]}"}))
+        self._file = folder / "node.json"
+        self._file.write_text(json.dumps({**document, "listen": f"{self.listen[0]}:{self.listen[1]}"}))
         self._descriptors = descriptors
         self._lost = lost
         self.lines: list[str] = []
 
     async def __aenter__(self) -> Self:
-        bounds = [str(self._descriptors), str(self._lost)]
+        limits = [str(self._descriptors), str(self._lost)]
         self._process = await asyncio.create_subprocess_exec(
-            *(sys.executable, "-c", BOUNDED, *bounds) if self._descriptors else PROGRAM,
+            *(sys.executable, "-c", LIMITED_PROGRAM, *limits) if self._descriptors else PROGRAM,
             env={"GW_CONFIG": str(self._file)},
             stderr=asyncio.subprocess.PIPE,
         )
@@ -474,7 +482,7 @@
             await asyncio.sleep(0.002)
 
     async def figures(self) -> dict[str, str]:
-        """What it has counted by its end."""
+        """Terminate the program and return its final counters."""
         self._process.terminate()
         await self._process.wait()
         await self._reading
@@ -487,9 +495,9 @@
 
 @contextmanager
 def no_descriptor_left(given: int = 1) -> Iterator[list[int]]:
-    """This process can open no more but for those given, as many at least, which a story may close."""
+    """Use up all descriptors of this process; a test may close some of those yielded, at least `given`."""
     soft, hard = resource.getrlimit(resource.RLIMIT_NOFILE)
-    # Not left to the gaps below the highest one in use: which there are depends on what ran before.
+    # Opened here, since the number of free ones below the highest descriptor in use depends on earlier tests.
     taken = [os.open(os.devnull, os.O_RDONLY) for _ in range(given)]
     resource.setrlimit(resource.RLIMIT_NOFILE, (max(map(int, os.listdir("/proc/self/fd"))) + 1, hard))
     try:
@@ -499,5 +507,5 @@
         yield taken
     finally:
         resource.setrlimit(resource.RLIMIT_NOFILE, (soft, hard))
-        for each in taken:
-            os.close(each)
+        for descriptor in taken:
+            os.close(descriptor)
