--- a/tests/test_capacity.py
+++ b/tests/test_capacity.py
@@ -40,7 +40,7 @@
     rows,
     running,
 )
-from tests.test_net import Dispatches, run
+from tests.test_net import PoolHarness, run
 
 
 async def status_of(client: Client) -> int:
@@ -273,11 +273,11 @@
 def test_an_idle_connection_is_closed_if_the_operating_system_has_no_descriptor() -> None:
     async def scenario() -> None:
         async with Peer() as peer:
-            upstream = Dispatches(peer)
+            upstream = PoolHarness(peer)
             discovery_client = DiscoveryClient(
                 peer.address, ListWatch(0.0), time.monotonic, lambda: free_descriptors()
             )
-            upstream.servers._close_idle_client = lambda: free_descriptors()
+            upstream.pool._close_idle_client = lambda: free_descriptors()
 
             def free_descriptors() -> bool:
                 for _ in range(2):  # one for the node, and one for the peer, which runs in the same process
@@ -289,7 +289,7 @@
                 peer.reply = news(4, [])
                 assert (await discovery_client.next_update()).version == 4
             discovery_client.close()
-            upstream.servers.close()
+            upstream.pool.close()
             assert upstream.descriptors.in_use == 0
 
     run(scenario())
