--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -26,7 +26,7 @@
 from notchjunction.net.upstream_connection import READ_CHUNK_BYTES, UpstreamConnection
 from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
-from tests.test_large_bodies import Talk, served
+from tests.test_large_bodies import ScriptedConnection, running_with_scripts
 from tests.test_net import JOB, Dispatches, hanging, run
 
 BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is whole before it goes on
@@ -194,10 +194,10 @@
     async def story() -> None:
         whole: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
-            whole.append((await talk.request())[1])
+        async def reads(talk: ScriptedConnection) -> None:
+            whole.append((await talk.read_request())[1])
 
-        async with served(reads) as (node, address, (peer,)):
+        async with running_with_scripts(reads) as (node, address, (peer,)):
             client = RawClient(address)
             client.ask(BODY, "POST", length=len(BODY) + 10)
             while not peer.connections:
@@ -209,7 +209,7 @@
             client.more(b"y" * 10)
             client.go("close")
             await withdrawn(node)
-            await peer.gone.wait()
+            await peer.disconnected.wait()
             assert not whole
 
     run(story())
@@ -222,10 +222,10 @@
     async def story() -> None:
         begun: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
+        async def reads(talk: ScriptedConnection) -> None:
             begun.append(await talk.reader.read(1))
 
-        async with served(reads) as (node, address, _):
+        async with running_with_scripts(reads) as (node, address, _):
             client = RawClient(address)
 
             def goes() -> None:
@@ -490,10 +490,10 @@
         nonlocal room
         whole: list[bytes] = []
 
-        async def reads(talk: Talk) -> None:
-            whole.append((await talk.request())[1])
+        async def reads(talk: ScriptedConnection) -> None:
+            whole.append((await talk.read_request())[1])
 
-        async with served(reads, cancellation=recalls) as (node, address, (peer,)):
+        async with running_with_scripts(reads, cancellation=recalls) as (node, address, (peer,)):
             monkeypatch.setattr(IOStream, "write_to_fd", without_room)
             client = RawClient(address)
             client.ask(body, "POST")
@@ -503,7 +503,7 @@
             figures = await withdrawn(node)
             room = True
             async with asyncio.timeout(5):
-                await peer.gone.wait()
+                await peer.disconnected.wait()
             broken_off = "attempts_not_sent", "attempts_cancelled"
             assert not whole and sum(figures.get(name, 0) for name in broken_off) == 1
 
--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -1,4 +1,4 @@
-"""Bodies far over what is held: passed on in pieces, broken off on either side, however they are framed."""
+"""Bodies larger than the node buffers: forwarded in pieces and aborted from either side, in each framing."""
 
 from __future__ import annotations
 
@@ -38,16 +38,16 @@
 from tests.test_upgrade import until_yes
 
 MB = 1024 * 1024
-BODY = bytes(range(256)) * (MB // 256)  # one MB that differs from place to place
+BODY = bytes(range(256)) * (MB // 256)  # 1 MB in which neighbouring bytes differ
 POST = b"POST http://app.svc/api?a=b HTTP/1.1\r\nReq-Id: 1\r\n"
-FORMS = {
+REQUESTS = {
     "length": POST + b"Content-Length: 5\r\n\r\nabcde",
     "chunks": POST
     + b"Transfer-Encoding: chunked\r\n\r\n3;x=y\r\nabc\r\n0002\r\nde\r\n0\r\nTrailer: t\r\n\r\n",
     "blank lines": b"\r\n\r\n\r\n" + POST + b"content-length:5  \r\nX:\r\n\r\nabcde",
     "no body": b"GET /api HTTP/1.0\r\nConnection: keep-alive\r\n\r\n",
 }
-ANSWERS = {
+RESPONSES = {
     "length": b"HTTP/1.1 200 \r\nContent-Length: 5\r\n\r\nabcde",
     "chunks": b"HTTP/1.1 200 OK\r\nTransfer-Encoding: Chunked\r\n\r\n5\r\nabcde\r\n0\r\n\r\n",
     "interim": b"HTTP/1.1 100 Go\r\n\r\nHTTP/1.1 103 X\r\nA: b\r\n\r\n"
@@ -55,109 +55,113 @@
 }
 
 
-def fed(reader: MessageReader, *pieces: bytes) -> Any:
+def parse_pieces(reader: MessageReader, *pieces: bytes) -> Any:
     for piece in pieces:
         reader.feed(piece)
-        found = reader.next()  # type: ignore[attr-defined]
-        if found is not None:
-            return found
+        message = reader.next()  # type: ignore[attr-defined]
+        if message is not None:
+            return message
     return None
 
 
-@pytest.mark.parametrize("form", FORMS)
-def test_a_request_is_the_same_cut_at_any_byte(form: str) -> None:
-    wire = FORMS[form]
-    whole = fed(RequestReader(), wire)
+@pytest.mark.parametrize("form", REQUESTS)
+def test_request_parses_the_same_when_split_at_any_byte(form: str) -> None:
+    wire = REQUESTS[form]
+    expected = parse_pieces(RequestReader(), wire)
     assert (
-        whole.path == "/api" and whole.body == (b"" if form == "no body" else b"abcde") and whole.keep_alive
+        expected.path == "/api"
+        and expected.body == (b"" if form == "no body" else b"abcde")
+        and expected.keep_alive
     )
     for at in range(1, len(wire)):
         reader = RequestReader()
-        assert fed(reader, wire[:at], wire[at:]) == whole and not reader.started
+        assert parse_pieces(reader, wire[:at], wire[at:]) == expected and not reader.started
 
 
-@pytest.mark.parametrize("form", ANSWERS)
-def test_an_answer_is_the_same_cut_at_any_byte(form: str) -> None:
-    wire = ANSWERS[form]
-    whole = fed(ResponseReader(), wire)
-    assert (whole.status, whole.body, whole.keep_alive) == (200, b"abcde", True)
+@pytest.mark.parametrize("form", RESPONSES)
+def test_response_parses_the_same_when_split_at_any_byte(form: str) -> None:
+    wire = RESPONSES[form]
+    expected = parse_pieces(ResponseReader(), wire)
+    assert (expected.status, expected.body, expected.keep_alive) == (200, b"abcde", True)
     for at in range(1, len(wire)):
-        assert fed(ResponseReader(), wire[:at], wire[at:]) == whole
+        assert parse_pieces(ResponseReader(), wire[:at], wire[at:]) == expected
 
 
 @pytest.mark.parametrize("step", [1000, 4096, 65536, MB])
-@pytest.mark.parametrize("chunk", [0, 1, 7000, 200_000])
-def test_a_large_body_is_given_out_in_pieces_and_nothing_of_it_is_held(chunk: int, step: int) -> None:
-    body = BODY[: 300_000 if chunk != 1 else 70_000]
-    if chunk:
-        parts = [body[at : at + chunk] for at in range(0, len(body), chunk)]
-        framed = b"".join(b"%x\r\n%b\r\n" % (len(part), part) for part in parts) + b"0\r\n\r\n"
+@pytest.mark.parametrize("chunk_size", [0, 1, 7000, 200_000])
+def test_large_body_is_returned_in_pieces_and_not_buffered(chunk_size: int, step: int) -> None:
+    body = BODY[: 300_000 if chunk_size != 1 else 70_000]
+    if chunk_size:
+        chunks = [body[at : at + chunk_size] for at in range(0, len(body), chunk_size)]
+        framed = (
+            b"".join(b"%x\r\n%b\r\n" % (len(chunk_body), chunk_body) for chunk_body in chunks) + b"0\r\n\r\n"
+        )
         wire = POST + b"Transfer-Encoding: chunked\r\n\r\n" + framed
     else:
         wire = POST + b"Content-Length: %d\r\n\r\n" % len(body) + body
     reader = RequestReader()
-    found, ended, most = bytearray(), False, 0
+    received, ended, max_unread = bytearray(), False, 0
     for at in range(0, len(wire), step):
         reader.feed(wire[at : at + step])
-        beginning = reader.next()
-        if beginning is not None:
-            found += beginning.body
-            assert beginning.length == (None if chunk else len(body))
-            ended = not beginning.more_body
+        request = reader.next()
+        if request is not None:
+            received += request.body
+            assert request.length == (None if chunk_size else len(body))
+            ended = not request.more_body
         elif reader.streaming:
             piece, ended = reader.take_piece()
-            found += piece
-            most = max(most, reader.unread)
-    assert bytes(found) == body and ended and not reader.started
-    assert most <= 256 + 2  # the line of a chunk's size
+            received += piece
+            max_unread = max(max_unread, reader.unread)
+    assert bytes(received) == body and ended and not reader.started
+    assert max_unread <= 256 + 2  # the longest line with the size of a chunk
 
 
-def test_a_large_body_that_never_ends_is_refused() -> None:
+def test_endless_chunked_body_is_rejected() -> None:
     reader = RequestReader(max_body=MB)
     reader.feed(POST + b"Transfer-Encoding: chunked\r\n\r\n")
-    with pytest.raises(MalformedMessageError) as refused:
+    with pytest.raises(MalformedMessageError) as raised:
         for _ in range(20):
             reader.feed(b"%x\r\n%b\r\n" % (MB // 10, BODY[: MB // 10]))
             if reader.streaming:
                 reader.take_piece()
             else:
                 reader.next()
-    assert refused.value.status == 413
+    assert raised.value.status == 413
 
 
-# On loopback.
+# Over loopback connections.
 
-Serve = Callable[["Talk"], Awaitable[None]]
+Script = Callable[["ScriptedConnection"], Awaitable[None]]
 
 
-class Talk:
-    """A server's side of one connection."""
+class ScriptedConnection:
+    """The server's side of a connection."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader, self.writer = reader, writer
 
-    async def request(self, most: int | None = None) -> tuple[Request, bytes]:
-        """One request with its whole body, or with the first so many bytes of it."""
-        requests, body, request, ended = RequestReader(), bytearray(), None, False
-        while not ended and (most is None or len(body) < most):
-            piece = await self.reader.read(65536)
-            if not piece:
-                raise ConnectionError("cut")
-            requests.feed(piece)
+    async def read_request(self, max_bytes: int | None = None) -> tuple[Request, bytes]:
+        """Read a request with its whole body, or until `max_bytes` of the body have arrived."""
+        parser, body, request, ended = RequestReader(), bytearray(), None, False
+        while not ended and (max_bytes is None or len(body) < max_bytes):
+            chunk = await self.reader.read(65536)
+            if not chunk:
+                raise ConnectionError("closed within a request")
+            parser.feed(chunk)
             if request is None:
-                request = requests.next()
+                request = parser.next()
                 if request is not None:
                     body += request.body
                     ended = not request.more_body
-            elif requests.streaming:
-                more, ended = requests.take_piece()
+            elif parser.streaming:
+                more, ended = parser.take_piece()
                 body += more
         assert request is not None
         return request, bytes(body)
 
     async def send(self, *pieces: bytes) -> None:
-        for piece in pieces:
-            self.writer.write(piece)
+        for chunk in pieces:
+            self.writer.write(chunk)
             await self.writer.drain()
 
     def reset(self) -> None:
@@ -166,416 +170,426 @@
         self.writer.close()
 
 
-class Scripted(Peer):
-    """A server of which each connection goes by the script."""
+class ScriptedServer(Peer):
+    """A server that runs a script on each connection."""
 
-    def __init__(self, script: Serve) -> None:
+    def __init__(self, script: Script) -> None:
         super().__init__()
         self.script = script
-        self.gone = asyncio.Event()
+        self.disconnected = asyncio.Event()
         self.errors: list[Exception] = []
 
     async def _serve(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.connections += 1
         try:
-            await self.script(Talk(reader, writer))
+            await self.script(ScriptedConnection(reader, writer))
         except ConnectionError:
             pass
         except Exception as error:
             self.errors.append(error)
         finally:
-            self.gone.set()
+            self.disconnected.set()
             writer.close()
 
 
-class Caller(Client):
-    def begin(
-        self, body: bytes | None = None, chunks: bool = False, version: str = "1.1", left: int = 2000
+class BodyClient(Client):
+    """A client that can send and receive large bodies."""
+
+    def begin_request(
+        self, body: bytes | None = None, chunked: bool = False, version: str = "1.1", deadline_ms: int = 2000
     ) -> None:
         self.job_id += 1
         framing = "" if body is None else f"Content-Length: {len(body)}\r\n"
-        if chunks:
+        if chunked:
             framing = "Transfer-Encoding: chunked\r\n"
         method = "GET" if body is None else "POST"
         self.send(
             f"{method} /api HTTP/{version}\r\nHost: a\r\nReq-Id: {self.job_id}\r\nReq-Kind: plain\r\n"
-            f"Req-Deadline-Ms: {left}\r\n{framing}\r\n".encode()
+            f"Req-Deadline-Ms: {deadline_ms}\r\n{framing}\r\n".encode()
         )
 
-    async def whole(self) -> tuple[int, bytes, bool]:
-        """Status, body and whether it came to its end."""
-        answers, body = ResponseReader(), bytearray()
-        status, ended, going = 0, False, False
+    async def read_response(self) -> tuple[int, bytes, bool]:
+        """Return the status, the body, and whether the response is complete."""
+        parser, body = ResponseReader(), bytearray()
+        status, ended, head_received = 0, False, False
         async with asyncio.timeout(15):
             while not ended:
                 try:
-                    piece = await self._reader.read(65536)
+                    chunk = await self._reader.read(65536)
                 except ConnectionError:
                     return status, bytes(body), False
-                if not piece:
-                    return status, bytes(body), going and answers.ends_with_connection()
-                answers.feed(piece)
-                if not going:
-                    answer = answers.next()
-                    if answer is None:
+                if not chunk:
+                    return status, bytes(body), head_received and parser.ends_with_connection()
+                parser.feed(chunk)
+                if not head_received:
+                    response = parser.next()
+                    if response is None:
                         continue
-                    status, going, ended = answer.status, answer.more_body, not answer.more_body
-                    body += answer.body
+                    status, head_received, ended = response.status, response.more_body, not response.more_body
+                    body += response.body
                 else:
-                    more, ended = answers.take_piece()
+                    more, ended = parser.take_piece()
                     body += more
         return status, bytes(body), True
 
 
 @asynccontextmanager
-async def served(*scripts: Serve, **terms: Any) -> AsyncIterator[tuple[Node, Address, list[Scripted]]]:
+async def running_with_scripts(
+    *scripts: Script, **options: Any
+) -> AsyncIterator[tuple[Node, Address, list[ScriptedServer]]]:
     async with contextlib.AsyncExitStack() as stack:
-        peers = [await stack.enter_async_context(Scripted(script)) for script in scripts]
-        node, address = await stack.enter_async_context(running(*peers, **terms))
+        peers = [await stack.enter_async_context(ScriptedServer(script)) for script in scripts]
+        node, address = await stack.enter_async_context(running(*peers, **options))
         yield node, address, peers
         assert not any(peer.errors for peer in peers), peers[0].errors
 
 
-async def nothing_left(node: Node) -> None:
-    """No job, stream or connection to a server in use is left behind."""
+async def wait_until_idle(node: Node) -> None:
+    """Wait until each request is accounted for and no stream is open."""
     async with asyncio.timeout(5):
         while True:
-            figures = node.counters.read()
-            answered = sum(figures.get(f"responses_{kind}", 0) for kind in (*KINDS, "truncated"))
-            told = figures["requests_received"] == answered + figures.get("requests_cancelled", 0)
-            if told and not figures["requests_tracked"] and not figures["streams_open"]:
+            counters = node.counters.read()
+            responses = sum(counters.get(f"responses_{outcome}", 0) for outcome in (*OUTCOMES, "truncated"))
+            all_counted = counters["requests_received"] == responses + counters.get("requests_cancelled", 0)
+            if all_counted and not counters["requests_tracked"] and not counters["streams_open"]:
                 break
             await asyncio.sleep(0.002)
-    assert not figures.get("internal_errors")
+    assert not counters.get("internal_errors")
 
 
-KINDS = ("succeeded", "rejected", "failed", "internal_error")
+OUTCOMES = ("succeeded", "rejected", "failed", "internal_error")
 
 
-async def echo(talk: Talk) -> None:
+async def echo(connection: ScriptedConnection) -> None:
     while True:
-        _, body = await talk.request()
-        await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
+        _, body = await connection.read_request()
+        await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body), body)
 
 
-async def echo_in_chunks(talk: Talk) -> None:
+async def echo_chunked(connection: ScriptedConnection) -> None:
     while True:
-        _, body = await talk.request()
-        await talk.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+        _, body = await connection.read_request()
+        await connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
         for at in range(0, len(body), 100_000):
             part = body[at : at + 100_000]
-            await talk.send(b"%x;e=1\r\n%b\r\n" % (len(part), part))
-        await talk.send(b"0\r\nX: y\r\n\r\n")
+            await connection.send(b"%x;e=1\r\n%b\r\n" % (len(part), part))
+        await connection.send(b"0\r\nX: y\r\n\r\n")
 
 
-async def echo_to_the_end(talk: Talk) -> None:
-    _, body = await talk.request()
-    await talk.send(b"HTTP/1.1 200 OK\r\n\r\n", body)
+async def echo_until_close(connection: ScriptedConnection) -> None:
+    _, body = await connection.read_request()
+    await connection.send(b"HTTP/1.1 200 OK\r\n\r\n", body)
 
 
-@pytest.mark.parametrize("script", [echo, echo_in_chunks, echo_to_the_end])
-@pytest.mark.parametrize("chunks", [False, True])
+@pytest.mark.parametrize("script", [echo, echo_chunked, echo_until_close])
+@pytest.mark.parametrize("chunked", [False, True])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_a_large_body_goes_and_comes_back_unchanged(script: Serve, chunks: bool, version: str) -> None:
-    async def story() -> None:
-        async with served(script) as (node, address, _):
-            caller = await Caller().open(address)
+def test_large_body_is_echoed_unchanged(script: Script, chunked: bool, version: str) -> None:
+    async def scenario() -> None:
+        async with running_with_scripts(script) as (node, address, _):
+            client = await BodyClient().open(address)
             body = BODY * 3 + b"end"
             for _ in range(2 if version == "1.1" else 1):
-                caller.begin(body, chunks, version)
+                client.begin_request(body, chunked, version)
                 for at in range(0, len(body), 50_000):
                     part = body[at : at + 50_000]
-                    caller.send(b"%x\r\n%b\r\n" % (len(part), part) if chunks else part)
-                    await caller.writer.drain()
-                if chunks:
-                    caller.send(b"0\r\n\r\n")
-                assert await caller.whole() == (200, body, True)
-            await nothing_left(node)
+                    client.send(b"%x\r\n%b\r\n" % (len(part), part) if chunked else part)
+                    await client.writer.drain()
+                if chunked:
+                    client.send(b"0\r\n\r\n")
+                assert await client.read_response() == (200, body, True)
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_the_first_bytes_of_a_large_answer_go_on_while_the_rest_is_still_to_come() -> None:
-    async def story() -> None:
+def test_first_bytes_of_a_large_response_are_forwarded_before_the_rest_arrives() -> None:
+    async def scenario() -> None:
         go_on = asyncio.Event()
 
-        async def slow(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY), BODY[:70_000])
+        async def send_in_two_parts(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(BODY), BODY[:70_000])
             await go_on.wait()
-            await talk.send(BODY[70_000:])
+            await connection.send(BODY[70_000:])
 
-        async with served(slow) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin(left=300)
+        async with running_with_scripts(send_in_two_parts) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(deadline_ms=300)
             async with asyncio.timeout(5):
-                head = await caller._reader.readuntil(b"\r\n\r\n")
-                first = await caller._reader.readexactly(70_000)
+                head = await client._reader.readuntil(b"\r\n\r\n")
+                first = await client._reader.readexactly(70_000)
             assert b"200" in head and first == BODY[:70_000]
-            await asyncio.sleep(0.4)  # past the job's time: it is that of the first bytes
+            await asyncio.sleep(0.4)  # past the deadline, which applies to the first bytes only
             assert node.counters.read()["requests_in_flight"] == 1
             go_on.set()
             async with asyncio.timeout(5):
-                assert await caller._reader.readexactly(len(BODY) - 70_000) == BODY[70_000:]
-            await nothing_left(node)
+                assert await client._reader.readexactly(len(BODY) - 70_000) == BODY[70_000:]
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("length", [True, False])
-def test_an_answer_that_drips_goes_on_before_much_of_it_has_come(
-    length: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("with_length", [True, False])
+def test_slow_response_is_forwarded_before_much_of_it_has_arrived(
+    with_length: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "RESPONSE_HOLD_S", 0.05)
 
-    async def story() -> None:
-        heard = asyncio.Event()
+    async def scenario() -> None:
+        head_received = asyncio.Event()
 
-        async def drip(talk: Talk) -> None:
-            await talk.request()
-            framing = b"Content-Length: 100000" if length else b"Connection: close"
-            await talk.send(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
+        async def send_slowly(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            framing = b"Content-Length: 100000" if with_length else b"Connection: close"
+            await connection.send(b"HTTP/1.1 200 OK\r\n" + framing + b"\r\n\r\n")
             for at in range(0, 1000, 10):
-                await talk.send(BODY[at : at + 10])
+                await connection.send(BODY[at : at + 10])
                 await asyncio.sleep(0.005)
-            await heard.wait()
-            await talk.send(BODY[1000:100_000])
+            await head_received.wait()
+            await connection.send(BODY[1000:100_000])
 
-        async with served(drip) as (_, address, _):
-            caller = await Caller().open(address)
-            caller.begin()
+        async with running_with_scripts(send_slowly) as (_, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request()
             async with asyncio.timeout(5):
-                await caller._reader.readuntil(b"\r\n\r\n")
-            heard.set()
+                await client._reader.readuntil(b"\r\n\r\n")
+            head_received.set()
             async with asyncio.timeout(5):
-                rest = await caller._reader.read(10)
+                rest = await client._reader.read(10)
             assert rest
 
-    run(story())
+    run(scenario())
 
 
-def test_a_short_answer_in_chunks_is_whole_or_none_however_slow(monkeypatch: pytest.MonkeyPatch) -> None:
-    """What stops early is not passed on: it can be retried."""
+def test_response_reset_before_any_of_it_was_forwarded_is_answered_503(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """The node holds back the start of a response, so that one that breaks off early can be retried."""
 
-    async def story() -> None:
-        async def stuck(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc")
+    async def scenario() -> None:
+        async def send_part_and_reset(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 100000\r\n\r\nabc")
             await asyncio.sleep(0.4)
-            talk.reset()
+            connection.reset()
 
-        async with served(stuck) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin()
-            assert (await caller.answer()).status == 503
-            await nothing_left(node)
+        async with running_with_scripts(send_part_and_reset) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request()
+            assert (await client.answer()).status == 503
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-BREAKS = ["reset", "close", "nothing more", "bad chunk"]
+ENDINGS = ["reset", "close", "stall", "invalid chunk"]
 
 
-@pytest.mark.parametrize("end", BREAKS)
+@pytest.mark.parametrize("ending", ENDINGS)
 @pytest.mark.parametrize("framing", ["length", "chunks"])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-def test_an_answer_broken_off_midway_is_told_as_broken_and_sent_nowhere_else(
-    end: str, framing: str, version: str, monkeypatch: pytest.MonkeyPatch
+def test_response_broken_off_midway_is_truncated_and_not_retried(
+    ending: str, framing: str, version: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(body_streaming, "STALL_TIMEOUT_S", 0.1)
 
-    async def story() -> None:
+    async def scenario() -> None:
         requests = 0
 
-        async def breaks(talk: Talk) -> None:
+        async def break_off(connection: ScriptedConnection) -> None:
             nonlocal requests
-            await talk.request()
+            await connection.read_request()
             requests += 1
             head = b"Content-Length: %d" % len(BODY) if framing == "length" else b"Transfer-Encoding: chunked"
-            await talk.send(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
+            await connection.send(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
             part = BODY[:200_000]
-            await talk.send(part if framing == "length" else b"%x\r\n%b\r\n" % (len(part), part))
-            if end == "bad chunk" and framing == "chunks":
-                await talk.send(b"what\r\n")
-            if end == "reset":
-                await asyncio.sleep(0.05)  # so that what was written has come
-                talk.reset()
-            elif end == "nothing more":
+            await connection.send(part if framing == "length" else b"%x\r\n%b\r\n" % (len(part), part))
+            if ending == "invalid chunk" and framing == "chunks":
+                await connection.send(b"what\r\n")
+            if ending == "reset":
+                await asyncio.sleep(0.05)  # until the bytes written before have arrived
+                connection.reset()
+            elif ending == "stall":
                 await asyncio.sleep(10)
 
-        async with served(breaks, breaks) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin(version=version)
-            status, body, whole = await caller.whole()
-            assert status in (200, 0) and not whole and len(body) <= 200_000
-            await nothing_left(node)
+        async with running_with_scripts(break_off, break_off) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(version=version)
+            status, body, complete = await client.read_response()
+            assert status in (200, 0) and not complete and len(body) <= 200_000
+            await wait_until_idle(node)
             assert requests == 1 and node.counters.read()["responses_truncated"] == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_caller_that_goes_midway_or_reads_nothing_ends_the_servers_side_too(
+def test_client_that_closes_or_stops_reading_ends_the_upstream_connection(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(response_writer, "WRITE_TIMEOUT_S", 0.2)
 
-    async def story() -> None:
-        async def endless(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
+    async def scenario() -> None:
+        async def send_30_mb(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n")
             for _ in range(30):
-                await talk.send(b"%x\r\n%b\r\n" % (MB, BODY))
-
-        for goes in (True, False):
-            async with served(endless) as (node, address, (peer,)):
-                caller = await Caller().open(address)
-                caller.begin()
-                await caller._reader.readexactly(100_000)
-                if goes:
-                    caller.writer.close()
+                await connection.send(b"%x\r\n%b\r\n" % (MB, BODY))
+
+        for closes in (True, False):
+            async with running_with_scripts(send_30_mb) as (node, address, (peer,)):
+                client = await BodyClient().open(address)
+                client.begin_request()
+                await client._reader.readexactly(100_000)
+                if closes:
+                    client.writer.close()
                 async with asyncio.timeout(5):
-                    await peer.gone.wait()
-                await nothing_left(node)
+                    await peer.disconnected.wait()
+                await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("how", ["caller closes", "caller stalls", "noise"])
-def test_a_body_that_is_never_whole_never_runs(how: str, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("failure", ["client closes", "client stalls", "invalid chunk"])
+def test_request_with_an_incomplete_body_never_runs(failure: str, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(request_intake, "BODY_GRACE_S", 0.2)
 
-    async def story() -> None:
-        ran = []
+    async def scenario() -> None:
+        received = []
 
-        async def counts(talk: Talk) -> None:
-            ran.append(await talk.request())
+        async def record_request(connection: ScriptedConnection) -> None:
+            received.append(await connection.read_request())
 
-        async with served(counts) as (node, address, (peer,)):
-            caller = await Caller().open(address)
-            caller.begin(BODY, chunks=how == "noise")
-            caller.send(b"%x\r\n%b\r\n" % (200_000, BODY[:200_000]) if how == "noise" else BODY[:100_000])
+        async with running_with_scripts(record_request) as (node, address, (peer,)):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY, chunked=failure == "invalid chunk")
+            client.send(
+                b"%x\r\n%b\r\n" % (200_000, BODY[:200_000]) if failure == "invalid chunk" else BODY[:100_000]
+            )
             while not peer.connections:
                 await asyncio.sleep(0.002)
-            if how == "caller closes":
-                caller.writer.close()
-            elif how == "noise":
-                caller.send(b"what is this\r\n")
-                assert (await caller.answer()).status == 400
+            if failure == "client closes":
+                client.writer.close()
+            elif failure == "invalid chunk":
+                client.send(b"what is this\r\n")
+                assert (await client.answer()).status == 400
             else:
                 monkeypatch.setattr(request_intake, "BODY_MIN_RATE", 4 * MB)
-                assert (await caller.answer()).status == 408
-            await peer.gone.wait()
-            await nothing_left(node)
-            assert not ran
+                assert (await client.answer()).status == 408
+            await peer.disconnected.wait()
+            await wait_until_idle(node)
+            assert not received
 
-    run(story())
+    run(scenario())
 
 
-def test_a_server_that_breaks_off_a_body_never_ran_it_and_the_caller_goes_on() -> None:
-    async def story() -> None:
-        async def breaks(talk: Talk) -> None:
-            request, _ = await talk.request(most=200_000)
+def test_upload_reset_by_the_server_is_answered_503_and_the_client_stays_connected() -> None:
+    async def scenario() -> None:
+        async def reset_large_requests(connection: ScriptedConnection) -> None:
+            request, _ = await connection.read_request(max_bytes=200_000)
             if request.more_body:
-                talk.reset()
+                connection.reset()
             else:
-                await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+                await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
 
-        async with served(breaks, breaks) as (node, address, peers):
-            caller = await Caller().open(address)
-            caller.begin(BODY * 8)
+        async with running_with_scripts(reset_large_requests, reset_large_requests) as (node, address, peers):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY * 8)
             for _ in range(4):
-                caller.send(BODY)
+                client.send(BODY)
                 await asyncio.sleep(0.02)
-            answer = await caller.answer()
-            assert answer.status == 503 and answer.keep_alive  # told at once, while it still sends
-            caller.send(BODY * 4)
-            caller.begin()
-            assert (await caller.answer()).status == 200
+            response = await client.answer()
+            assert (
+                response.status == 503 and response.keep_alive
+            )  # sent at once, while the client still sends
+            client.send(BODY * 4)
+            client.begin_request()
+            assert (await client.answer()).status == 200
             assert sum(peer.connections for peer in peers) <= 3
-            await nothing_left(node)
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_server_may_turn_a_body_away_before_its_end() -> None:
-    async def story() -> None:
-        async def declines(talk: Talk) -> None:
-            await talk.request(most=100_000)
-            await talk.send(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
+def test_server_may_reject_a_request_before_its_body_is_complete() -> None:
+    async def scenario() -> None:
+        async def reject_early(connection: ScriptedConnection) -> None:
+            await connection.read_request(max_bytes=100_000)
+            await connection.send(b"HTTP/1.1 503 Full\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n")
             await asyncio.sleep(0.2)
 
-        async with served(declines) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin(BODY)
-            caller.send(BODY[:500_000])
-            assert (await caller.answer()).status == 503
-            caller.send(BODY[500_000:])
-            await nothing_left(node)
+        async with running_with_scripts(reject_early) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY)
+            client.send(BODY[:500_000])
+            assert (await client.answer()).status == 503
+            client.send(BODY[500_000:])
+            await wait_until_idle(node)
             assert node.counters.read()["attempts_rejected"] == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_server_that_cannot_be_reached_is_followed_by_another_with_the_body_whole() -> None:
-    async def story() -> None:
+def test_request_is_retried_with_its_whole_body_after_a_failed_connect() -> None:
+    async def scenario() -> None:
         bodies = []
 
-        async def keeps(talk: Talk) -> None:
+        async def record_body(connection: ScriptedConnection) -> None:
             while True:
-                bodies.append((await talk.request())[1])
-                await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
-
-        async with Scripted(keeps) as gone:
-            address_of_gone = gone.address
-        async with served(keeps, max_attempts=4) as (node, address, (_,)):
-            for _ in range(20):  # for the budget of retries
-                caller = await Caller().open(address)
-                caller.begin()
-                assert (await caller.answer()).status == 200
+                bodies.append((await connection.read_request())[1])
+                await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+
+        async with ScriptedServer(record_body) as closed_server:
+            closed_address = closed_server.address
+        async with running_with_scripts(record_body, max_attempts=4) as (node, address, (_,)):
+            for _ in range(20):  # to fill the retry budget
+                client = await BodyClient().open(address)
+                client.begin_request()
+                assert (await client.answer()).status == 200
             bodies.clear()
             dead = Peer()
-            dead.address = address_of_gone
-            list_ = rows(dead)
-            list_[0]["name"] = "dead"
+            dead.address = closed_address
+            endpoints = rows(dead)
+            endpoints[0]["name"] = "dead"
             node._apply_list(
-                read_list({"index": 2, "snapshot": False, "endpoints": list_}), ListUpdate.CHANGES
+                read_list({"index": 2, "snapshot": False, "endpoints": endpoints}), ListUpdate.CHANGES
             )
             for _ in range(8):
-                caller = await Caller().open(address)
-                caller.begin(BODY)
-                caller.send(BODY)
-                assert (await caller.answer()).status == 200
+                client = await BodyClient().open(address)
+                client.begin_request(BODY)
+                client.send(BODY)
+                assert (await client.answer()).status == 200
             assert bodies == [BODY] * 8
             assert node.counters.read().get("attempts_no_connection", 0) >= 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_bodys_time_counts_from_its_last_byte() -> None:
-    async def story() -> None:
-        async def late(talk: Talk) -> None:
-            await talk.request()
+def test_deadline_of_a_large_request_counts_from_its_last_byte() -> None:
+    async def scenario() -> None:
+        async def respond_late(connection: ScriptedConnection) -> None:
+            await connection.read_request()
             await asyncio.sleep(0.15)
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n")
 
-        async with served(late) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin(BODY, left=300)
+        async with running_with_scripts(respond_late) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY, deadline_ms=300)
             for at in range(0, MB, MB // 16):
-                caller.send(BODY[at : at + MB // 16])
+                client.send(BODY[at : at + MB // 16])
                 await asyncio.sleep(0.03)  # half a second in all
-            assert (await caller.answer()).status == 200
-            caller.begin(BODY, left=100)
-            caller.send(BODY)
-            began = asyncio.get_running_loop().time()
-            assert (await caller.answer()).status in (502, 503)
-            assert asyncio.get_running_loop().time() - began < 1.0
-            await nothing_left(node)
+            assert (await client.answer()).status == 200
+            client.begin_request(BODY, deadline_ms=100)
+            client.send(BODY)
+            sent_at = asyncio.get_running_loop().time()
+            assert (await client.answer()).status in (502, 503)
+            assert asyncio.get_running_loop().time() - sent_at < 1.0
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_streams_hold_less_the_more_there_are() -> None:
+def test_stream_buffers_shrink_as_the_number_of_streams_grows() -> None:
     streams = StreamBuffers()
     sizes = []
     for streams.active in (1, 32, 33, 128, 129, 1000):
@@ -583,19 +597,19 @@
     assert sizes == [65536, 65536, 16384, 16384, 4096, 4096]
 
 
-def test_memory_depends_on_streams_and_not_on_what_passes_through(tmp_path: Path) -> None:
-    """Sixteen bodies of 16 MB go to servers that echo them, to callers that are slow to read."""
+def test_memory_use_does_not_grow_with_the_bytes_forwarded(tmp_path: Path) -> None:
+    """Clients that are slow to read send sixteen bodies of 16 MB, and a server echoes them."""
 
-    async def story() -> None:
-        async with Scripted(echo) as peer, Peer() as place:
-            told = configuration(place.at)
-            told["known"] = {"index": 1, "snapshot": True, "endpoints": rows(peer)}
-            told["settings"]["profiles"][0] |= {"contract_time": 30000, "abandon_time": 60000}
-            (tmp_path / "told.json").write_text(json.dumps(told))
+    async def scenario() -> None:
+        async with ScriptedServer(echo) as peer, Peer() as discovery:
+            document = configuration(discovery.at)
+            document["known"] = {"index": 1, "snapshot": True, "endpoints": rows(peer)}
+            document["settings"]["profiles"][0] |= {"contract_time": 30000, "abandon_time": 60000}
+            (tmp_path / "config.json").write_text(json.dumps(document))
             listen, mgmt = free_address(), free_address()
             environment = {
                 **os.environ,
-                "GW_CONFIG": str(tmp_path / "told.json"),
+                "GW_CONFIG": str(tmp_path / "config.json"),
                 "GW_LISTEN": f"{listen[0]}:{listen[1]}",
                 "GW_MGMT": f"{mgmt[0]}:{mgmt[1]}",
             }
@@ -603,212 +617,212 @@
                 [sys.executable, "-m", "notchjunction"], env=environment, stderr=subprocess.DEVNULL
             )
 
-            async def one() -> None:
-                caller = await Caller().open(listen)
-                caller.begin(BODY * 16, left=60000)
+            async def exchange() -> None:
+                client = await BodyClient().open(listen)
+                client.begin_request(BODY * 16, deadline_ms=60000)
                 for _ in range(16):
-                    caller.send(BODY)
-                    await caller.writer.drain()
-                status, body, whole = await caller.whole()
-                assert status in (200, 503) and whole
+                    client.send(BODY)
+                    await client.writer.drain()
+                status, body, complete = await client.read_response()
+                assert status in (200, 503) and complete
                 if status == 200:
                     assert len(body) == 16 * MB
-                    passed.append(status)
+                    succeeded.append(status)
 
-            passed: list[int] = []
+            succeeded: list[int] = []
             try:
                 await until_yes(mgmt)
-                while len(passed) < 16:
-                    await asyncio.gather(*(one() for _ in range(4)))
-                used = Path(f"/proc/{process.pid}/status").read_text()
-                most = int(used.partition("VmHWM:")[2].split()[0]) / 1024
-                assert most < 64, f"{most:.0f} MB"
+                while len(succeeded) < 16:
+                    await asyncio.gather(*(exchange() for _ in range(4)))
+                status_text = Path(f"/proc/{process.pid}/status").read_text()
+                peak_mb = int(status_text.partition("VmHWM:")[2].split()[0]) / 1024
+                assert peak_mb < 64, f"{peak_mb:.0f} MB"
                 process.send_signal(signal.SIGTERM)
                 assert await asyncio.to_thread(process.wait, 10) == 0
             finally:
                 process.kill()
                 process.wait()
 
-    asyncio.run(asyncio.wait_for(story(), 60))
+    asyncio.run(asyncio.wait_for(scenario(), 60))
 
 
-# The module.
+# The balancer.
 
 
-def large(host: FakeHost) -> int:
+def submit_incomplete(host: FakeHost) -> int:
     host.request_count += 1
     host.balancer.request_arrived(NewRequest(host.request_count, 0, 0, 2.0, body_complete=False))
     return host.request_count
 
 
-def test_a_job_that_is_not_whole_takes_no_room_and_no_time() -> None:
+def test_incomplete_request_is_not_in_flight_and_its_deadline_does_not_run() -> None:
     host = FakeHost(endpoints=1)
     host.serve_requests(20)
-    job = large(host)
-    assert len(host.sent_to(job)) == 1 and not host.balancer._endpoints[0].in_flight
+    request = submit_incomplete(host)
+    assert len(host.sent_to(request)) == 1 and not host.balancer._endpoints[0].in_flight
     host.advance(30.0)
-    assert not host.final_commands(job)
-    host.balancer.body_completed(job)
+    assert not host.final_commands(request)
+    host.balancer.body_completed(request)
     assert len(host.balancer._endpoints[0].in_flight) == 1
     host.advance(1.9)
-    assert not host.final_commands(job)
+    assert not host.final_commands(request)
     host.advance(0.2)
-    assert len(host.final_commands(job)) == 1
+    assert len(host.final_commands(request)) == 1
 
 
-@pytest.mark.parametrize("spent", [False, True])
-def test_a_body_that_was_sent_on_is_not_sent_again(spent: bool) -> None:
+@pytest.mark.parametrize("unrepeatable", [False, True])
+def test_request_with_a_forwarded_body_is_not_retried(unrepeatable: bool) -> None:
     host = FakeHost()
     host.serve_requests(60)
-    job = large(host)
-    server = host.sent_to(job)[0]
+    request = submit_incomplete(host)
+    endpoint = host.sent_to(request)[0]
     host.balancer.attempt_ended(
-        AttemptOutcome(job, 0, server, AttemptResult.NO_CONNECTION, 0.01, unrepeatable=spent)
+        AttemptOutcome(request, 0, endpoint, AttemptResult.NO_CONNECTION, 0.01, unrepeatable=unrepeatable)
     )
-    assert len(host.sent_to(job)) == (1 if spent else 2)
-    assert host.final_commands(job) == (["reject"] if spent else [])
+    assert len(host.sent_to(request)) == (1 if unrepeatable else 2)
+    assert host.final_commands(request) == (["reject"] if unrepeatable else [])
 
 
-def test_after_its_last_byte_a_large_job_gets_no_second_copy() -> None:
+def test_large_request_is_not_hedged_after_its_last_byte() -> None:
     host = FakeHost(hedging=True)
     host.serve_requests(60)
-    job = large(host)
-    host.balancer.body_completed(job)
+    request = submit_incomplete(host)
+    host.balancer.body_completed(request)
     for _ in range(10):
         host.serve_requests(4, every=0.1)
-    assert len(host.sent_to(job)) == 1
+    assert len(host.sent_to(request)) == 1
 
 
-def test_an_answer_that_has_begun_is_final_and_its_server_has_done_the_job() -> None:
+def test_started_response_is_final_and_its_endpoint_is_free() -> None:
     host = FakeHost(endpoints=4, hedging=True)
     host.serve_requests(60)
-    job = host.submit(time_left=20.0)
-    slow = host.sent_to(job)[0]
-    while len(host.sent_to(job)) < 2:  # the server is silent: a second copy
+    request = host.submit(time_left=20.0)
+    slow = host.sent_to(request)[0]
+    while len(host.sent_to(request)) < 2:  # the endpoint does not respond: the request is hedged
         host.serve_requests(2, every=0.1)
-    host.balancer.response_started(job, 1)
-    assert ("cancel_attempt", job, 0) in host.commands
-    second = host.sent_to(job)[1]
+    host.balancer.response_started(request, 1)
+    assert ("cancel_attempt", request, 0) in host.commands
+    second = host.sent_to(request)[1]
     assert not host.balancer._endpoints[second].in_flight and slow != second
-    host.balancer.attempt_ended(AttemptOutcome(job, 0, slow, AttemptResult.CANCELLED, 0.1))
+    host.balancer.attempt_ended(AttemptOutcome(request, 0, slow, AttemptResult.CANCELLED, 0.1))
     host.advance(30.0)
-    assert not host.final_commands(job) and len(host.sent_to(job)) == 2
-    host.balancer.attempt_ended(AttemptOutcome(job, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
-    assert not host.final_commands(job) and job not in host.balancer._pending
+    assert not host.final_commands(request) and len(host.sent_to(request)) == 2
+    host.balancer.attempt_ended(AttemptOutcome(request, 1, second, AttemptResult.SUCCEEDED, 0.1, final=True))
+    assert not host.final_commands(request) and request not in host.balancer._pending
 
 
-def test_operators_are_answered_at_once_while_bodies_pass() -> None:
-    async def story() -> None:
-        async def endless(talk: Talk) -> None:
+def test_admin_api_responds_promptly_during_large_transfers() -> None:
+    async def scenario() -> None:
+        async def send_16_mb(connection: ScriptedConnection) -> None:
             while True:
-                await talk.request()
-                await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB))
+                await connection.read_request()
+                await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (16 * MB))
                 for _ in range(16):
-                    await talk.send(BODY)
+                    await connection.send(BODY)
 
         mgmt = free_address()
-        async with served(*[endless] * 4, mgmt=mgmt) as (node, address, _):
-            going = True
+        async with running_with_scripts(*[send_16_mb] * 4, mgmt=mgmt) as (node, address, _):
+            running_transfers = True
 
-            async def reads() -> int:
+            async def download() -> int:
                 total = 0
-                while going:
-                    caller = await Caller().open(address)
-                    caller.begin()
-                    total += len((await caller.whole())[1])
+                while running_transfers:
+                    client = await BodyClient().open(address)
+                    client.begin_request()
+                    total += len((await client.read_response())[1])
                 return total
 
-            work = [asyncio.create_task(reads()) for _ in range(4)]
+            downloads = [asyncio.create_task(download()) for _ in range(4)]
             while node.counters.read()["streams_open"] < 2:
                 await asyncio.sleep(0.002)
             loop = asyncio.get_running_loop()
             for _ in range(10):
-                began = loop.time()
+                started_at = loop.time()
                 assert await call(mgmt, "GET", "/control/ready") == 200
-                assert loop.time() - began < 1.0
-            going = False
-            assert sum(await asyncio.gather(*work)) >= 16 * MB
-            await nothing_left(node)
+                assert loop.time() - started_at < 1.0
+            running_transfers = False
+            assert sum(await asyncio.gather(*downloads)) >= 16 * MB
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("framing", ["length", "chunks", "end"])
 @pytest.mark.parametrize("version", ["1.1", "1.0"])
-@pytest.mark.parametrize("held", ["caller", "server"])
-def test_an_answer_under_way_moves_to_the_process_that_follows(
-    framing: str, version: str, held: str, tmp_path: Path
+@pytest.mark.parametrize("slow_side", ["client", "server"])
+def test_response_in_progress_migrates_to_the_successor(
+    framing: str, version: str, slow_side: str, tmp_path: Path
 ) -> None:
-    """A caller that reads slowly, or a server that pauses, outlasts the process that began the answer."""
+    """A client that reads slowly, or a server that pauses, outlasts the process that began the response."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         go_on = asyncio.Event()
 
-        async def large(talk: Talk) -> None:
-            await talk.request()
+        async def send_8_mb(connection: ScriptedConnection) -> None:
+            await connection.read_request()
             head = {"length": b"Content-Length: %d" % (8 * MB), "chunks": b"Transfer-Encoding: chunked"}
-            await talk.send(b"HTTP/1.1 200 OK\r\n" + head.get(framing, b"X: y") + b"\r\n\r\n")
+            await connection.send(b"HTTP/1.1 200 OK\r\n" + head.get(framing, b"X: y") + b"\r\n\r\n")
             for number in range(8):
-                if number == 1 and held == "server":
+                if number == 1 and slow_side == "server":
                     await go_on.wait()
-                framed = b"%x\r\n%b\r\n" % (MB, BODY) if framing == "chunks" else BODY
-                await talk.send(framed)
-            await talk.send(b"0\r\n\r\n" if framing == "chunks" else b"")
+                piece = b"%x\r\n%b\r\n" % (MB, BODY) if framing == "chunks" else BODY
+                await connection.send(piece)
+            await connection.send(b"0\r\n\r\n" if framing == "chunks" else b"")
             if framing != "end":
-                await talk.reader.read()
+                await connection.reader.read()
 
-        async with served(large, shared=tmp_path) as (old, address, _):
-            caller = await Caller().open(address)
-            caller.begin(version=version)
-            await caller._reader.readuntil(b"\r\n\r\n")
+        async with running_with_scripts(send_8_mb, shared=tmp_path) as (old, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(version=version)
+            await client._reader.readuntil(b"\r\n\r\n")
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
-                while old._client_listener.connected:  # all its callers are gone, this one among them
+                while old._client_listener.connected:  # until the old process has no client left
                     await asyncio.sleep(0.005)
                 while not new.counters.read().get("streams_adopted"):
                     await asyncio.sleep(0.005)
                 assert old.counters.read()["streams_migrated"] == new.counters.read()["streams_adopted"] == 1
                 go_on.set()
-                wanted, found = BODY * 8, bytearray()
+                expected, received = BODY * 8, bytearray()
                 if framing == "length" or version == "1.0":
-                    found += await caller._reader.readexactly(len(wanted))
+                    received += await client._reader.readexactly(len(expected))
                 else:
-                    while line := (await caller._reader.readline()).strip():
+                    while line := (await client._reader.readline()).strip():
                         size = int(line, 16)
-                        found += await caller._reader.readexactly(size)
-                        await caller._reader.readexactly(2)
+                        received += await client._reader.readexactly(size)
+                        await client._reader.readexactly(2)
                         if size == 0:
                             break
-                assert bytes(found) == wanted
+                assert bytes(received) == expected
                 if version == "1.0":
-                    assert await caller.closed()
+                    assert await client.closed()
                 while new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
-                caller.writer.close()
+                client.writer.close()
                 while new._descriptors.in_use:
                     await asyncio.sleep(0.002)
                 assert not new.counters.read().get("internal_errors") and not old.counters.read().get(
                     "internal_errors"
                 )
 
-    run(story())
+    run(scenario())
 
 
-def test_a_moved_answer_that_breaks_off_is_told_as_broken(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_migrated_response_that_breaks_off_is_truncated(tmp_path: Path) -> None:
+    async def scenario() -> None:
         go_on = asyncio.Event()
 
-        async def breaks(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (8 * MB), BODY)
+        async def break_off(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (8 * MB), BODY)
             await go_on.wait()
-            talk.reset()
+            connection.reset()
 
-        async with served(breaks, shared=tmp_path) as (old, address, _):
-            caller = await Caller().open(address)
-            caller.begin()
+        async with running_with_scripts(break_off, shared=tmp_path) as (old, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request()
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
@@ -816,28 +830,28 @@
                 while not new.counters.read().get("streams_adopted"):
                     await asyncio.sleep(0.002)
                 go_on.set()
-                status, body, whole = await caller.whole()
-                assert status == 200 and not whole and len(body) <= MB
+                status, body, complete = await client.read_response()
+                assert status == 200 and not complete and len(body) <= MB
                 while new._descriptors.in_use or new.counters.read()["streams_open"]:
                     await asyncio.sleep(0.002)
                 assert new.counters.read()["streams_truncated"] == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_an_answer_stays_where_no_process_can_take_it(tmp_path: Path) -> None:
-    async def story() -> None:
+def test_response_stays_when_no_process_can_adopt_it(tmp_path: Path) -> None:
+    async def scenario() -> None:
         go_on = asyncio.Event()
 
-        async def pauses(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
+        async def pause_midway(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
             await go_on.wait()
-            await talk.send(BODY)
+            await connection.send(BODY)
 
-        async with served(pauses, shared=tmp_path) as (old, address, _):
-            caller = await Caller().open(address)
-            caller.begin(left=3000)
+        async with running_with_scripts(pause_midway, shared=tmp_path) as (old, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(deadline_ms=3000)
             async with running(shared=tmp_path, listen=address, known=False):
                 while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
@@ -845,266 +859,278 @@
                 old.stop()
                 await asyncio.sleep(0.3)
                 go_on.set()
-                status, body, whole = await caller.whole()
-                assert (status, body == BODY * 2, whole) == (200, True, True)
+                status, body, complete = await client.read_response()
+                assert (status, body == BODY * 2, complete) == (200, True, True)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("missing", ["descriptor", "room"])
-def test_an_answer_moves_though_the_way_could_not_be_opened_at_first(
+@pytest.mark.parametrize("missing", ["descriptor", "queue space"])
+def test_response_migrates_although_the_stream_socket_could_not_be_opened_at_first(
     missing: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """No descriptor is left in that moment, or too many knock at the process that follows."""
+    """No descriptor is free at that moment, or the queue of the successor's socket is full."""
     failures = [errno.EMFILE if missing == "descriptor" else errno.EAGAIN] * 2
-    opens = handover.StreamSender.__init__
+    original_init = handover.StreamSender.__init__
 
-    def fails_at_first(giver: handover.StreamSender, *told: Any) -> None:
+    def fail_at_first(sender: handover.StreamSender, *args: Any) -> None:
         if failures:
-            raise OSError(failures.pop(), "for now")
-        opens(giver, *told)
+            raise OSError(failures.pop(), "temporary")
+        original_init(sender, *args)
 
-    async def story() -> None:
+    async def scenario() -> None:
         go_on = asyncio.Event()
 
-        async def pauses(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
+        async def pause_midway(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
             await go_on.wait()
-            await talk.send(BODY)
+            await connection.send(BODY)
 
-        async with served(pauses, shared=tmp_path) as (old, address, _):
-            caller = await Caller().open(address)
-            caller.begin(left=3000)
+        async with running_with_scripts(pause_midway, shared=tmp_path) as (old, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(deadline_ms=3000)
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
-                monkeypatch.setattr(handover.StreamSender, "__init__", fails_at_first)
+                monkeypatch.setattr(handover.StreamSender, "__init__", fail_at_first)
                 old.stop()
                 async with asyncio.timeout(10):
                     while old._client_listener.connected:
                         await asyncio.sleep(0.005)
                 assert old.counters.read()["streams_migrated"] == 1 and not failures
                 go_on.set()
-                assert await caller.whole() == (200, BODY * 2, True)
+                assert await client.read_response() == (200, BODY * 2, True)
                 assert new.counters.read()["streams_adopted"] == 1
-                caller.writer.close()
+                client.writer.close()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("missing", [None, errno.EMFILE, errno.EAGAIN])
-def test_an_answer_moves_to_the_process_after_the_one_that_followed_and_has_gone(
-    missing: int | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("failure", [None, errno.EMFILE, errno.EAGAIN])
+def test_response_migrates_to_the_third_process_after_the_second_has_stopped(
+    failure: int | None, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """It ends between two looks; by then a third one has the place, maybe out of reach for a moment."""
+    """The second process stops between two checks. A third one owns the stream socket then.
+
+    The first connect to it may fail.
+    """
     monkeypatch.setattr(shutdown, "KILL_AFTER_S", 8.0)
-    connect, failures = socket.socket.connect, [missing]
+    connect, failures = socket.socket.connect, [failure]
 
-    def fails_once(sock: socket.socket, place: Any) -> None:
-        if str(place).endswith(shared_folder.STREAMS_SOCKET) and (
-            failure := failures.pop() if failures else None
+    def fail_once(sock: socket.socket, address: Any) -> None:
+        if str(address).endswith(shared_folder.STREAMS_SOCKET) and (
+            error_number := failures.pop() if failures else None
         ):
-            raise OSError(failure, "for now")
-        connect(sock, place)
+            raise OSError(error_number, "temporary")
+        connect(sock, address)
 
-    async def story() -> None:
-        go_on, ends = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        go_on, finish = asyncio.Event(), asyncio.Event()
 
-        async def late(talk: Talk) -> None:
-            await talk.request()
+        async def respond_late(connection: ScriptedConnection) -> None:
+            await connection.read_request()
             await go_on.wait()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
-            await ends.wait()
-            await talk.send(BODY)
-
-        async with served(late, shared=tmp_path) as (old, address, _), contextlib.AsyncExitStack() as middle:
-            caller = await Caller().open(address)
-            caller.begin(left=20_000)
-            again: dict[str, Any] = {"shared": tmp_path, "listen": address, "known": False}
-            follower, _ = await middle.enter_async_context(running(**again))
-            while old._handover is None or not old._handover.has_successor:
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (2 * MB), BODY)
+            await finish.wait()
+            await connection.send(BODY)
+
+        async with (
+            running_with_scripts(respond_late, shared=tmp_path) as (first, address, _),
+            contextlib.AsyncExitStack() as second_stack,
+        ):
+            client = await BodyClient().open(address)
+            client.begin_request(deadline_ms=20_000)
+            options: dict[str, Any] = {"shared": tmp_path, "listen": address, "known": False}
+            second, _ = await second_stack.enter_async_context(running(**options))
+            while first._handover is None or not first._handover.has_successor:
                 await asyncio.sleep(0.002)
-            old.stop()
-            while old._clients.migrate_stream is None:
+            first.stop()
+            while first._clients.migrate_stream is None:
                 await asyncio.sleep(0.002)
-            async with running(**again) as (last, _):
-                while follower._handover is None or not follower._handover.has_successor:
+            async with running(**options) as (third, _):
+                while second._handover is None or not second._handover.has_successor:
                     await asyncio.sleep(0.002)
-                await middle.aclose()
-                while old._handover.peer_count:
+                await second_stack.aclose()
+                while first._handover.peer_count:
                     await asyncio.sleep(0.002)
-                monkeypatch.setattr(socket.socket, "connect", fails_once)
+                monkeypatch.setattr(socket.socket, "connect", fail_once)
                 go_on.set()
                 async with asyncio.timeout(10):
-                    while old._client_listener.connected:
+                    while first._client_listener.connected:
                         await asyncio.sleep(0.002)
-                    while not last.counters.read().get("streams_adopted"):
+                    while not third.counters.read().get("streams_adopted"):
                         await asyncio.sleep(0.002)
-                ends.set()
-                assert await caller.whole() == (200, BODY * 2, True)
-                assert not follower.counters.read().get("streams_adopted") and not failures
-                caller.writer.close()
+                finish.set()
+                assert await client.read_response() == (200, BODY * 2, True)
+                assert not second.counters.read().get("streams_adopted") and not failures
+                client.writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_no_answer_moves_to_the_process_that_it_is_to_leave(tmp_path: Path) -> None:
-    """The place is its own: the one that followed has gone, or has found no descriptor to take it."""
+def test_process_does_not_migrate_responses_to_itself(tmp_path: Path) -> None:
+    """The stream socket may be its own: its successor has stopped, or had no descriptor to take it over."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, running(peer, shared=tmp_path) as (node, _):
             while node._handover is None or not node._handover.is_offered:
                 await asyncio.sleep(0.002)
             assert node._handover.open_stream_sender() is None and len(node._handover._stream_sockets) == 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_body_that_is_not_whole_by_the_nodes_end_is_turned_back(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.5)  # the node's end is 0.2 s after it was asked to
+def test_body_incomplete_at_the_shutdown_deadline_is_rejected(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.5)  # the shutdown deadline is 0.2 s after `stop`
 
-    async def story() -> None:
-        ran = []
+    async def scenario() -> None:
+        received = []
 
-        async def counts(talk: Talk) -> None:
-            ran.append(await talk.request())
+        async def record_request(connection: ScriptedConnection) -> None:
+            received.append(await connection.read_request())
 
-        async with served(counts) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin(BODY)
-            caller.send(BODY[:200_000])
+        async with running_with_scripts(record_request) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY)
+            client.send(BODY[:200_000])
             while not node.counters.read().get("attempts_first"):
                 await asyncio.sleep(0.002)
             node.stop()
-            answer = await caller.answer()
-            assert answer.status == 503 and not answer.keep_alive
-            assert not ran
+            response = await client.answer()
+            assert response.status == 503 and not response.keep_alive
+            assert not received
 
-    run(story())
+    run(scenario())
 
 
-def test_many_answers_move_though_the_way_is_full_at_times(
+def test_many_responses_migrate_although_the_stream_socket_is_sometimes_full(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    tries: list[bool] = []
-    gives = handover.StreamSender.__call__
+    accepted: list[bool] = []
+    original_call = handover.StreamSender.__call__
 
-    def full_at_first(giver: handover.StreamSender, *stream: Any) -> bool:
-        tries.append(len(tries) % 3 == 2)
-        if not tries[-1]:
+    def block_two_of_three(sender: handover.StreamSender, *stream: Any) -> bool:
+        accepted.append(len(accepted) % 3 == 2)
+        if not accepted[-1]:
             raise BlockingIOError
-        return gives(giver, *stream)
+        return original_call(sender, *stream)
 
-    monkeypatch.setattr(handover.StreamSender, "__call__", full_at_first)
+    monkeypatch.setattr(handover.StreamSender, "__call__", block_two_of_three)
 
-    async def story() -> None:
-        async def large(talk: Talk) -> None:
-            await talk.request()
-            await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (4 * MB), BODY * 4)
-            await talk.reader.read()
+    async def scenario() -> None:
+        async def send_4_mb(connection: ScriptedConnection) -> None:
+            await connection.read_request()
+            await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % (4 * MB), BODY * 4)
+            await connection.reader.read()
 
-        async with served(large, large, large, shared=tmp_path) as (old, address, _):
-            opened = [await Caller().open(address) for _ in range(6)]
-            for caller in opened:
-                caller.begin()
+        async with running_with_scripts(send_4_mb, send_4_mb, send_4_mb, shared=tmp_path) as (
+            old,
+            address,
+            _,
+        ):
+            clients = [await BodyClient().open(address) for _ in range(6)]
+            for client in clients:
+                client.begin_request()
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old.counters.read().get("responses_streamed", 0) < 3:
                     await asyncio.sleep(0.002)
                 while old._handover is None or not old._handover.has_successor:
                     await asyncio.sleep(0.002)
                 old.stop()
-                for caller in opened:
-                    status, body, whole = await caller.whole()
-                    assert whole and (status, len(body)) in ((200, 4 * MB), (503, 0))
+                for client in clients:
+                    status, body, complete = await client.read_response()
+                    assert complete and (status, len(body)) in ((200, 4 * MB), (503, 0))
                 while old._client_listener.connected:
                     await asyncio.sleep(0.002)
-                moved = old.counters.read().get("streams_migrated", 0)
-                while new.counters.read().get("streams_adopted", 0) < moved:
+                migrated = old.counters.read().get("streams_migrated", 0)
+                while new.counters.read().get("streams_adopted", 0) < migrated:
                     await asyncio.sleep(0.005)
-                assert moved == sum(tries)
+                assert migrated == sum(accepted)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("last", ["the node parts", "the caller says close"])
-def test_an_early_answer_does_not_end_the_connection_over_a_body_that_still_comes(last: str) -> None:
-    """The node has turned the job back; a slow caller reads that only once all of its body is sent."""
+@pytest.mark.parametrize("cause", ["node drains", "client requests close"])
+def test_early_response_does_not_close_the_connection_before_the_body_has_arrived(cause: str) -> None:
+    """The request was rejected early. A slow client reads the response only after it has sent its body."""
 
-    async def story() -> None:
-        async with served() as (node, address, _):
-            if last == "the node parts":
+    async def scenario() -> None:
+        async with running_with_scripts() as (node, address, _):
+            if cause == "node drains":
                 node._clients.announce_closing()
-            caller = await Caller().open(address)
-            extra = "Connection: close\r\n" if last != "the node parts" else ""
-            caller.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
-            caller.send(b"%x\r\n%b" % (MB, BODY[:100_000]))
-            answer = await caller.answer()
-            assert (answer.status, answer.keep_alive) == (503, False)
+            client = await BodyClient().open(address)
+            extra = "Connection: close\r\n" if cause != "node drains" else ""
+            client.ask("POST", extra=f"{extra}Transfer-Encoding: chunked\r\n")
+            client.send(b"%x\r\n%b" % (MB, BODY[:100_000]))
+            response = await client.answer()
+            assert (response.status, response.keep_alive) == (503, False)
             with pytest.raises(TimeoutError):
                 async with asyncio.timeout(0.1):
-                    await caller._reader.read(1)
-            caller.send(BODY[100_000:] + b"\r\n0\r\n\r\n")
-            assert await caller.closed()
+                    await client._reader.read(1)
+            client.send(BODY[100_000:] + b"\r\n0\r\n\r\n")
+            assert await client.closed()
 
-    run(story())
+    run(scenario())
 
 
-async def never_ends(talk: Talk) -> None:
-    """A large answer that only the end of its connection would end."""
-    await talk.request()
-    await talk.send(b"HTTP/1.1 200 OK\r\n\r\n" + BODY[:200_000])
-    await talk.reader.read()
+async def send_unfinished(connection: ScriptedConnection) -> None:
+    """Send the start of a large response that ends only with its connection."""
+    await connection.read_request()
+    await connection.send(b"HTTP/1.1 200 OK\r\n\r\n" + BODY[:200_000])
+    await connection.reader.read()
 
 
-def test_the_nodes_own_end_of_a_connection_is_no_answers_end() -> None:
-    async def story() -> None:
-        async with Scripted(never_ends) as peer:
-            sent = Dispatches(peer)
-            begun: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
-            work = asyncio.create_task(
-                sent.servers.attempt(
-                    AttemptSpec("s0", sent.clock + 2.0, on_response_start=begun.set_result), JOB
+def test_connection_closed_by_the_node_does_not_complete_a_response() -> None:
+    async def scenario() -> None:
+        async with ScriptedServer(send_unfinished) as peer:
+            pool = Dispatches(peer)
+            started: asyncio.Future[Download] = asyncio.get_running_loop().create_future()
+            attempt = asyncio.create_task(
+                pool.servers.attempt(
+                    AttemptSpec("s0", pool.clock + 2.0, on_response_start=started.set_result), JOB
                 )
             )
-            download = await begun
-            work.cancel()
-            await asyncio.wait({work})
+            download = await started
+            attempt.cancel()
+            await asyncio.wait({attempt})
             with pytest.raises(ConnectionLostError):
                 while not download.finished:
                     await download.read_more()
                     download.take_piece()
             download.close()
 
-    run(story())
-
+    run(scenario())
 
-def test_an_answer_that_begins_after_its_recall_is_not_passed_on(monkeypatch: pytest.MonkeyPatch) -> None:
-    begun = BalancerEngine.report_response_started
 
-    def recalled(self: BalancerEngine, ticket: RequestHandle, dispatch: int) -> bool:
-        self._issue_command(ticket.number, CancelAttempt(dispatch))  # it waits to be picked
-        return begun(self, ticket, dispatch)
-
-    async def story() -> None:
-        monkeypatch.setattr(BalancerEngine, "report_response_started", recalled)
-        async with served(never_ends) as (node, address, _):
-            caller = await Caller().open(address)
-            caller.begin()
-            status, body, _ = await caller.whole()
+def test_response_that_starts_after_its_attempt_was_cancelled_is_not_forwarded(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    original_report = BalancerEngine.report_response_started
+
+    def cancel_then_report(self: BalancerEngine, handle: RequestHandle, attempt: int) -> bool:
+        self._issue_command(handle.number, CancelAttempt(attempt))  # queued, and not read yet
+        return original_report(self, handle, attempt)
+
+    async def scenario() -> None:
+        monkeypatch.setattr(BalancerEngine, "report_response_started", cancel_then_report)
+        async with running_with_scripts(send_unfinished) as (node, address, _):
+            client = await BodyClient().open(address)
+            client.begin_request()
+            status, body, _ = await client.read_response()
             assert status in (502, 503) and not body
-            await nothing_left(node)
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_nothing_of_an_answer_is_read_here_once_it_has_moved() -> None:
-    """An event that is already due comes after the move: what it tells of belongs to the other process."""
+def test_migrated_response_is_not_read_by_the_old_process() -> None:
+    """An event may arrive after the migration: the bytes that it reports belong to the other process."""
 
-    async def story() -> None:
+    async def scenario() -> None:
         ours, theirs = socket.socketpair()
         ours.setblocking(False)
-        kept = ours.dup()
+        other_process_socket = ours.dup()
         connection = upstream_connection.UpstreamConnection(("", 0), ours)
         download = body_streaming.Download(
             StreamBuffers(), connection, ResponseReader(), Response(200, more_body=True)
@@ -1113,43 +1139,47 @@
         theirs.send(b"more")
         download.move()
         connection._stream._handle_events(ours.fileno(), 1)  # readable
-        assert kept.recv(10) == b"more"
+        assert other_process_socket.recv(10) == b"more"
         download.close()
-        kept.close()
+        other_process_socket.close()
         theirs.close()
 
-    run(story())
+    run(scenario())
 
 
-async def ask_ready_on(caller: Caller) -> int:
-    caller.send(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
-    return (await caller.answer()).status
+async def request_ready_status(client: BodyClient) -> int:
+    client.send(b"GET /ready HTTP/1.1\r\nHost: a\r\n\r\n")
+    return (await client.answer()).status
 
 
-@pytest.mark.parametrize("answered", ["before the move", "at the node's end"])
-def test_a_body_that_outlasts_the_process_is_read_on_by_the_one_that_follows(
-    answered: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("response_sent", ["before migration", "at the shutdown deadline"])
+def test_unfinished_upload_is_read_to_its_end_by_the_successor(
+    response_sent: str, tmp_path: Path, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Its caller has its answer, and reads that only once all of its body is sent."""
-    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.4)  # the node's end is 0.3 s after it was asked to
-
-    async def story() -> None:
-        ran: list[object] = []
-
-        async def counts(talk: Talk) -> None:
-            ran.append(await talk.request())
-
-        async def fails(talk: Talk) -> None:
-            await talk.request(most=1)
-            await talk.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
-
-        early = answered == "before the move"
-        async with served(fails if early else counts, shared=tmp_path) as (old, address, _):
-            caller = await Caller().open(address)
-            caller.ask("POST", extra="Transfer-Encoding: chunked\r\n")
-            caller.send(b"%x\r\n%b" % (MB, BODY[:200_000]))
-            what = "responses_failed" if early else "attempts_first"
-            while not old.counters.read().get(what):
+    """The client has been sent its response, and reads it only after it has sent its whole body."""
+    monkeypatch.setattr(shutdown, "KILL_AFTER_S", -1.4)  # the shutdown deadline is 0.3 s after `stop`
+
+    async def scenario() -> None:
+        received: list[object] = []
+
+        async def record_request(connection: ScriptedConnection) -> None:
+            received.append(await connection.read_request())
+
+        async def respond_500(connection: ScriptedConnection) -> None:
+            await connection.read_request(max_bytes=1)
+            await connection.send(b"HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n")
+
+        early = response_sent == "before migration"
+        async with running_with_scripts(respond_500 if early else record_request, shared=tmp_path) as (
+            old,
+            address,
+            _,
+        ):
+            client = await BodyClient().open(address)
+            client.ask("POST", extra="Transfer-Encoding: chunked\r\n")
+            client.send(b"%x\r\n%b" % (MB, BODY[:200_000]))
+            counter = "responses_failed" if early else "attempts_first"
+            while not old.counters.read().get(counter):
                 await asyncio.sleep(0.002)
             async with running(shared=tmp_path, listen=address, known=False) as (new, _):
                 while old._handover is None or not old._handover.has_successor:
@@ -1159,188 +1189,194 @@
                     await asyncio.sleep(0.002)
                 while old._client_listener.connected:
                     await asyncio.sleep(0.002)
-                caller.send(BODY[200_000:] + b"\r\n0\r\n\r\n")
-                answer = await caller.answer()
-                assert (answer.status, answer.keep_alive) == ((502, True) if early else (503, False))
-                if early:  # it goes on as any caller, with the process that has it now
-                    assert await ask_ready_on(caller) == 200
+                client.send(BODY[200_000:] + b"\r\n0\r\n\r\n")
+                response = await client.answer()
+                assert (response.status, response.keep_alive) == ((502, True) if early else (503, False))
+                if early:  # the new process serves it like any other client
+                    assert await request_ready_status(client) == 200
                 else:
-                    assert await caller.closed()
-                assert not ran and old.counters.read()["uploads_migrated"] == 1
+                    assert await client.closed()
+                assert not received and old.counters.read()["uploads_migrated"] == 1
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("recalls", [True, False])
-def test_a_body_whose_caller_goes_is_broken_off_whether_or_not_jobs_are_recalled(recalls: bool) -> None:
-    async def story() -> None:
-        async with served(never_ends, cancellation=recalls) as (node, address, (peer,)):
-            caller = await Caller().open(address)
-            caller.begin(BODY)
-            caller.send(BODY[:200_000])
+@pytest.mark.parametrize("cancellation", [True, False])
+def test_upload_is_aborted_when_its_client_closes_with_or_without_cancellation(cancellation: bool) -> None:
+    async def scenario() -> None:
+        async with running_with_scripts(send_unfinished, cancellation=cancellation) as (
+            node,
+            address,
+            (peer,),
+        ):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY)
+            client.send(BODY[:200_000])
             while not peer.connections:
                 await asyncio.sleep(0.002)
-            caller.writer.close()
-            await nothing_left(node)
+            client.writer.close()
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("goes", [True, False])
-def test_a_server_that_takes_nothing_of_a_body_is_given_up(
-    goes: bool, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("client_aborts", [True, False])
+def test_upload_to_a_server_that_reads_nothing_is_aborted(
+    client_aborts: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.5)
 
-    async def story() -> None:
-        over = asyncio.Event()
+    async def scenario() -> None:
+        finish = asyncio.Event()
 
-        async def takes_nothing(talk: Talk) -> None:
-            await over.wait()
+        async def read_nothing(connection: ScriptedConnection) -> None:
+            await finish.wait()
 
-        async with served(takes_nothing, cancellation=False) as (node, address, (peer,)):
-            caller = await Caller().open(address)
-            caller.begin(BODY * 16)
-            caller.send(BODY * 16)
+        async with running_with_scripts(read_nothing, cancellation=False) as (node, address, (peer,)):
+            client = await BodyClient().open(address)
+            client.begin_request(BODY * 16)
+            client.send(BODY * 16)
             while not peer.connections:
                 await asyncio.sleep(0.002)
-            if goes:
-                caller.writer.transport.abort()
+            if client_aborts:
+                client.writer.transport.abort()
             else:
-                assert (await caller.answer()).status == 503
-            await nothing_left(node)
-            over.set()
+                assert (await client.answer()).status == 503
+            await wait_until_idle(node)
+            finish.set()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("recalls", [True, False])
-def test_a_connection_is_not_kept_in_the_midst_of_an_answer_whose_caller_has_gone(recalls: bool) -> None:
-    answered = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
+@pytest.mark.parametrize("cancellation", [True, False])
+def test_connection_with_an_unfinished_response_is_not_reused_after_the_client_closed(
+    cancellation: bool,
+) -> None:
+    response_format = b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b"
 
-    async def story() -> None:
-        left = asyncio.Event()
+    async def scenario() -> None:
+        client_closed = asyncio.Event()
 
-        async def pauses(talk: Talk) -> None:
-            request, _ = await talk.request()
+        async def pause_midway(connection: ScriptedConnection) -> None:
+            request, _ = await connection.read_request()
             if not request.body:
-                await talk.send(answered % (2, b"ok"))
+                await connection.send(response_format % (2, b"ok"))
                 return
-            await talk.send(answered % (400_000, BODY[:200_000]))
-            await left.wait()
-            await talk.send(BODY[:1000])
-            await talk.request()
-            # What is still to come of the first answer reads like one to the request after it.
-            await talk.send(answered % (6, b"forged"))
-
-        async with served(pauses, cancellation=recalls) as (node, address, (peer,)):
-            caller = await Caller().open(address)
-            caller.begin(b"body")
-            caller.send(b"body")
-            await caller._reader.readuntil(b"\r\n\r\n")
-            await caller._reader.readexactly(200_000)
-            caller.writer.transport.abort()
-            (held,) = node._clients.connections
-            while not held._stream.closed():
+            await connection.send(response_format % (400_000, BODY[:200_000]))
+            await client_closed.wait()
+            await connection.send(BODY[:1000])
+            await connection.read_request()
+            # The rest of the first response looks like a response to the next request.
+            await connection.send(response_format % (6, b"forged"))
+
+        async with running_with_scripts(pause_midway, cancellation=cancellation) as (node, address, (peer,)):
+            client = await BodyClient().open(address)
+            client.begin_request(b"body")
+            client.send(b"body")
+            await client._reader.readuntil(b"\r\n\r\n")
+            await client._reader.readexactly(200_000)
+            client.writer.transport.abort()
+            (client_connection,) = node._clients.connections
+            while not client_connection._stream.closed():
                 await asyncio.sleep(0.002)
-            left.set()
-            await nothing_left(node)
+            client_closed.set()
+            await wait_until_idle(node)
             await asyncio.sleep(
                 2 * upstream.MIN_IDLE_BEFORE_REUSE_S
-            )  # a kept connection may be used again by then
-            caller = await Caller().open(address)
-            caller.begin()
-            assert await caller.whole() == (200, b"ok", True) and peer.connections == 2
+            )  # an idle connection may be reused by then
+            client = await BodyClient().open(address)
+            client.begin_request()
+            assert await client.read_response() == (200, b"ok", True) and peer.connections == 2
 
-    run(story())
+    run(scenario())
 
 
-def test_a_body_does_not_become_whole_at_a_server_that_was_given_up(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_aborted_upload_is_not_completed_later(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(upstream_connection, "STALL_TIMEOUT_S", 0.2)
-    given_up, last = False, b"the last of it"
-    taken, write = upstream_connection.UpstreamConnection._wait_written, IOStream.write_to_fd
+    aborted, last_bytes = False, b"the last of it"
+    original_wait, write = upstream_connection.UpstreamConnection._wait_written, IOStream.write_to_fd
 
-    async def notes_the_end(self: upstream_connection.UpstreamConnection, *args: Any) -> None:
-        nonlocal given_up
+    async def record_abort(self: upstream_connection.UpstreamConnection, *args: Any) -> None:
+        nonlocal aborted
         try:
-            await taken(self, *args)
+            await original_wait(self, *args)
         except upstream_connection.RequestNotSentError:
-            given_up = True
+            aborted = True
             raise
 
-    def takes_the_last_once_it_is_late(stream: IOStream, data: memoryview) -> int | None:
-        if type(stream) is NodeStream and bytes(data[-len(last) :]) == last and not given_up:
+    def block_last_bytes_until_abort(stream: IOStream, data: memoryview) -> int | None:
+        if type(stream) is NodeStream and bytes(data[-len(last_bytes) :]) == last_bytes and not aborted:
             raise BlockingIOError
         return write(stream, data)
 
-    async def story() -> None:
-        ran: list[Request] = []
+    async def scenario() -> None:
+        received: list[Request] = []
 
-        async def takes_all(talk: Talk) -> None:
-            ran.append((await talk.request())[0])
-            await talk.request()
+        async def read_two_requests(connection: ScriptedConnection) -> None:
+            received.append((await connection.read_request())[0])
+            await connection.read_request()
 
-        async with served(takes_all) as (node, address, (peer,)):
-            monkeypatch.setattr(upstream_connection.UpstreamConnection, "_wait_written", notes_the_end)
-            monkeypatch.setattr(IOStream, "write_to_fd", takes_the_last_once_it_is_late)
-            caller = await Caller().open(address)
-            caller.begin(BODY + last)
-            caller.send(BODY + last)
-            assert (await caller.answer()).status == 503 and given_up
+        async with running_with_scripts(read_two_requests) as (node, address, (peer,)):
+            monkeypatch.setattr(upstream_connection.UpstreamConnection, "_wait_written", record_abort)
+            monkeypatch.setattr(IOStream, "write_to_fd", block_last_bytes_until_abort)
+            client = await BodyClient().open(address)
+            client.begin_request(BODY + last_bytes)
+            client.send(BODY + last_bytes)
+            assert (await client.answer()).status == 503 and aborted
             async with asyncio.timeout(5):
-                await peer.gone.wait()
-            assert not ran
-            await nothing_left(node)
+                await peer.disconnected.wait()
+            assert not received
+            await wait_until_idle(node)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_large_answer_that_the_node_fails_to_pass_on_leaves_no_stream(
+def test_internal_error_before_forwarding_a_response_leaves_no_stream(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    pick = BalancerEngine.next_command
+    next_command = BalancerEngine.next_command
 
-    async def misses_the_beginning(self: BalancerEngine, ticket: RequestHandle) -> Any:
-        order = await pick(self, ticket)
-        if isinstance(order, StartResponse):
+    async def fail_on_start(self: BalancerEngine, handle: RequestHandle) -> Any:
+        command = await next_command(self, handle)
+        if isinstance(command, StartResponse):
             raise RuntimeError("own")
-        return order
-
-    async def story() -> None:
-        monkeypatch.setattr(BalancerEngine, "next_command", misses_the_beginning)
-        async with served(never_ends) as (node, address, (peer,)):
-            caller = await Caller().open(address)
-            caller.begin()
-            assert (await caller.whole())[0] == 500
+        return command
+
+    async def scenario() -> None:
+        monkeypatch.setattr(BalancerEngine, "next_command", fail_on_start)
+        async with running_with_scripts(send_unfinished) as (node, address, (peer,)):
+            client = await BodyClient().open(address)
+            client.begin_request()
+            assert (await client.read_response())[0] == 500
             async with asyncio.timeout(5):
-                await peer.gone.wait()
+                await peer.disconnected.wait()
             assert node.counters.read()["streams_open"] == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_answers_that_end_with_their_connection_tell_nothing_of_how_long_one_is_kept() -> None:
-    async def story() -> None:
-        async def large_to_the_end(talk: Talk) -> None:
-            while (await talk.request())[0].method == "GET":
-                await talk.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
-            await talk.send(b"HTTP/1.1 200 OK\r\n\r\n", BODY)
+def test_responses_ended_by_a_close_do_not_count_as_idle_lifetimes() -> None:
+    async def scenario() -> None:
+        async def respond_until_close(connection: ScriptedConnection) -> None:
+            while (await connection.read_request())[0].method == "GET":
+                await connection.send(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
+            await connection.send(b"HTTP/1.1 200 OK\r\n\r\n", BODY)
 
-        async with served(large_to_the_end) as (node, address, (peer,)):
-            caller = await Caller().open(address)
+        async with running_with_scripts(respond_until_close) as (node, address, (peer,)):
+            client = await BodyClient().open(address)
             for _ in range(upstream.MIN_IDLE_LIFETIMES + 1):
-                caller.begin(b"")
-                status, body, _ = await caller.whole()
+                client.begin_request(b"")
+                status, body, _ = await client.read_response()
                 assert (status, body) == (200, BODY)
-                await nothing_left(node)
+                await wait_until_idle(node)
                 await asyncio.sleep(
                     2 * upstream.MIN_IDLE_BEFORE_REUSE_S
-                )  # a kept connection may be used again by then
+                )  # an idle connection may be reused by then
             before = peer.connections
             for _ in range(3):
-                caller.begin()
-                assert await caller.whole() == (200, b"ok", True)
+                client.begin_request()
+                assert await client.read_response() == (200, b"ok", True)
                 await asyncio.sleep(2 * upstream.MIN_IDLE_BEFORE_REUSE_S)
             assert peer.connections == before + 1
 
-    run(story())
+    run(scenario())
