--- a/tests/test_departed_clients.py
+++ b/tests/test_departed_clients.py
@@ -26,7 +26,7 @@
 from notchjunction.net.upstream_connection import READ_CHUNK_BYTES, UpstreamConnection
 from notchjunction.node.node import Node
 from tests.helpers import FULL, OK, SILENT, Client, Peer, RawClient, running
-from tests.test_large_bodies import Talk, served
+from tests.test_large_bodies import ScriptedConnection, running_with_scripts
 from tests.test_net import REQUEST, PoolHarness, hang, run
 
 BODY = b"x" * (MAX_BUFFERED_BODY_BYTES + 10_000)  # more than is buffered before a request is forwarded
@@ -199,10 +199,10 @@
     async def scenario() -> None:
         bodies: list[bytes] = []
 
-        async def read_request(upstream: Talk) -> None:
-            bodies.append((await upstream.request())[1])
+        async def read_request(upstream: ScriptedConnection) -> None:
+            bodies.append((await upstream.read_request())[1])
 
-        async with served(read_request) as (node, address, (peer,)):
+        async with running_with_scripts(read_request) as (node, address, (peer,)):
             client = RawClient(address)
             client.ask(BODY, "POST", length=len(BODY) + 10)
             while not peer.connections:
@@ -214,7 +214,7 @@
             client.more(b"y" * 10)
             client.go("close")
             await wait_cancelled(node)
-            await peer.gone.wait()
+            await peer.disconnected.wait()
             assert not bodies
 
     run(scenario())
@@ -227,10 +227,10 @@
     async def scenario() -> None:
         first_bytes: list[bytes] = []
 
-        async def read_first_byte(upstream: Talk) -> None:
+        async def read_first_byte(upstream: ScriptedConnection) -> None:
             first_bytes.append(await upstream.reader.read(1))
 
-        async with served(read_first_byte) as (node, address, _):
+        async with running_with_scripts(read_first_byte) as (node, address, _):
             client = RawClient(address)
 
             def send_and_disconnect() -> None:
@@ -497,10 +497,10 @@
         nonlocal has_room
         bodies: list[bytes] = []
 
-        async def read_request(upstream: Talk) -> None:
-            bodies.append((await upstream.request())[1])
+        async def read_request(upstream: ScriptedConnection) -> None:
+            bodies.append((await upstream.read_request())[1])
 
-        async with served(read_request, cancellation=cancellation) as (node, address, (peer,)):
+        async with running_with_scripts(read_request, cancellation=cancellation) as (node, address, (peer,)):
             monkeypatch.setattr(IOStream, "write_to_fd", write_if_room)
             client = RawClient(address)
             client.ask(body, "POST")
@@ -511,7 +511,7 @@
             counters = await wait_cancelled(node)
             has_room = True
             async with asyncio.timeout(5):
-                await peer.gone.wait()
+                await peer.disconnected.wait()
             aborted = "attempts_not_sent", "attempts_cancelled"
             assert not bodies and sum(counters.get(name, 0) for name in aborted) == 1
 
