--- a/tests/test_upgrade_from_start.py
+++ b/tests/test_upgrade_from_start.py
@@ -1,6 +1,6 @@
-"""Upgrades between commit 98f791a and the code of today, in both directions, on real processes.
+"""Upgrades between two released commits and the code of today, in both directions, on real processes.
 
-The commit is checked out beside the test. One of the two programs serves; the other takes over from it, while
+A commit is checked out beside the test. One of the two programs serves; the other takes over from it, while
 requests flow, an answer is under way, and operators have said something.
 """
 
@@ -14,7 +14,6 @@
 import subprocess
 import sys
 import time
-from collections.abc import Iterator
 from contextlib import AsyncExitStack
 from pathlib import Path
 from typing import Any, NamedTuple
@@ -24,9 +23,8 @@
 from notchjunction.addresses import Address
 from notchjunction.http1.messages import Request
 from tests.helpers import OK, SILENT, Client, Peer, Reply, call, configuration, free_address, rows, wire_of
+from tests.released_commits import FIRST_COMMIT, LAST_COMMIT_BEFORE_RENAMING, REPOSITORY, working_tree
 
-COMMIT = "98f791a"
-REPOSITORY = Path(__file__).parent.parent
 WITHIN = 60.0  # s for a whole story, which takes a tenth of it on an idle machine
 CALLERS = 4  # connections that send one request after the other
 CALLERS_PAUSE = 0.01  # s between the requests of one connection
@@ -43,25 +41,6 @@
 LINE_MOST = 8 * 1024 * 1024  # bytes of a line on that socket
 
 
-def git(*arguments: str | Path) -> subprocess.CompletedProcess[str]:
-    return subprocess.run(["git", "-C", REPOSITORY, *arguments], capture_output=True, text=True, timeout=60)
-
-
-@pytest.fixture
-def start_commit(tmp_path: Path) -> Iterator[Path]:
-    """A working tree of the commit, removed again after the test."""
-    if git("cat-file", "-e", f"{COMMIT}^{{commit}}").returncode != 0:
-        pytest.skip(f"commit {COMMIT} is not in this clone's history")
-    tree = tmp_path / "start-commit"
-    added = git("worktree", "add", "--detach", tree, COMMIT)
-    assert added.returncode == 0, added.stderr
-    try:
-        yield tree
-    finally:
-        removed = git("worktree", "remove", "--force", tree)
-        assert removed.returncode == 0, removed.stderr
-
-
 def reply(request: Request) -> Reply:
     return SLOW_REPLY if request.headers.get("accept") == SLOW else OK
 
@@ -245,12 +224,14 @@
     assert learned["servers"]["s0"]["seconds"] == kept["servers"]["s0"]["seconds"] != []
 
 
-@pytest.mark.parametrize("direction", ["start commit to today", "today to start commit"])
+@pytest.mark.parametrize("commit", [FIRST_COMMIT, LAST_COMMIT_BEFORE_RENAMING])
+@pytest.mark.parametrize("direction", ["commit to today", "today to commit"])
 def test_an_upgrade_keeps_callers_answers_and_what_the_node_knows(
-    direction: str, start_commit: Path, tmp_path: Path
+    direction: str, commit: str, tmp_path: Path
 ) -> None:
-    programs = (start_commit, REPOSITORY)
-    first, second = programs if direction == "start commit to today" else programs[::-1]
     folder = tmp_path / "shared"
     folder.mkdir()
-    asyncio.run(asyncio.wait_for(upgrade(first, second, folder), WITHIN))
+    with working_tree(commit, tmp_path) as released:
+        programs = (released, REPOSITORY)
+        first, second = programs if direction == "commit to today" else programs[::-1]
+        asyncio.run(asyncio.wait_for(upgrade(first, second, folder), WITHIN))
