--- a/tests/handover_player.py
+++ b/tests/handover_player.py
@@ -1,7 +1,7 @@
-"""Plays the other process of a node by raw sockets, so that all that a program says there can be looked at.
+"""Takes the part of a node's other process in a handover, on raw sockets, and returns what the program sends.
 
-No name of the program's own is used: the recorder of `tests/fixtures/wire/` plays against a checkout of an
-earlier commit, `tests/test_wire_compatibility.py` against the program of today.
+It imports nothing from the program, so that it works with any commit: `tests/fixtures/wire/record.py` runs it
+with a checkout of an earlier one, `tests/test_wire_compatibility.py` with the code of today.
 """
 
 from __future__ import annotations
@@ -22,22 +22,22 @@
 
 HANDOVER_SOCKET = "notchjunction.handover"
 STREAMS_SOCKET = "notchjunction.streams"
-WITHIN = 30.0  # s for each thing that is waited for; most come at once, a moved answer after 1.6 s
-FIRST_LINE_MOST = 4096  # bytes
-LISTENERS_MOST = 8  # descriptors
-STREAM_MOST = 512 * 1024  # bytes of a message with a moved answer
-LINE_MOST = 8 * 1024 * 1024  # bytes
-BEGUN = 400_000  # bytes of each answer that have come when it moves; too large for the node to hold it whole
-BODY = 600_000  # bytes of each answer
-UPLOAD_SENT, UPLOAD = 70_000, 100_000  # bytes of a request's body that goes on after its answer
-ANSWERS = ("length", "chunks", "end")  # how the end of an answer is told
+TIMEOUT_S = 30.0  # of each wait; most end at once, that for a migrated response after 1.6 s
+MAX_FIRST_LINE_BYTES = 4096
+MAX_LISTENERS = 8  # descriptors
+MAX_STREAM_BYTES = 512 * 1024  # of a message with a migrated response
+MAX_LINE_BYTES = 8 * 1024 * 1024
+BODY_SENT = 400_000  # bytes of each response sent before it migrates; too large for the node to buffer it all
+BODY_SIZE = 600_000  # bytes of each response
+UPLOAD_SENT, UPLOAD_SIZE = 70_000, 100_000  # bytes of a request's body that continues after its response
+FRAMINGS = ("length", "chunks", "end")  # Content-Length, chunked coding, end of the connection
 HEADS = {
-    "length": b"Content-Length: %d\r\n\r\n" % BODY,
-    "chunks": b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % BODY,
+    "length": b"Content-Length: %d\r\n\r\n" % BODY_SIZE,
+    "chunks": b"Transfer-Encoding: chunked\r\n\r\n%x\r\n" % BODY_SIZE,
     "end": b"\r\n",
 }
-SERVER_AGE = 100  # s since the first server started; each further one is older by as much
-JOBS = 6  # answers before the handover, so that something is learned
+SERVER_AGE_STEP_S = 100  # time since the first server started; each further one is older by as much
+REQUESTS_BEFORE = 6  # before the handover, so that the process has learned something
 Address = tuple[str, int]
 
 
@@ -53,14 +53,14 @@
 
 
 def masked(text: str) -> str:
-    """A line without what differs from run to run: how long things took, and how many of them there were."""
+    """Replaces durations and their counts, which differ from run to run: numbers by `#`, lists by `[...]`."""
     numbers = re.sub(r"(?<![\w.\"])-?\d+(\.\d+)?(e-?\d+)?(?![\w.\"])", "#", text)
-    several = re.sub(r"\[(#|true|false)(, (#|true|false))*\]|\[\]", "[...]", numbers)
-    return re.sub(r"\[\[\.\.\.\](, \[\.\.\.\])*\]", "[...]", several)
+    flat_lists = re.sub(r"\[(#|true|false)(, (#|true|false))*\]|\[\]", "[...]", numbers)
+    return re.sub(r"\[\[\.\.\.\](, \[\.\.\.\])*\]", "[...]", flat_lists)
 
 
 class Server:
-    """A server of the node. Some answers stop in the middle; one comes before its request's body is whole."""
+    """A server. Some responses stop in the middle; one is sent before its request's body is complete."""
 
     async def __aenter__(self) -> Self:
         self._server = await asyncio.start_server(self._serve, "127.0.0.1", 0)
@@ -74,81 +74,84 @@
         with suppress(ConnectionError, asyncio.IncompleteReadError):
             while True:
                 head = (await reader.readuntil(b"\r\n\r\n")).lower()
-                asked = re.search(rb"\r\naccept: (\w+)", head)
-                if asked is None or asked[1] == b"early":
+                accept = re.search(rb"\r\naccept: (\w+)", head)
+                if accept is None or accept[1] == b"early":
                     writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok")
                 else:
-                    writer.write(b"HTTP/1.1 200 OK\r\n" + HEADS[asked[1].decode()] + b"x" * BEGUN)
-                if asked is not None:
-                    await reader.read()  # nothing more is said here; until the other side ends
+                    writer.write(b"HTTP/1.1 200 OK\r\n" + HEADS[accept[1].decode()] + b"x" * BODY_SENT)
+                if accept is not None:
+                    await reader.read()  # sends nothing more, and waits for the end of the connection
         writer.close()
 
 
-class Caller:
-    jobs = 0
+class Client:
+    request_count = 0
 
     async def open(self, listen: Address) -> Self:
-        self.reader, self.writer = await asyncio.open_connection(*listen, limit=LINE_MOST)
+        self.reader, self.writer = await asyncio.open_connection(*listen, limit=MAX_LINE_BYTES)
         return self
 
-    def ask(self, accept: str = "any", method: str = "GET", length: int = 0, body: bytes = b"") -> None:
-        Caller.jobs += 1
+    def send_request(
+        self, accept: str = "any", method: str = "GET", length: int = 0, body: bytes = b""
+    ) -> None:
+        Client.request_count += 1
         framing = f"Content-Length: {length}\r\n" if length else ""
-        wanted = "" if accept == "any" else f"Accept: {accept}\r\n"
-        head = f"{method} /api HTTP/1.1\r\nHost: h\r\nReq-Id: {Caller.jobs}\r\nReq-Kind: plain\r\n"
-        self.writer.write(f"{head}Req-Deadline-Ms: 20000\r\n{wanted}{framing}\r\n".encode() + body)
+        accept_field = "" if accept == "any" else f"Accept: {accept}\r\n"
+        head = f"{method} /api HTTP/1.1\r\nHost: h\r\nReq-Id: {Client.request_count}\r\nReq-Kind: plain\r\n"
+        self.writer.write(f"{head}Req-Deadline-Ms: 20000\r\n{accept_field}{framing}\r\n".encode() + body)
 
-    async def begun(self, count: int) -> None:
-        """Until so many bytes of the answer's body have come, however they are framed."""
-        found = 0
+    async def read_body(self, count: int) -> None:
+        """Reads a response until so many bytes of its body have arrived, in any framing."""
+        received = 0
         await self.reader.readuntil(b"\r\n\r\n")
-        while found < count:
+        while received < count:
             piece = await self.reader.read(65536)
-            assert piece, "closed in the middle of an answer"
-            found += piece.count(b"x")
+            assert piece, "closed in the middle of a response"
+            received += piece.count(b"x")
 
-    async def answer(self) -> None:
+    async def read_ok(self) -> None:
         head = await self.reader.readuntil(b"\r\n\r\n")
         assert head.startswith(b"HTTP/1.1 200 "), head
         assert await self.reader.readexactly(2) == b"ok"
 
 
 class Channel:
-    """The handover's lines, from one side of it or the other."""
+    """Sends and receives the lines of a handover, as either side of it."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter) -> None:
         self.reader = reader
         self.writer = writer
 
-    def say(self, text: str) -> None:
+    def send(self, text: str) -> None:
         self.writer.write(text.encode() + b"\n")
 
-    async def hear(self, key: str) -> str:
-        """The next line that has this key; words on what is used may come before any other."""
+    async def receive(self, key: str) -> str:
+        """Returns the next line that has this key; skips others, as lines with usage may come at any time."""
         while True:
-            async with asyncio.timeout(WITHIN):
+            async with asyncio.timeout(TIMEOUT_S):
                 line = (await self.reader.readline()).decode()
             assert line.endswith("\n"), f"the channel ended before {key!r}"
             if key in json.loads(line):
                 return line[:-1]
 
 
-async def call(mgmt: Address, method: str, path: str) -> int:
-    reader, writer = await asyncio.open_connection(*mgmt)
+async def call(admin: Address, method: str, path: str) -> int:
+    """Sends a request to the admin API; returns the status of the response."""
+    reader, writer = await asyncio.open_connection(*admin)
     writer.write(f"{method} {path} HTTP/1.1\r\nHost: n\r\n\r\n".encode())
-    async with asyncio.timeout(WITHIN):
-        answer = await reader.read()
+    async with asyncio.timeout(TIMEOUT_S):
+        response = await reader.read()
     writer.close()
-    return int(answer.split(b" ")[1])
+    return int(response.split(b" ")[1])
 
 
 @asynccontextmanager
 async def process(
-    program: Path, folder: Path, listen: Address, mgmt: Address, servers: list[Server]
+    program: Path, folder: Path, listen: Address, admin: Address, servers: list[Server]
 ) -> AsyncIterator[subprocess.Popen[bytes]]:
-    """The program in that working tree, with these servers for its list; none: it waits for a list."""
-    profile = {"name": "plain", "effect": "repeatable", "contract_time": 1000, "abandon_time": 2000}
-    told: dict[str, Any] = {
+    """Runs the program in this working tree with a list of these servers; with none, it waits for a list."""
+    request_class = {"name": "plain", "effect": "repeatable", "contract_time": 1000, "abandon_time": 2000}
+    config: dict[str, Any] = {
         "name": "n",
         "discovery": text_of(free_address()),
         "seed": "7",
@@ -157,7 +160,7 @@
             "layer": 0,
             "localities": ["a"],
             "limits": {"max_dispatches": 5, "cancel": True},
-            "profiles": [{**profile, "tardy_revenue": 0.5}],
+            "profiles": [{**request_class, "tardy_revenue": 0.5}],
         },
     }
     if servers:
@@ -168,18 +171,18 @@
                 "zone": "a",
                 "group": number,
                 "status": "active",
-                "since_ms": 1000 * (int(time.time()) - SERVER_AGE * (number + 1)),
+                "since_ms": 1000 * (int(time.time()) - SERVER_AGE_STEP_S * (number + 1)),
             }
             for number, server in enumerate(servers)
         ]
-        told["known"] = {"index": 4, "snapshot": True, "endpoints": rows}
-    file = folder / f"told-{mgmt[1]}.json"
-    file.write_text(json.dumps(told))
+        config["known"] = {"index": 4, "snapshot": True, "endpoints": rows}
+    file = folder / f"config-{admin[1]}.json"
+    file.write_text(json.dumps(config))
     environment = {
         **os.environ,
         "GW_CONFIG": str(file),
         "GW_LISTEN": text_of(listen),
-        "GW_MGMT": text_of(mgmt),
+        "GW_MGMT": text_of(admin),
         "TMPDIR": str(folder),
     }
     environment.pop("PYTHONPATH", None)
@@ -192,95 +195,102 @@
         await asyncio.to_thread(started.wait)
 
 
-async def until_ready(mgmt: Address, started: subprocess.Popen[bytes]) -> None:
+async def wait_until_ready(admin: Address, started: subprocess.Popen[bytes]) -> None:
     while True:
-        assert started.poll() is None, "ended before it was ready"
+        assert started.poll() is None, "exited before it was ready"
         with suppress(OSError):
-            if await call(mgmt, "GET", "/control/ready") == 200:
+            if await call(admin, "GET", "/control/ready") == 200:
                 return
         await asyncio.sleep(0.02)
 
 
-async def follow(folder: Path) -> tuple[str, int, Channel]:
-    """Connects as the next process would: the first line, how many listeners came with it, the channel."""
+async def connect_as_successor(folder: Path) -> tuple[str, int, Channel]:
+    """Connects as the next process would.
+
+    Returns:
+        The first line, the number of listeners received with it, and the channel.
+    """
 
     def connect() -> tuple[socket.socket, str, int]:
         sock = socket.socket(socket.AF_UNIX)
-        sock.settimeout(WITHIN)
+        sock.settimeout(TIMEOUT_S)
         sock.connect(str(folder / HANDOVER_SOCKET))
-        text, descriptors, _, _ = socket.recv_fds(sock, FIRST_LINE_MOST, LISTENERS_MOST)
+        text, descriptors, _, _ = socket.recv_fds(sock, MAX_FIRST_LINE_BYTES, MAX_LISTENERS)
         for descriptor in descriptors:
             os.close(descriptor)
         sock.setblocking(False)
         return sock, text.decode(), len(descriptors)
 
     sock, text, listeners = await asyncio.to_thread(connect)
-    return text, listeners, Channel(*await asyncio.open_unix_connection(sock=sock, limit=LINE_MOST))
+    return text, listeners, Channel(*await asyncio.open_unix_connection(sock=sock, limit=MAX_LINE_BYTES))
 
 
-def take_place_for_streams(folder: Path) -> socket.socket:
-    """From now on the program gives its answers under way to this listener."""
+def listen_for_streams(folder: Path) -> socket.socket:
+    """Returns a listener to which the program migrates its open responses from now on."""
     listener = socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET)
-    listener.settimeout(WITHIN)
-    new = folder / f"{STREAMS_SOCKET}.player"
-    listener.bind(str(new))
+    listener.settimeout(TIMEOUT_S)
+    temporary = folder / f"{STREAMS_SOCKET}.player"
+    listener.bind(str(temporary))
     listener.listen()
-    new.rename(folder / STREAMS_SOCKET)
+    temporary.rename(folder / STREAMS_SOCKET)
     return listener
 
 
-def given_streams(listener: socket.socket, count: int) -> list[str]:
-    """The messages in which answers were given, each with its number of connections."""
-    giver, _ = listener.accept()
-    giver.settimeout(WITHIN)
-    found = []
-    with giver:
+def receive_streams(listener: socket.socket, count: int) -> list[str]:
+    """Returns the messages of migrated responses, each after the number of its connections."""
+    sender, _ = listener.accept()
+    sender.settimeout(TIMEOUT_S)
+    messages = []
+    with sender:
         for _ in range(count):
-            text, descriptors, _, _ = socket.recv_fds(giver, STREAM_MOST, 2)
+            text, descriptors, _, _ = socket.recv_fds(sender, MAX_STREAM_BYTES, 2)
             for descriptor in descriptors:
                 os.close(descriptor)
-            found.append(f"{len(descriptors)} {text.decode()}")
-    return sorted(found)
+            messages.append(f"{len(descriptors)} {text.decode()}")
+    return sorted(messages)
 
 
 async def hear_all(program: Path, folder: Path) -> dict[str, Any]:
-    """All that a serving process says to one that follows it."""
-    listen, mgmt = free_address(), free_address()
+    """Returns all kinds of lines and messages that a serving process sends to its successor.
+
+    The recorder of the fixtures calls this function by its name.
+    """
+    listen, admin = free_address(), free_address()
     async with AsyncExitStack() as stack:
         servers = [await stack.enter_async_context(Server()) for _ in range(3)]
-        started = await stack.enter_async_context(process(program, folder, listen, mgmt, servers))
-        await until_ready(mgmt, started)
-        caller = await Caller().open(listen)
-        for _ in range(JOBS):
-            caller.ask()
-            await caller.answer()
-        assert await call(mgmt, "PUT", "/control/servers/s2/offline") == 200
+        started = await stack.enter_async_context(process(program, folder, listen, admin, servers))
+        await wait_until_ready(admin, started)
+        client = await Client().open(listen)
+        for _ in range(REQUESTS_BEFORE):
+            client.send_request()
+            await client.read_ok()
+        assert await call(admin, "PUT", "/control/servers/s2/offline") == 200
         while not (folder / HANDOVER_SOCKET).exists():
             await asyncio.sleep(0.01)
-        identity, listeners, channel = await follow(folder)
-        channel.say('{"got": true}')
-        state = await channel.hear("state")
-        usage = await channel.hear("usage")
-        words = []
+        identity, listeners, channel = await connect_as_successor(folder)
+        channel.send('{"got": true}')
+        state = await channel.receive("state")
+        usage = await channel.receive("usage")
+        commands = []
         for number, path in enumerate(
             ("servers/s1/offline", "servers/s1/online", "out-of-service", "in-service"), 1
         ):
-            answer = asyncio.create_task(call(mgmt, "PUT", f"/control/{path}"))
-            words.append(await channel.hear("tell"))
-            channel.say(json.dumps({"ack": number}))
-            assert await answer == 200
-        callers = []
-        for kind in ANSWERS:
-            callers.append(await Caller().open(listen))
-            callers[-1].ask(accept=kind)
-            await callers[-1].begun(BEGUN)
-        early = await Caller().open(listen)
-        early.ask("early", "POST", UPLOAD, b"u" * UPLOAD_SENT)
-        await early.answer()
-        with take_place_for_streams(folder) as streams:
-            channel.say('{"ready": true}')
+            status = asyncio.create_task(call(admin, "PUT", f"/control/{path}"))
+            commands.append(await channel.receive("tell"))
+            channel.send(json.dumps({"ack": number}))
+            assert await status == 200
+        clients = []
+        for framing in FRAMINGS:
+            clients.append(await Client().open(listen))
+            clients[-1].send_request(accept=framing)
+            await clients[-1].read_body(BODY_SENT)
+        uploader = await Client().open(listen)
+        uploader.send_request("early", "POST", UPLOAD_SIZE, b"u" * UPLOAD_SENT)
+        await uploader.read_ok()
+        with listen_for_streams(folder) as streams:
+            channel.send('{"ready": true}')
             started.send_signal(signal.SIGTERM)
-            given = await asyncio.to_thread(given_streams, streams, len(ANSWERS) + 1)
+            messages = await asyncio.to_thread(receive_streams, streams, len(FRAMINGS) + 1)
         for number, server in enumerate(servers):
             state = state.replace(server.at, f"<s{number}>")
         return {
@@ -288,115 +298,118 @@
             "listeners": listeners,
             "state": state,
             "usage": masked(usage),
-            "words": words,
-            "streams": given,
+            "words": commands,
+            "streams": messages,
         }
 
 
-def connected() -> tuple[socket.socket, socket.socket]:
-    """Both ends of a TCP connection."""
+def connect_pair() -> tuple[socket.socket, socket.socket]:
+    """Returns both ends of a TCP connection."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
-        one = socket.create_connection(listener.getsockname())
-        other, _ = listener.accept()
-    for each in (one, other):
-        each.settimeout(WITHIN)
-    return one, other
+        connected = socket.create_connection(listener.getsockname())
+        accepted, _ = listener.accept()
+    for end in (connected, accepted):
+        end.settimeout(TIMEOUT_S)
+    return connected, accepted
 
 
 def read_all(sock: socket.socket, end: bytes = b"") -> bytes:
-    """What comes until the end of the connection, or until these bytes."""
-    found = bytearray()
-    while not (end and found.endswith(end)) and (piece := sock.recv(65536)):
-        found += piece
-    return bytes(found)
+    """Returns the bytes received until these ones, or until the end of the connection."""
+    received = bytearray()
+    while not (end and received.endswith(end)) and (piece := sock.recv(65536)):
+        received += piece
+    return bytes(received)
 
 
-def give_stream(folder: Path, message: str) -> bytes:
-    """Gives one recorded answer, or rest of a body; what its caller gets of the rest, with all framing."""
+def send_stream(folder: Path, message: str) -> bytes:
+    """Migrates a recorded response or upload to the program; returns all that its client then receives."""
     count, _, text = message.partition(" ")
     state = json.loads(text)
-    caller, given_caller = connected()
-    server, given_server = connected()
+    client, migrated_client = connect_pair()
+    server, migrated_server = connect_pair()
     with (
-        caller,
+        client,
         server,
-        given_caller,
-        given_server,
-        socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as giver,
+        migrated_client,
+        migrated_server,
+        socket.socket(socket.AF_UNIX, socket.SOCK_SEQPACKET) as sender,
     ):
-        giver.connect(str(folder / STREAMS_SOCKET))
-        given = [given_caller, given_server][: int(count)]
-        socket.send_fds(giver, [text.encode()], [each.fileno() for each in given])
-        for each in (given_caller, given_server):
-            each.close()
+        sender.connect(str(folder / STREAMS_SOCKET))
+        migrated = [migrated_client, migrated_server][: int(count)]
+        socket.send_fds(sender, [text.encode()], [end.fileno() for end in migrated])
+        for end in (migrated_client, migrated_server):
+            end.close()
         if "rest" in state:
-            caller.sendall(b"u" * (UPLOAD - UPLOAD_SENT))
-            caller.sendall(b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
-            return read_all(caller)
-        server.sendall(b"y" * (BODY - BEGUN))
+            client.sendall(b"u" * (UPLOAD_SIZE - UPLOAD_SENT))
+            client.sendall(b"GET /ready HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n")
+            return read_all(client)
+        server.sendall(b"y" * (BODY_SIZE - BODY_SENT))
         framing = state["answers"]["framing"]
         if framing == "CHUNKS":
             server.sendall(b"\r\n0\r\n\r\n")
         if framing == "TO_THE_END":
             server.shutdown(socket.SHUT_WR)
-        caller.shutdown(socket.SHUT_WR)
-        return read_all(caller)
+        client.shutdown(socket.SHUT_WR)
+        return read_all(client)
+
 
+async def hand_over(program: Path, folder: Path, recorded: Mapping[str, Any]) -> dict[str, Any]:
+    """Hands recorded state, responses and commands over to the program; returns what it sends in reply.
 
-async def tell_all(program: Path, folder: Path, said: Mapping[str, Any]) -> dict[str, Any]:
-    """Hands over to a process what another one said; what it says to that, and hands over in its turn."""
-    mgmt = free_address()
+    That includes the state that the program then hands over itself.
+    """
+    admin = free_address()
     async with AsyncExitStack() as stack:
         servers = [await stack.enter_async_context(Server()) for _ in range(3)]
         listener = stack.enter_context(socket.create_server(("127.0.0.1", 0)))
         listen: Address = listener.getsockname()[:2]
-        place = stack.enter_context(socket.socket(socket.AF_UNIX))
-        place.settimeout(WITHIN)
-        place.bind(str(folder / HANDOVER_SOCKET))
-        place.listen()
-        await stack.enter_async_context(process(program, folder, listen, mgmt, []))
-        sock, _ = await asyncio.to_thread(place.accept)
-        identity = said["identity"].replace("<listen>", text_of(listen))
+        handover_listener = stack.enter_context(socket.socket(socket.AF_UNIX))
+        handover_listener.settimeout(TIMEOUT_S)
+        handover_listener.bind(str(folder / HANDOVER_SOCKET))
+        handover_listener.listen()
+        await stack.enter_async_context(process(program, folder, listen, admin, []))
+        sock, _ = await asyncio.to_thread(handover_listener.accept)
+        identity = recorded["identity"].replace("<listen>", text_of(listen))
         socket.send_fds(sock, [identity.encode()], [listener.fileno()])
         sock.setblocking(False)
-        channel = Channel(*await asyncio.open_unix_connection(sock=sock, limit=LINE_MOST))
-        got = await channel.hear("got")
-        state = said["state"]
+        channel = Channel(*await asyncio.open_unix_connection(sock=sock, limit=MAX_LINE_BYTES))
+        got = await channel.receive("got")
+        state = recorded["state"]
         for number, server in enumerate(servers):
             state = state.replace(f"<s{number}>", server.at)
-        channel.say(state)
-        usage = await channel.hear("usage")
-        ready = await channel.hear("ready")
-        identity_there, listeners, state_there = await own_state(folder, servers)
-        caller = await Caller().open(listen)
-        caller.ask()
-        await caller.answer()
-        answers = [await asyncio.to_thread(give_stream, folder, message) for message in said["streams"]]
+        channel.send(state)
+        usage = await channel.receive("usage")
+        ready = await channel.receive("ready")
+        own_identity, listeners, own_state = await read_state(folder, servers)
+        client = await Client().open(listen)
+        client.send_request()
+        await client.read_ok()
+        received = [await asyncio.to_thread(send_stream, folder, message) for message in recorded["streams"]]
         acks, states = [], []
-        for word in said["words"]:
-            channel.say(word)
-            acks.append(await channel.hear("ack"))
-            states.append((await own_state(folder, servers))[2])
+        for command in recorded["words"]:
+            channel.send(command)
+            acks.append(await channel.receive("ack"))
+            states.append((await read_state(folder, servers))[2])
         return {
             "got": got,
             "usage": masked(usage),
             "ready": ready,
-            "identity": identity_there.replace(text_of(listen), "<listen>"),
+            "identity": own_identity.replace(text_of(listen), "<listen>"),
             "listeners": listeners,
-            "state": state_there,
-            "answers": answers,
+            "state": own_state,
+            "answers": received,
             "acks": acks,
             "states": states,
         }
 
 
-async def own_state(folder: Path, servers: list[Server]) -> tuple[str, int, str]:
-    """What a process hands over now: its first line, how many listeners, and its state."""
-    identity, listeners, channel = await follow(folder)
-    channel.say('{"got": true}')
-    state = await channel.hear("state")
+async def read_state(folder: Path, servers: list[Server]) -> tuple[str, int, str]:
+    """Returns what the program hands over now: its first line, the number of listeners, and its state."""
+    identity, listeners, channel = await connect_as_successor(folder)
+    channel.send('{"got": true}')
+    state = await channel.receive("state")
     channel.writer.close()
     for number, server in enumerate(servers):
         state = state.replace(server.at, f"<s{number}>")
