--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -35,7 +35,7 @@
 from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
 from tests.test_net import JOB, Dispatches, run
-from tests.test_upgrade import until_yes
+from tests.test_upgrade import wait_until_ready
 
 MB = 1024 * 1024
 BODY = bytes(range(256)) * (MB // 256)  # one MB that differs from place to place
@@ -617,7 +617,7 @@
 
             passed: list[int] = []
             try:
-                await until_yes(mgmt)
+                await wait_until_ready(mgmt)
                 while len(passed) < 16:
                     await asyncio.gather(*(one() for _ in range(4)))
                 used = Path(f"/proc/{process.pid}/status").read_text()
