--- a/tests/test_operations.py
+++ b/tests/test_operations.py
@@ -1,4 +1,4 @@
-"""Operators' calls on loopback: bans, drains that lead back, and callers that say nothing."""
+"""The admin API on loopback: bans, cancelled drains, and clients that send nothing or half a request."""
 
 from __future__ import annotations
 
@@ -34,28 +34,28 @@
     return (await client.answer()).status
 
 
-OUT = b"PUT /control/out-of-service HTTP/1.1\r\nHost: n\r\n\r\n"
+OUT_OF_SERVICE = b"PUT /control/out-of-service HTTP/1.1\r\nHost: n\r\n\r\n"
 
 
-async def heard(sock: socket.socket) -> bytes:
-    """All that an operator is told; a reset is an error."""
+async def read_to_end(sock: socket.socket) -> bytes:
+    """Returns all that arrives until the connection is closed; a reset is an error."""
     sock.setblocking(False)
-    found = b""
+    received = b""
     async with asyncio.timeout(5):
         while piece := await asyncio.get_running_loop().sock_recv(sock, 4096):
-            found += piece
-    return found
+            received += piece
+    return received
 
 
-async def until_silent(client: Client) -> None:
+async def check_closed(client: Client) -> None:
     assert await client.closed()
 
 
-def test_calls_are_answered_by_name_and_what_is_none_is_a_no() -> None:
-    async def story() -> None:
+def test_requests_get_the_status_of_their_method_and_path() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt):
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address):
                 for method, path, status in (
                     ("GET", "/control/ready", 200),
                     ("PUT", "/control/ready", 405),
@@ -74,217 +74,226 @@
                     ("PUT", "/api", 404),
                     ("DELETE", "/control/ready", 405),
                 ):
-                    assert await call(mgmt, method, path) == status, path
-                assert await call(mgmt, "PUT", "/control/servers/s0/online", b"a body") == 200
+                    assert await call(admin_address, method, path) == status, path
+                assert await call(admin_address, "PUT", "/control/servers/s0/online", b"a body") == 200
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize(
     "wire", [b"", b"PUT /control/serv", b"PUT /control/in-service HTTP/1.1\r\nHost: n\r\n"]
 )
-def test_callers_that_say_nothing_or_half_a_call_hold_up_no_other(wire: bytes) -> None:
-    async def story() -> None:
+def test_clients_that_send_nothing_or_half_a_request_delay_no_other(wire: bytes) -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (node, _):
-                silent = []
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (node, _):
+                incomplete = []
                 for _ in range(3 * admin.MAX_CALLS):
-                    silent.append(await asyncio.open_connection(*mgmt))
-                    silent[-1][1].write(wire)
-                began = time.monotonic()
+                    incomplete.append(await asyncio.open_connection(*admin_address))
+                    incomplete[-1][1].write(wire)
+                started_at = time.monotonic()
                 for _ in range(3):
-                    assert await call(mgmt, "GET", "/control/ready") == 200
-                assert time.monotonic() - began < 1.0
+                    assert await call(admin_address, "GET", "/control/ready") == 200
+                assert time.monotonic() - started_at < 1.0
                 assert len(node._admin_listener._calls) <= admin.MAX_CALLS
-                for _, writer in silent:
+                for _, writer in incomplete:
                     writer.close()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("call_is", ["half", "answered", "under way"])
-def test_who_is_given_up_for_another_operators_call_meets_no_reset(
-    call_is: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("first_request", ["half sent", "answered", "being handled"])
+def test_connection_dropped_in_favour_of_another_is_not_reset(
+    first_request: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """More of what it sends comes in that moment; while a call is under way, the new one is given up."""
+    """More bytes arrive on it at that moment. During a handler, the new one is dropped instead."""
     monkeypatch.setattr(admin, "MAX_CALLS", 1)
     monkeypatch.setattr(admin, "LINGER_TIMEOUT_S", 60.0)
     monkeypatch.setattr(admin, "HANDLER_TIMEOUT_S", 60.0)
     accept = AdminListener._accept
-    crossing: list[socket.socket] = []
+    sending: list[socket.socket] = []
 
-    def crossed(self: AdminListener, listener: socket.socket) -> Any:
-        while crossing:
-            crossing.pop().sendall(b"more")
+    def send_before_accept(self: AdminListener, listener: socket.socket) -> Any:
+        while sending:
+            sending.pop().sendall(b"more")
         return accept(self, listener)
 
-    monkeypatch.setattr(AdminListener, "_accept", crossed)
+    monkeypatch.setattr(AdminListener, "_accept", send_before_accept)
 
-    async def story() -> None:
-        mgmt = free_address()
-        async with Peer() as peer, running(peer, mgmt=mgmt) as (node, _):
-            begun, go_on = asyncio.Event(), asyncio.Event()
+    async def scenario() -> None:
+        admin_address = free_address()
+        async with Peer() as peer, running(peer, mgmt=admin_address) as (node, _):
+            handler_started, go_on = asyncio.Event(), asyncio.Event()
 
             async def out_of_service() -> bool:
-                begun.set()
-                if call_is == "under way":
+                handler_started.set()
+                if first_request == "being handled":
                     await go_on.wait()
                 return True
 
             monkeypatch.setattr(node, "out_of_service", out_of_service)
-            with socket.create_connection(mgmt) as first, socket.socket() as second:
-                first.sendall(OUT[:-2] if call_is == "half" else OUT)
-                if call_is != "half":
-                    await begun.wait()
-                while call_is != "under way" and not node._admin_listener._incomplete:
+            with socket.create_connection(admin_address) as first, socket.socket() as second:
+                first.sendall(OUT_OF_SERVICE[:-2] if first_request == "half sent" else OUT_OF_SERVICE)
+                if first_request != "half sent":
+                    await handler_started.wait()
+                while first_request != "being handled" and not node._admin_listener._incomplete:
                     await asyncio.sleep(0.001)
-                second.connect(mgmt)
-                given_up = second if call_is == "under way" else first
-                crossing.append(given_up)
-                while not node.counters.read().get("admin_calls_dropped") and call_is != "under way":
+                second.connect(admin_address)
+                dropped = second if first_request == "being handled" else first
+                sending.append(dropped)
+                while (
+                    not node.counters.read().get("admin_calls_dropped") and first_request != "being handled"
+                ):
                     await asyncio.sleep(0.001)
-                found = await heard(given_up)
-                assert found.startswith(b"HTTP/1.1 200") if call_is == "answered" else not found
+                received = await read_to_end(dropped)
+                assert received.startswith(b"HTTP/1.1 200") if first_request == "answered" else not received
                 go_on.set()
 
-    run(story())
+    run(scenario())
 
 
-@pytest.mark.parametrize("stands", ["under way", "in the queue", "half come"])
-def test_a_call_that_has_begun_is_answered_though_the_node_ends(
-    stands: str, monkeypatch: pytest.MonkeyPatch
+@pytest.mark.parametrize("request_is", ["being handled", "in the queue", "half received"])
+def test_request_that_has_begun_is_answered_while_the_node_shuts_down(
+    request_is: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The node goes on with its end in the moment after."""
+    """The rest of the request, or its result, comes while the admin listener closes."""
     monkeypatch.setattr(node_module, "LINGER_FINAL_S", 60.0)
-    close, crossing = AdminListener.close, asyncio.Event()
+    close, closing = AdminListener.close, asyncio.Event()
 
-    def crossed(self: AdminListener, *told: Any) -> Any:
-        crossing.set()
-        return close(self, *told)
+    def report_close(self: AdminListener, *arguments: Any) -> Any:
+        closing.set()
+        return close(self, *arguments)
 
-    monkeypatch.setattr(AdminListener, "close", crossed)
+    monkeypatch.setattr(AdminListener, "close", report_close)
 
-    async def story() -> None:
-        mgmt = free_address()
+    async def scenario() -> None:
+        admin_address = free_address()
         async with Peer() as peer:
             with socket.socket() as operator:
-                async with running(peer, mgmt=mgmt) as (node, _):
-                    begun, go_on = asyncio.Event(), asyncio.Event()
+                async with running(peer, mgmt=admin_address) as (node, _):
+                    handler_started, go_on = asyncio.Event(), asyncio.Event()
 
                     async def out_of_service() -> bool:
-                        begun.set()
+                        handler_started.set()
                         await go_on.wait()
                         return True
 
                     monkeypatch.setattr(node, "out_of_service", out_of_service)
-                    if stands != "in the queue":
-                        operator.connect(mgmt)
-                        operator.sendall(OUT[:-2] if stands == "half come" else OUT)
+                    if request_is != "in the queue":
+                        operator.connect(admin_address)
+                        operator.sendall(
+                            OUT_OF_SERVICE[:-2] if request_is == "half received" else OUT_OF_SERVICE
+                        )
                         while not (
-                            begun.is_set() or (stands == "half come" and node._admin_listener._incomplete)
+                            handler_started.is_set()
+                            or (request_is == "half received" and node._admin_listener._incomplete)
                         ):
                             await asyncio.sleep(0.001)
                     else:
                         for listener in node._admin_listener._listeners:
                             node._loop.remove_reader(listener.fileno())
-                        operator.connect(mgmt)
-                        operator.sendall(OUT)
+                        operator.connect(admin_address)
+                        operator.sendall(OUT_OF_SERVICE)
                     node.stop()
-                    await crossing.wait()
-                    if stands == "half come":
-                        operator.sendall(OUT[-2:])
+                    await closing.wait()
+                    if request_is == "half received":
+                        operator.sendall(OUT_OF_SERVICE[-2:])
                     go_on.set()
-                    assert (await heard(operator)).startswith(b"HTTP/1.1 200")
+                    assert (await read_to_end(operator)).startswith(b"HTTP/1.1 200")
 
-    run(story())
+    run(scenario())
 
 
-def test_an_operator_that_has_said_nothing_holds_up_no_end(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_has_sent_nothing_does_not_delay_the_shutdown(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(node_module, "LINGER_FINAL_S", 60.0)
 
-    async def story() -> None:
-        mgmt = free_address()
+    async def scenario() -> None:
+        admin_address = free_address()
         async with Peer() as peer:
             with socket.socket() as operator:
-                async with running(peer, mgmt=mgmt) as (node, _):
-                    operator.connect(mgmt)
+                async with running(peer, mgmt=admin_address) as (node, _):
+                    operator.connect(admin_address)
                     while not node._admin_listener._incomplete:
                         await asyncio.sleep(0.001)
-                assert await heard(operator) == b""
+                assert await read_to_end(operator) == b""
 
-    run(story())
+    run(scenario())
 
 
-def test_a_call_that_does_not_end_holds_up_the_nodes_end_for_a_moment_only(
+def test_handler_that_never_returns_delays_the_shutdown_only_briefly(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(admin, "HANDLER_TIMEOUT_S", 60.0)
 
-    async def story() -> None:
-        mgmt = free_address()
+    async def scenario() -> None:
+        admin_address = free_address()
         async with Peer() as peer:
             with socket.socket() as operator:
-                async with running(peer, mgmt=mgmt) as (node, _):
-                    begun = asyncio.Event()
+                async with running(peer, mgmt=admin_address) as (node, _):
+                    handler_started = asyncio.Event()
 
                     async def out_of_service() -> bool:
-                        begun.set()
+                        handler_started.set()
                         await asyncio.Event().wait()
                         return True
 
                     monkeypatch.setattr(node, "out_of_service", out_of_service)
-                    operator.connect(mgmt)
-                    operator.sendall(OUT)
-                    await begun.wait()
-                assert await heard(operator) == b""
+                    operator.connect(admin_address)
+                    operator.sendall(OUT_OF_SERVICE)
+                    await handler_started.wait()
+                assert await read_to_end(operator) == b""
 
-    run(story())
+    run(scenario())
 
 
-def test_an_operator_that_goes_before_its_answer_is_no_failure(monkeypatch: pytest.MonkeyPatch) -> None:
-    async def story() -> None:
-        mgmt = free_address()
-        async with Peer() as peer, running(peer, mgmt=mgmt) as (node, _):
-            operator = socket.create_connection(mgmt)
+def test_client_that_disconnects_before_its_response_is_no_internal_error(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    async def scenario() -> None:
+        admin_address = free_address()
+        async with Peer() as peer, running(peer, mgmt=admin_address) as (node, _):
+            operator = socket.create_connection(admin_address)
 
             async def out_of_service() -> bool:
                 operator.close()
                 return True
 
             monkeypatch.setattr(node, "out_of_service", out_of_service)
-            operator.sendall(OUT)
+            operator.sendall(OUT_OF_SERVICE)
             while not node.counters.read().get("admin_calls") or node._admin_listener._calls:
                 await asyncio.sleep(0.001)
             assert not node.counters.read().get("internal_errors")
 
-    run(story())
+    run(scenario())
 
 
-def test_a_call_that_never_ends_is_told_so(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_incomplete_request_gets_408_after_the_timeout_and_a_malformed_one_400(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     monkeypatch.setattr(admin, "READ_TIMEOUT_S", 0.05)
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (node, _):
-                reader, writer = await asyncio.open_connection(*mgmt)
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (node, _):
+                reader, writer = await asyncio.open_connection(*admin_address)
                 writer.write(b"GET /control/ready HTTP/1.1\r\n")
                 assert (await reader.read()).startswith(b"HTTP/1.1 408 ")
                 writer.close()
-                assert await call(mgmt, "nonsense\r\n", "") == 400
+                assert await call(admin_address, "nonsense\r\n", "") == 400
                 while node._admin_listener._calls:
                     await asyncio.sleep(0)
 
-    run(story())
+    run(scenario())
 
 
-def test_a_call_that_comes_byte_by_byte_is_one_call() -> None:
-    async def story() -> None:
+def test_request_that_arrives_byte_by_byte_is_one_request() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt):
-                reader, writer = await asyncio.open_connection(*mgmt)
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address):
+                reader, writer = await asyncio.open_connection(*admin_address)
                 for byte in b"PUT /control/out-of-service HTTP/1.1\r\nHost: n\r\n\r\n":
                     writer.write(bytes([byte]))
                     await writer.drain()
@@ -292,56 +301,56 @@
                 assert (await reader.read()).startswith(b"HTTP/1.1 200 ")
                 writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def hear(node: Node, index: int, *servers: Peer, status: str = "active") -> None:
+def apply_list(node: Node, index: int, *servers: Peer, status: str = "active") -> None:
     endpoints = rows(*servers, status=status)
     node._apply_list(
         read_list({"index": index, "snapshot": True, "endpoints": endpoints}), ListUpdate.SNAPSHOT
     )
 
 
-def test_a_server_taken_out_gets_nothing_whatever_the_list_says_until_it_is_given_back() -> None:
-    async def story() -> None:
+def test_banned_server_gets_no_request_whatever_the_list_has_until_the_ban_is_lifted() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (node, listen):
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (node, listen):
                 client = await Client().open(listen)
                 client.ask()
                 assert (await client.answer()).status == 200
-                assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
-                assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
+                assert await call(admin_address, "PUT", "/control/servers/s0/offline") == 200
+                assert await call(admin_address, "PUT", "/control/servers/s0/offline") == 200
                 for step in ("banned", "listed anew", "dropped", "back"):
                     if step != "banned":
-                        hear(node, 5, *([] if step == "dropped" else [peer]))
+                        apply_list(node, 5, *([] if step == "dropped" else [peer]))
                     client.ask(left="60")
                     assert (await client.answer()).status == 503, step
                 assert len(peer.requests) == 1
-                assert await call(mgmt, "PUT", "/control/servers/s0/online") == 200
+                assert await call(admin_address, "PUT", "/control/servers/s0/online") == 200
                 client.ask()
                 assert (await client.answer()).status == 200
-                assert peer.connections == 2  # what was kept from before the ban is of no use
+                assert peer.connections == 2  # a connection from before the ban is not reused
 
-    run(story())
+    run(scenario())
 
 
-def test_a_server_taken_out_while_a_connection_comes_up_gets_no_request(
+def test_server_banned_while_a_connection_is_being_opened_gets_no_request(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    async def story() -> None:
+    async def scenario() -> None:
         async with Peer() as peer, Peer() as other:
-            mgmt = free_address()
-            async with running(peer, other, mgmt=mgmt) as (node, listen):
-                opened = UpstreamPool._acquire
+            admin_address = free_address()
+            async with running(peer, other, mgmt=admin_address) as (node, listen):
+                acquire = UpstreamPool._acquire
 
-                async def slowly(servers: UpstreamPool, server: str, reuse: bool) -> object:
-                    found = opened(servers, server, reuse)
+                async def ban_meanwhile(pool: UpstreamPool, server: str, reuse: bool) -> object:
+                    connection = acquire(pool, server, reuse)
                     if server == "s0":
                         assert await node.take_offline("s0")
-                    return await found
+                    return await connection
 
-                monkeypatch.setattr(UpstreamPool, "_acquire", slowly)
+                monkeypatch.setattr(UpstreamPool, "_acquire", ban_meanwhile)
                 statuses = []
                 while not other.requests or "s0" not in node._engine.banned:
                     client = await Client().open(listen)
@@ -350,154 +359,156 @@
                 assert peer.requests == [] and peer.connections <= 1
                 assert set(statuses) <= {200, 503} and statuses.count(503) <= 1
 
-    run(story())
+    run(scenario())
 
 
-def test_a_retry_goes_past_a_server_taken_out_meanwhile() -> None:
-    async def story() -> None:
+def test_retry_is_not_sent_to_a_server_banned_after_the_first_attempt() -> None:
+    async def scenario() -> None:
         async with Peer() as first, Peer() as second, Peer() as third:
             peers = [first, second, third]
             async with running(*peers, max_attempts=3) as (node, listen):
                 client = await Client().open(listen)
-                for _ in range(20):  # first sends for the retry's budget
+                for _ in range(20):  # first attempts, which add to the retry budget
                     client.ask()
                     assert (await client.answer()).status == 200
-                asked: list[str] = []
+                attempted: list[str] = []
 
-                def reset(name: str) -> Reply:
-                    asked.append(name)
-                    if len(asked) == 1:
-                        left = [f"s{i}" for i in range(3) if f"s{i}" != name]
-                        node._engine.ban(left[0])
+                def reset_first(name: str) -> Reply:
+                    attempted.append(name)
+                    if len(attempted) == 1:
+                        others = [f"s{i}" for i in range(3) if f"s{i}" != name]
+                        node._engine.ban(others[0])
                         node._update_upstreams()
                         return (b"", "reset")
                     return OK
 
                 for i, peer in enumerate(peers):
-                    peer.reply = lambda _, name=f"s{i}": reset(name)
+                    peer.reply = lambda _, name=f"s{i}": reset_first(name)
                 client.ask()
                 assert (await client.answer()).status == 200
-                assert len(asked) == 2 and asked[1] not in node._engine.banned
+                assert len(attempted) == 2 and attempted[1] not in node._engine.banned
 
-    run(story())
+    run(scenario())
 
 
-def test_a_node_led_out_of_service_says_so_parts_with_its_callers_and_comes_back() -> None:
-    async def story() -> None:
+def test_node_out_of_service_reports_it_closes_its_connections_and_can_return() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (_, listen):
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (_, listen):
                 idle, busy = await Client().open(listen), await Client().open(listen)
                 assert await ask_ready(listen) == 200
-                assert await call(mgmt, "PUT", "/control/out-of-service") == 200
+                assert await call(admin_address, "PUT", "/control/out-of-service") == 200
                 assert await ask_ready(listen) == 503
                 busy.ask()
-                assert (await busy.answer()).status == 200  # served on, also where it comes late
+                assert (await busy.answer()).status == 200  # served, although the node drains
                 assert await idle.closed() and await busy.closed()
                 late = await Client().open(listen)
                 late.ask()
-                answer = await late.answer()
-                assert answer.status == 200 and not answer.keep_alive and await late.closed()
-                assert await call(mgmt, "GET", "/control/ready") == 200
-                assert await call(mgmt, "PUT", "/control/in-service") == 200
-                assert await call(mgmt, "PUT", "/control/in-service") == 200
+                response = await late.answer()
+                assert response.status == 200 and not response.keep_alive and await late.closed()
+                assert await call(admin_address, "GET", "/control/ready") == 200
+                assert await call(admin_address, "PUT", "/control/in-service") == 200
+                assert await call(admin_address, "PUT", "/control/in-service") == 200
                 assert await ask_ready(listen) == 200
                 again = await Client().open(listen)
                 for _ in range(2):
                     again.ask()
                     assert (await again.answer()).keep_alive
 
-    run(story())
+    run(scenario())
 
 
-def test_a_job_under_way_when_the_node_is_led_away_is_answered() -> None:
-    async def story() -> None:
+def test_request_in_flight_when_the_node_goes_out_of_service_is_answered() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (node, listen):
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (node, listen):
                 client = await Client().open(listen)
                 client.ask()
                 await peer.asked.wait()
-                assert await call(mgmt, "PUT", "/control/out-of-service") == 200
+                assert await call(admin_address, "PUT", "/control/out-of-service") == 200
                 while node._serving_state.state is not ServingState.DRAINING:
                     await asyncio.sleep(0.01)
                 peer.go_on.set()
-                answer = await client.answer()
-                assert answer.status == 200 and not answer.keep_alive
+                response = await client.answer()
+                assert response.status == 200 and not response.keep_alive
                 node.stop()
-                assert not await node.in_service()  # nothing leads back from the end
+                assert not await node.in_service()  # a shutdown cannot be cancelled
 
-    run(story())
+    run(scenario())
 
 
 @pytest.mark.parametrize("state", list(ServingState))
 @pytest.mark.parametrize("event", list(ServingEvent))
-def test_every_state_and_input_has_one_row_or_none(state: ServingState, event: ServingEvent) -> None:
-    service = ServingStateMachine()
-    service.state = state
-    effect = service.handle(event)
+def test_each_serving_state_and_event_has_at_most_one_transition(
+    state: ServingState, event: ServingEvent
+) -> None:
+    machine = ServingStateMachine()
+    machine.state = state
+    action = machine.handle(event)
     assert sum(1 for row in SERVING_TRANSITIONS if (row.state, row.event) == (state, event)) == (
-        effect is not None
+        action is not None
     )
     if state is ServingState.SHUTTING_DOWN:
-        assert service.state is ServingState.SHUTTING_DOWN and effect in (None, ServingAction.NONE)
+        assert machine.state is ServingState.SHUTTING_DOWN and action in (None, ServingAction.NONE)
     if event is ServingEvent.SHUTDOWN_REQUESTED:
-        assert service.state is ServingState.SHUTTING_DOWN
+        assert machine.state is ServingState.SHUTTING_DOWN
     if event is ServingEvent.PUT_IN_SERVICE and state is not ServingState.SHUTTING_DOWN:
-        assert service.state is ServingState.SERVING
+        assert machine.state is ServingState.SERVING
 
 
-def test_calls_are_answered_while_descriptors_are_short() -> None:
-    async def story() -> None:
+def test_admin_requests_are_answered_while_descriptors_are_short() -> None:
+    async def scenario() -> None:
         async with Peer(SILENT) as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt, sockets=64) as (node, listen):
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address, sockets=64) as (node, listen):
                 clients = [await Client().open(listen) for _ in range(60)]
                 for client in clients[:20]:
                     client.ask()
                 while "client_connections_rejected" not in node.counters.read():
                     await asyncio.sleep(0.005)
-                assert await call(mgmt, "GET", "/control/ready") == 200
-                assert await call(mgmt, "PUT", "/control/servers/s0/offline") == 200
-                held = node._descriptors.in_use + len(node._admin_listener._calls)
-                assert held <= 64 - BASE_DESCRIPTORS
+                assert await call(admin_address, "GET", "/control/ready") == 200
+                assert await call(admin_address, "PUT", "/control/servers/s0/offline") == 200
+                in_use = node._descriptors.in_use + len(node._admin_listener._calls)
+                assert in_use <= 64 - BASE_DESCRIPTORS
                 for client in clients:
                     client.writer.close()
 
-    run(story())
+    run(scenario())
 
 
-def test_a_drain_ends_in_time_though_callers_go_on_asking_and_new_ones_come() -> None:
-    async def story() -> None:
+def test_drain_ends_although_clients_keep_sending_requests_and_new_ones_connect() -> None:
+    async def scenario() -> None:
         async with Peer() as peer:
-            mgmt = free_address()
-            async with running(peer, mgmt=mgmt) as (node, listen):
-                going = True
-                led_away: list[float] = []
-
-                async def stays() -> None:
-                    """Asks on one connection for as long as it is open, and then on another."""
-                    while going:
+            admin_address = free_address()
+            async with running(peer, mgmt=admin_address) as (node, listen):
+                sending = True
+                closed_at: list[float] = []
+
+                async def send_requests() -> None:
+                    """Sends requests on one connection until the node closes it, and then on another."""
+                    while sending:
                         client = await Client().open(listen)
-                        keep = True
-                        while keep and going:
+                        keep_alive = True
+                        while keep_alive and sending:
                             client.ask()
-                            keep = (await client.answer()).keep_alive
+                            keep_alive = (await client.answer()).keep_alive
                             await asyncio.sleep(0.005)
                         client.writer.close()
-                        led_away.append(time.monotonic())
+                        closed_at.append(time.monotonic())
                         if node._serving_state.state is ServingState.DRAINING:
                             return
 
-                work = [asyncio.create_task(stays()) for _ in range(3)]
-                silent = [await Client().open(listen) for _ in range(10)]
-                assert await call(mgmt, "PUT", "/control/out-of-service") == 200
-                for client in silent:
+                tasks = [asyncio.create_task(send_requests()) for _ in range(3)]
+                idle = [await Client().open(listen) for _ in range(10)]
+                assert await call(admin_address, "PUT", "/control/out-of-service") == 200
+                for client in idle:
                     assert await client.closed()
-                await asyncio.gather(*work)
+                await asyncio.gather(*tasks)
                 while node._client_listener.connected:
                     await asyncio.sleep(0.005)
-                going = False
-                assert len(led_away) >= 3
+                sending = False
+                assert len(closed_at) >= 3
 
-    run(story())
+    run(scenario())
