--- a/tests/test_reload.py
+++ b/tests/test_reload.py
@@ -1,4 +1,4 @@
-"""New settings while the node serves: what is taken, what is not, and what a job keeps."""
+"""Reloading the configuration while the node serves: what it accepts and rejects, and what requests keep."""
 
 from __future__ import annotations
 
@@ -33,261 +33,278 @@
 Change = Callable[[dict[str, Any]], None]
 
 
-def first(told: dict[str, Any]) -> dict[str, Any]:
-    found: dict[str, Any] = told["settings"]["profiles"][0]
-    return found
+def first_request_class(config: dict[str, Any]) -> dict[str, Any]:
+    """Returns the first request class of a configuration."""
+    request_class: dict[str, Any] = config["settings"]["profiles"][0]
+    return request_class
 
 
-def setting(name: str, value: object) -> Change:
-    return lambda told: first(told).__setitem__(name, value)
+def set_in_class(name: str, value: object) -> Change:
+    return lambda config: first_request_class(config).__setitem__(name, value)
 
 
-def without(*path: Any) -> Change:
-    def change(told: dict[str, Any]) -> None:
-        *stems, last = path
-        for stem in stems:
-            told = told[stem]
-        del told[last]
+def remove(*path: Any) -> Change:
+    def change(config: dict[str, Any]) -> None:
+        *sections, key = path
+        for section in sections:
+            config = config[section]
+        del config[key]
 
     return change
 
 
-BROKEN: list[tuple[Change, str]] = [
-    (setting("abandon_time", -5), "settings.profiles.0.abandon_time"),
-    (setting("abandon_time", 0), "settings.profiles.0.abandon_time"),
-    (setting("abandon_time", "soon"), "settings.profiles.0.abandon_time"),
-    (setting("abandon_time", True), "settings.profiles.0.abandon_time"),
-    (setting("contract_time", float("nan")), "settings.profiles.0.contract_time"),
-    (setting("contract_time", float("inf")), "settings.profiles.0.contract_time"),
-    (setting("effect", "perhaps"), "settings.profiles.0.effect"),
-    (setting("dedup_scope", "town"), "settings.profiles.0.dedup_scope"),
-    (setting("window", -1), "settings.profiles.0.window"),
-    (setting("name", ""), "settings.profiles.0.name"),
-    (lambda told: told["settings"]["limits"].update(max_dispatches=0), "settings.limits.max_dispatches"),
-    (lambda told: told["settings"]["limits"].update(max_dispatches=1.5), "settings.limits.max_dispatches"),
-    (lambda told: told["settings"]["limits"].update(cancel="yes"), "settings.limits.cancel"),
-    (lambda told: told["settings"].update(profiles=[]), "settings.profiles"),
-    (lambda told: told["settings"].update(profiles={"name": "plain"}), "settings.profiles"),
-    (lambda told: told["settings"]["profiles"].append(dict(first(told))), "settings.profiles"),
-    (lambda told: told.update(discovery="nowhere"), "discovery"),
-    (lambda told: told.update(discovery="h:70000"), "discovery"),
-    (lambda told: told.update(settings=None), "settings"),
-    (lambda told: told.update(limits={"sockets": 0}), "limits.sockets"),
-    (lambda told: told.update(limits={"sockets": "many"}), "limits.sockets"),
-    (lambda told: told.update(limits=None), "limits"),
-    (lambda told: told.update(seed="seven"), "seed"),
-    (without("settings"), "settings"),
-    (without("discovery"), "discovery"),
-    (without("settings", "profiles"), "settings.profiles"),
-    (without("settings", "limits"), "settings.limits"),
-    (without("settings", "limits", "max_dispatches"), "settings.limits.max_dispatches"),
-    (without("settings", "limits", "cancel"), "settings.limits.cancel"),
-    (without("settings", "localities"), "settings.localities"),
-    (without("settings", "profiles", 0, "effect"), "settings.profiles.0.effect"),
-    (without("settings", "profiles", 0, "tardy_revenue"), "settings.profiles.0.tardy_revenue"),
+INVALID: list[tuple[Change, str]] = [
+    (set_in_class("abandon_time", -5), "settings.profiles.0.abandon_time"),
+    (set_in_class("abandon_time", 0), "settings.profiles.0.abandon_time"),
+    (set_in_class("abandon_time", "soon"), "settings.profiles.0.abandon_time"),
+    (set_in_class("abandon_time", True), "settings.profiles.0.abandon_time"),
+    (set_in_class("contract_time", float("nan")), "settings.profiles.0.contract_time"),
+    (set_in_class("contract_time", float("inf")), "settings.profiles.0.contract_time"),
+    (set_in_class("effect", "perhaps"), "settings.profiles.0.effect"),
+    (set_in_class("dedup_scope", "town"), "settings.profiles.0.dedup_scope"),
+    (set_in_class("window", -1), "settings.profiles.0.window"),
+    (set_in_class("name", ""), "settings.profiles.0.name"),
+    (lambda config: config["settings"]["limits"].update(max_dispatches=0), "settings.limits.max_dispatches"),
+    (
+        lambda config: config["settings"]["limits"].update(max_dispatches=1.5),
+        "settings.limits.max_dispatches",
+    ),
+    (lambda config: config["settings"]["limits"].update(cancel="yes"), "settings.limits.cancel"),
+    (lambda config: config["settings"].update(profiles=[]), "settings.profiles"),
+    (lambda config: config["settings"].update(profiles={"name": "plain"}), "settings.profiles"),
+    (
+        lambda config: config["settings"]["profiles"].append(dict(first_request_class(config))),
+        "settings.profiles",
+    ),
+    (lambda config: config.update(discovery="nowhere"), "discovery"),
+    (lambda config: config.update(discovery="h:70000"), "discovery"),
+    (lambda config: config.update(settings=None), "settings"),
+    (lambda config: config.update(limits={"sockets": 0}), "limits.sockets"),
+    (lambda config: config.update(limits={"sockets": "many"}), "limits.sockets"),
+    (lambda config: config.update(limits=None), "limits"),
+    (lambda config: config.update(seed="seven"), "seed"),
+    (remove("settings"), "settings"),
+    (remove("discovery"), "discovery"),
+    (remove("settings", "profiles"), "settings.profiles"),
+    (remove("settings", "limits"), "settings.limits"),
+    (remove("settings", "limits", "max_dispatches"), "settings.limits.max_dispatches"),
+    (remove("settings", "limits", "cancel"), "settings.limits.cancel"),
+    (remove("settings", "localities"), "settings.localities"),
+    (remove("settings", "profiles", 0, "effect"), "settings.profiles.0.effect"),
+    (remove("settings", "profiles", 0, "tardy_revenue"), "settings.profiles.0.tardy_revenue"),
 ]
 
 
-@pytest.mark.parametrize(("change", "place"), BROKEN)
-def test_a_broken_configuration_is_refused_with_the_place(change: Change, place: str) -> None:
-    before = configuration()
-    found = copy.deepcopy(before)
-    change(found)
-    with pytest.raises(validation.InvalidConfigurationError) as refused:
-        validation.validate(found, before)
-    assert [error.partition(":")[0] for error in refused.value.errors] == [place]
-
-
-def test_all_errors_are_named_at_once_and_a_sound_file_has_none() -> None:
-    before = configuration()
-    validation.validate(before, before)
-    found = copy.deepcopy(before)
-    for change, _ in BROKEN[:1] + BROKEN[6:7] + BROKEN[10:11] + BROKEN[16:17]:
-        change(found)
-    with pytest.raises(validation.InvalidConfigurationError) as refused:
-        validation.validate(found, before)
-    assert len(refused.value.errors) == 4
-    more = copy.deepcopy(before)
-    more["settings"]["profiles"].append({**first(more), "name": "new", "effect": "once", "window": 5})
-    more["settings"]["limits"]["max_dispatches"] = 1
-    validation.validate(more, before)
+@pytest.mark.parametrize(("change", "path"), INVALID)
+def test_invalid_configuration_is_rejected_with_the_path_of_the_error(change: Change, path: str) -> None:
+    current = configuration()
+    changed = copy.deepcopy(current)
+    change(changed)
+    with pytest.raises(validation.InvalidConfigurationError) as raised:
+        validation.validate(changed, current)
+    assert [error.partition(":")[0] for error in raised.value.errors] == [path]
+
+
+def test_all_errors_are_reported_at_once_and_a_valid_file_has_none() -> None:
+    current = configuration()
+    validation.validate(current, current)
+    changed = copy.deepcopy(current)
+    for change, _ in INVALID[:1] + INVALID[6:7] + INVALID[10:11] + INVALID[16:17]:
+        change(changed)
+    with pytest.raises(validation.InvalidConfigurationError) as raised:
+        validation.validate(changed, current)
+    assert len(raised.value.errors) == 4
+    valid = copy.deepcopy(current)
+    valid["settings"]["profiles"].append(
+        {**first_request_class(valid), "name": "new", "effect": "once", "window": 5}
+    )
+    valid["settings"]["limits"]["max_dispatches"] = 1
+    validation.validate(valid, current)
 
 
 @pytest.mark.parametrize("text", ["", " \n", "[]", "7", "[" * 100000, '{"a": }'])
-def test_what_is_no_object_is_refused(text: str) -> None:
+def test_text_that_is_no_json_object_is_rejected(text: str) -> None:
     with pytest.raises(validation.InvalidConfigurationError):
         validation.parse(text)
 
 
-def test_a_file_cut_anywhere_is_refused() -> None:
+def test_truncated_file_is_rejected() -> None:
     text = json.dumps(configuration())
     for end in range(len(text)):
         with pytest.raises(validation.InvalidConfigurationError):
             validation.validate(validation.parse(text[:end]), configuration())
 
 
-def retune(story: EngineHarness, attempts: int = 5, **profiles: Any) -> None:
-    terms = replace(SETTINGS, request_classes=list(profiles.values()), max_attempts=attempts)
-    story.engine.apply_settings(terms, SettingNames(list(profiles), [], ["a"]))
+def apply_classes(harness: EngineHarness, attempts: int = 5, **request_classes: Any) -> None:
+    settings = replace(SETTINGS, request_classes=list(request_classes.values()), max_attempts=attempts)
+    harness.engine.apply_settings(settings, SettingNames(list(request_classes), [], ["a"]))
 
 
 @pytest.mark.parametrize(
-    ("after", "order"), [(NON_IDEMPOTENT, RejectRequest), (None, RejectRequest), (IDEMPOTENT, RejectRequest)]
+    ("after", "command"),
+    [(NON_IDEMPOTENT, RejectRequest), (None, RejectRequest), (IDEMPOTENT, RejectRequest)],
 )
-def test_a_job_keeps_the_profile_it_was_taken_with(after: Idempotency | None, order: type) -> None:
-    story = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
-    ticket = story.submit(IDEMPOTENT)
-    story.commands(ticket)
+def test_request_keeps_the_class_that_it_was_accepted_with(after: Idempotency | None, command: type) -> None:
+    harness = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
+    ticket = harness.submit(IDEMPOTENT)
+    harness.commands(ticket)
     if after is None:
-        retune(story, other=PLAIN)
+        apply_classes(harness, other=PLAIN)
     else:
-        retune(story, plain=make_request_class(after))
-    story.end_attempt(ticket, AttemptResult.UNKNOWN)  # may have run, and not its server's fault
-    (final,) = story.commands(ticket)
-    assert isinstance(final, order)  # a repeat was harmless when it was taken
+        apply_classes(harness, plain=make_request_class(after))
+    harness.end_attempt(ticket, AttemptResult.UNKNOWN)  # may have been executed; the server is not to blame
+    (final,) = harness.commands(ticket)
+    assert isinstance(final, command)  # it was idempotent when it was accepted
 
 
-def test_a_stricter_profile_holds_for_what_comes_from_now_on() -> None:
-    story = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
-    retune(story, plain=make_request_class(NON_IDEMPOTENT))
-    for effect in (IDEMPOTENT, KEYED, NON_IDEMPOTENT):
-        ticket = story.submit(effect)
-        story.commands(ticket)
-        story.end_attempt(ticket, AttemptResult.UNKNOWN)
-        (final,) = story.commands(ticket)
-        assert isinstance(final, FailRequest), effect
+def test_stricter_class_applies_to_requests_accepted_from_now_on() -> None:
+    harness = EngineHarness(replace(SETTINGS, request_classes=[make_request_class(IDEMPOTENT)]))
+    apply_classes(harness, plain=make_request_class(NON_IDEMPOTENT))
+    for idempotency in (IDEMPOTENT, KEYED, NON_IDEMPOTENT):
+        ticket = harness.submit(idempotency)
+        harness.commands(ticket)
+        harness.end_attempt(ticket, AttemptResult.UNKNOWN)
+        (final,) = harness.commands(ticket)
+        assert isinstance(final, FailRequest), idempotency
 
 
-def test_a_profile_that_stays_keeps_its_number_and_what_was_learned_of_it() -> None:
-    story = EngineHarness()
+def test_class_that_remains_keeps_its_number_and_its_learned_state() -> None:
+    harness = EngineHarness()
     for _ in range(8):
-        ticket = story.submit()
-        story.commands(ticket)
-        story.end_attempt(ticket, AttemptResult.SUCCEEDED)
-    retune(story, new=make_request_class(NON_IDEMPOTENT), plain=PLAIN)
-    kinds = story.engine._request_classes
-    core: Any = story.engine._balancer
+        ticket = harness.submit()
+        harness.commands(ticket)
+        harness.end_attempt(ticket, AttemptResult.SUCCEEDED)
+    apply_classes(harness, new=make_request_class(NON_IDEMPOTENT), plain=PLAIN)
+    request_classes = harness.engine._request_classes
+    balancer: Any = harness.engine._balancer
     assert (
-        len(core._recent_latencies[kinds["plain"].number]) == 8
-        and not core._recent_latencies[kinds["new"].number]
+        len(balancer._recent_latencies[request_classes["plain"].number]) == 8
+        and not balancer._recent_latencies[request_classes["new"].number]
     )
     for _ in range(50):
-        retune(story, plain=make_request_class(NON_IDEMPOTENT))
-        retune(story, plain=PLAIN)
+        apply_classes(harness, plain=make_request_class(NON_IDEMPOTENT))
+        apply_classes(harness, plain=PLAIN)
     assert (
-        len(core._recent_latencies) == len(core._recent_times_left) == len(core._request_classes) == 2
-    )  # nothing grows
+        len(balancer._recent_latencies)
+        == len(balancer._recent_times_left)
+        == len(balancer._request_classes)
+        == 2
+    )  # no entries accumulate
 
 
-@pytest.mark.parametrize(("before", "after", "most"), [(5, 2, 2), (2, 5, 2)])
-def test_of_two_numbers_of_attempts_a_held_job_has_the_stricter(before: int, after: int, most: int) -> None:
+@pytest.mark.parametrize(("before", "after", "max_attempts"), [(5, 2, 2), (2, 5, 2)])
+def test_pending_request_gets_the_lower_of_two_attempt_limits(
+    before: int, after: int, max_attempts: int
+) -> None:
     host = FakeHost(max_attempts=before)
     host.serve_requests(100)
-    job = host.submit()
+    request = host.submit()
     host.balancer.settings_changed(replace(SETTINGS, max_attempts=after), {0: PLAIN})
-    for dispatch in range(most):
-        host.end_attempt(job, AttemptResult.REJECTED, dispatch)
-    assert len(host.sent_to(job)) == most and len(host.final_commands(job)) == 1
+    for attempt in range(max_attempts):
+        host.end_attempt(request, AttemptResult.REJECTED, attempt)
+    assert len(host.sent_to(request)) == max_attempts and len(host.final_commands(request)) == 1
 
 
-def test_settings_are_taken_at_once_and_broken_ones_leave_all_as_it_was(
+def test_valid_settings_apply_at_once_and_invalid_ones_change_nothing(
     tmp_path: Path, caplog: pytest.LogCaptureFixture
 ) -> None:
     caplog.set_level(logging.INFO)
-    file = tmp_path / "told.json"
+    file = tmp_path / "config.json"
 
-    async def story() -> None:
+    async def scenario() -> None:
         async with (
             Peer() as peer,
-            Peer(SILENT) as place,
-            running(peer, discovery=place, file=file) as (node, at),
+            Peer(SILENT) as discovery,
+            running(peer, discovery=discovery, file=file) as (node, listen),
         ):
-            client = await Client().open(at)
+            client = await Client().open(listen)
 
-            async def status(kind: str) -> int:
+            async def status(class_name: str) -> int:
                 client.job_id += 1
                 client.send(
-                    f"GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: {client.job_id}\r\nReq-Kind: {kind}\r\n"
+                    f"GET /api HTTP/1.1\r\nHost: a\r\nReq-Id: {client.job_id}\r\nReq-Kind: {class_name}\r\n"
                     "Req-Deadline-Ms: 900\r\n\r\n".encode()
                 )
                 return (await client.answer()).status
 
             def write(*names: str, **changes: Any) -> None:
-                told = configuration(place.at)
-                told["settings"]["profiles"] = [{**first(told), "name": name, **changes} for name in names]
-                file.write_text(json.dumps(told))
+                config = configuration(discovery.at)
+                config["settings"]["profiles"] = [
+                    {**first_request_class(config), "name": name, **changes} for name in names
+                ]
+                file.write_text(json.dumps(config))
                 node.reload()
 
             assert await status("plain") == 200
             write("plain", "new")
             assert [await status("plain"), await status("new")] == [200, 200]
             write("elsewhere", abandon_time=0)
-            told = configuration("127.0.0.1:3")
-            told["settings"]["limits"]["max_dispatches"] = -1
-            file.write_text(json.dumps(told))
+            config = configuration("127.0.0.1:3")
+            config["settings"]["limits"]["max_dispatches"] = -1
+            file.write_text(json.dumps(config))
             node.reload()
             assert [await status("plain"), await status("new")] == [200, 200]
-            assert node._config.discovery == place.address and node._config.balancer.max_attempts == 5
+            assert node._config.discovery == discovery.address and node._config.balancer.max_attempts == 5
             write("new")
             assert await status("new") == 200
             assert await status("plain") == 400
-            figures = node.counters.read()
-            assert (figures["reloads"], figures["reloads_failed"]) == (2, 2)
+            counters = node.counters.read()
+            assert (counters["reloads"], counters["reloads_failed"]) == (2, 2)
 
-    run(story())
-    said = [
+    run(scenario())
+    logged = [
         record.__dict__["pairs"]
         for record in caplog.records
         if "configuration invalid" in record.getMessage()
     ]
-    assert [each["why"].partition(":")[0] for each in said] == [
+    assert [pairs["why"].partition(":")[0] for pairs in logged] == [
         "settings.profiles.0.abandon_time",
         "settings.limits.max_dispatches",
     ]
 
 
-def test_a_job_of_a_profile_that_vanished_is_answered(tmp_path: Path) -> None:
-    file = tmp_path / "told.json"
+def test_request_of_a_removed_class_is_answered(tmp_path: Path) -> None:
+    file = tmp_path / "config.json"
 
-    async def story() -> None:
-        async with Peer(SILENT) as peer, running(peer, file=file) as (node, at):
-            client = await Client().open(at)
+    async def scenario() -> None:
+        async with Peer(SILENT) as peer, running(peer, file=file) as (node, listen):
+            client = await Client().open(listen)
             client.ask()
             await peer.asked.wait()
-            told = configuration()
-            first(told)["name"] = "new"
-            file.write_text(json.dumps(told))
+            config = configuration()
+            first_request_class(config)["name"] = "new"
+            file.write_text(json.dumps(config))
             node.reload()
             assert node.counters.read()["reloads"] == 1
             peer.go_on.set()
             assert (await client.answer()).status == 200
             assert node.counters.read()["requests_tracked"] == 0
 
-    run(story())
+    run(scenario())
 
 
-def test_servers_zones_keep_their_numbers_when_the_list_of_zones_changes() -> None:
-    story = EngineHarness(replace(SETTINGS, zone=0))
-    retuned = replace(SETTINGS, zone=1)
-    story.engine.apply_settings(retuned, SettingNames(["plain"], [], ["b", "a"]))
-    core: Any = story.engine._balancer
-    assert core._settings.zone == 0
-    ticket = story.submit()
-    assert isinstance(story.commands(ticket)[0], SendAttempt)
+def test_zones_keep_their_numbers_when_the_list_of_zones_changes() -> None:
+    harness = EngineHarness(replace(SETTINGS, zone=0))
+    changed = replace(SETTINGS, zone=1)
+    harness.engine.apply_settings(changed, SettingNames(["plain"], [], ["b", "a"]))
+    balancer: Any = harness.engine._balancer
+    assert balancer._settings.zone == 0
+    ticket = harness.submit()
+    assert isinstance(harness.commands(ticket)[0], SendAttempt)
 
 
-def test_a_file_can_be_checked_before_it_is_put_in_place(
+def test_file_can_be_checked_before_it_is_deployed(
     tmp_path: Path, monkeypatch: pytest.MonkeyPatch, capsys: pytest.CaptureFixture[str]
 ) -> None:
-    file = tmp_path / "told.json"
+    file = tmp_path / "config.json"
     monkeypatch.setattr("sys.argv", ["notchjunction", "--check", str(file)])
     assert main() == 1 and "No such file" in capsys.readouterr().out
-    told = configuration()
-    file.write_text(json.dumps(told))
+    config = configuration()
+    file.write_text(json.dumps(config))
     assert main() == 0 and capsys.readouterr().out == f"{file}: sound\n"
-    first(told)["abandon_time"] = 0
-    del told["settings"]["limits"]["max_dispatches"]
-    file.write_text(json.dumps(told))
+    first_request_class(config)["abandon_time"] = 0
+    del config["settings"]["limits"]["max_dispatches"]
+    file.write_text(json.dumps(config))
     assert main() == 1
     assert [line.split(": ")[1] for line in capsys.readouterr().out.splitlines()] == [
         "settings.limits.max_dispatches",
