--- a/tests/test_shutdown.py
+++ b/tests/test_shutdown.py
@@ -1,4 +1,4 @@
-"""What a process does from SIGTERM on: a state machine, played on a plain clock."""
+"""The state machine of a graceful shutdown, from SIGTERM on, with times given by the tests."""
 
 from __future__ import annotations
 
@@ -13,19 +13,22 @@
 
 
 @pytest.fixture(autouse=True)
-def _half_for_answers(monkeypatch: pytest.MonkeyPatch) -> None:
+def _half_for_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr("notchjunction.upgrade.shutdown.DRAIN_SHARE", 0.5)  # of 2.4 s
 
 
 def actions_of(*steps: Step) -> list[Action]:
     shutdown = GracefulShutdown(100.0, 2.0)
-    return [action for step in steps for action in stepped(shutdown, *step)]
+    return [action for step in steps for action in run_step(shutdown, *step)]
 
 
-def stepped(
+def run_step(
     shutdown: GracefulShutdown, at: float, has_successor: bool, clients: int, waiting: int = 0
 ) -> Iterator[Action]:
-    """One step of a node with so many clients, and so many in the queue, accepted as it closes."""
+    """Yields the actions of one step, `at` seconds after SIGTERM.
+
+    `clients` are connected; another `waiting` in the accept queue are accepted as the listeners close.
+    """
     connected = [None] * clients
     for action in shutdown.next_actions(100 + at, has_successor, lambda: len(connected)):
         if action is Action.CLOSE_LISTENERS:
@@ -36,7 +39,7 @@
 @pytest.mark.parametrize(
     ("steps", "actions"),
     [
-        # Clients come for a while, even if none is there.
+        # The process accepts clients for some time, even if none is connected.
         ([(0, False, 3), (0.04, False, 0)], [Action.REPORT_NOT_READY]),
         ([(0, False, 3), (0.06, False, 0)], [Action.REPORT_NOT_READY, Action.CLOSE_LISTENERS, Action.FINISH]),
         (
@@ -66,27 +69,27 @@
         ),
     ],
 )
-def test_what_is_done_as_a_process_ends(steps: list[Step], actions: list[Action]) -> None:
+def test_actions_of_a_shutdown(steps: list[Step], actions: list[Action]) -> None:
     assert actions_of(*steps) == actions
 
 
-def test_a_process_that_lost_its_successor_waits_for_clients_until_too_little_time_is_left() -> None:
+def test_process_that_lost_its_successor_serves_until_just_enough_time_remains_to_drain() -> None:
     shutdown = GracefulShutdown(100.0, 2.0)
-    assert [*stepped(shutdown, 0.0, True, 1), *stepped(shutdown, 0.1, False, 0)] == [
+    assert [*run_step(shutdown, 0.0, True, 1), *run_step(shutdown, 0.1, False, 0)] == [
         Action.PAUSE_ACCEPTING,
         Action.RESUME_ACCEPTING,
     ]
-    assert not list(stepped(shutdown, 1.1, False, 0)) and shutdown.phase is ShutdownPhase.SUCCESSOR_LOST
+    assert not list(run_step(shutdown, 1.1, False, 0)) and shutdown.phase is ShutdownPhase.SUCCESSOR_LOST
     assert shutdown.serve_time_left(101.1) == pytest.approx(0.1)
     assert (
-        list(stepped(shutdown, 1.3, False, 0))
+        list(run_step(shutdown, 1.3, False, 0))
         == [Action.CLOSE_LISTENERS, Action.REPORT_NOT_READY, Action.DRAIN_CLIENTS, Action.FINISH]
         and shutdown.finished
     )
 
 
 @pytest.mark.parametrize(
-    ("first", "at", "actions"),
+    ("steps_before", "at", "actions"),
     [
         ([(0, False, 0)], 0.06, [Action.CLOSE_LISTENERS]),
         (
@@ -96,11 +99,11 @@
         ),
     ],
 )
-def test_clients_accepted_as_the_listeners_close_are_not_ended_over(
-    first: list[Step], at: float, actions: list[Action]
+def test_clients_accepted_as_the_listeners_close_delay_the_end_of_the_shutdown(
+    steps_before: list[Step], at: float, actions: list[Action]
 ) -> None:
     shutdown = GracefulShutdown(100.0, 2.0)
-    for step in first:
-        list(stepped(shutdown, *step))
-    assert list(stepped(shutdown, at, False, 0, waiting=1)) == actions and not shutdown.finished
-    assert list(stepped(shutdown, at + 0.01, False, 0)) == [Action.FINISH]
+    for step in steps_before:
+        list(run_step(shutdown, *step))
+    assert list(run_step(shutdown, at, False, 0, waiting=1)) == actions and not shutdown.finished
+    assert list(run_step(shutdown, at + 0.01, False, 0)) == [Action.FINISH]
