--- a/tests/test_emulator.py
+++ b/tests/test_emulator.py
@@ -22,8 +22,8 @@
 from notchjunction.discovery.watch_state import ListWatch
 from notchjunction.emulator import node
 from notchjunction.emulator.checkers import (
-    GONE_AFTER,
-    TOLD_AFTER,
+    CANCEL_GRACE_S,
+    EFFECTIVE_AFTER_S,
     breaches,
     none_for_the_gone,
     one_answer,
@@ -42,7 +42,7 @@
     Trace,
     TraceRow,
 )
-from notchjunction.emulator.world import GRACE, World
+from notchjunction.emulator.world import DRAIN_GRACE_S, World
 
 CALM = Scenario("calm", length=12.0)
 FAULTS = {
@@ -255,7 +255,7 @@
 
 
 HAS = 10.0  # the moment at which discovery has the change
-COUNTS = HAS + TOLD_AFTER
+COUNTS = HAS + EFFECTIVE_AFTER_S
 JOINED = DiscoveryReachable(0.0, 1, 0, True)
 DRAINING = EndpointPublished(HAS, 0, 5, EndpointState.DRAINING)
 BROKEN_OFF, BACK = DiscoveryReachable(HAS - 1, 1, 0, False), DiscoveryReachable(HAS + 20, 1, 0, True)
@@ -269,17 +269,24 @@
     ("rows", "broken"),
     [
         # Reached all along, as with a watch that fell silent: its 6 s, and the grace.
-        ([JOINED, DRAINING, sent(COUNTS + GRACE)], False),
-        ([JOINED, DRAINING, sent(COUNTS + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + GRACE)], False),
+        ([JOINED, DRAINING, sent(COUNTS + DRAIN_GRACE_S)], False),
+        ([JOINED, DRAINING, sent(COUNTS + DRAIN_GRACE_S + 0.01)], True),
+        ([JOINED, DRAINING, sent(HAS + 2.0), sent(COUNTS + DRAIN_GRACE_S)], False),
         ([JOINED, DRAINING, sent(COUNTS + 9.0, server=6)], False),
-        ([JOINED, EndpointPublished(HAS, 0, 5, EndpointState.REMOVED), sent(COUNTS + GRACE + 0.01)], True),
+        (
+            [
+                JOINED,
+                EndpointPublished(HAS, 0, 5, EndpointState.REMOVED),
+                sent(COUNTS + DRAIN_GRACE_S + 0.01),
+            ],
+            True,
+        ),
         (
             [
                 JOINED,
                 DRAINING,
                 EndpointPublished(HAS + 5.0, 0, 5, EndpointState.REMOVED),
-                sent(COUNTS + GRACE + 0.01),
+                sent(COUNTS + DRAIN_GRACE_S + 0.01),
             ],
             True,
         ),
@@ -291,10 +298,29 @@
         ),
         # Not to be reached: from the end of that.
         ([JOINED, BROKEN_OFF, DRAINING, sent(HAS + 30.0)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE)], False),
-        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + TOLD_AFTER + GRACE + 0.01)], True),
-        ([JOINED, DRAINING, DiscoveryReachable(HAS + 5.9, 1, 0, False), sent(COUNTS + GRACE + 1.0)], False),
-        ([JOINED, DRAINING, DiscoveryReachable(COUNTS + 0.1, 1, 0, False), sent(COUNTS + GRACE + 1.0)], True),
+        ([JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + EFFECTIVE_AFTER_S + DRAIN_GRACE_S)], False),
+        (
+            [JOINED, BROKEN_OFF, DRAINING, BACK, sent(BACK.at + EFFECTIVE_AFTER_S + DRAIN_GRACE_S + 0.01)],
+            True,
+        ),
+        (
+            [
+                JOINED,
+                DRAINING,
+                DiscoveryReachable(HAS + 5.9, 1, 0, False),
+                sent(COUNTS + DRAIN_GRACE_S + 1.0),
+            ],
+            False,
+        ),
+        (
+            [
+                JOINED,
+                DRAINING,
+                DiscoveryReachable(COUNTS + 0.1, 1, 0, False),
+                sent(COUNTS + DRAIN_GRACE_S + 1.0),
+            ],
+            True,
+        ),
         (
             [JOINED, DiscoveryReachable(0.0, 2, 0, True), BROKEN_OFF, DRAINING, sent(COUNTS + 9.0, node=2)],
             True,
@@ -309,7 +335,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + GRACE),
+                    sent(HAS + 9 + EFFECTIVE_AFTER_S + DRAIN_GRACE_S),
                 ),
             ],
             False,
@@ -319,7 +345,7 @@
                 *(JOINED, DRAINING, EndpointPublished(HAS + 1, 0, 5, EndpointState.ACTIVE)),
                 *(
                     EndpointPublished(HAS + 9, 0, 5, EndpointState.REMOVED),
-                    sent(HAS + 9 + TOLD_AFTER + GRACE + 0.01),
+                    sent(HAS + 9 + EFFECTIVE_AFTER_S + DRAIN_GRACE_S + 0.01),
                 ),
             ],
             True,
@@ -341,7 +367,7 @@
 def test_a_change_counts_6_s_after_discovery_had_it_and_could_be_reached(
     rows: list[TraceRow], broken: bool
 ) -> None:
-    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+    story = Trace(tuple(rows), CALM.profiles, DRAIN_GRACE_S, 0.01, rows[-1].at)
     assert bool(list(told_in_time(story))) is broken
 
 
@@ -367,7 +393,7 @@
     ],
 )
 def test_a_caller_that_has_closed_gets_no_attempt_later(rows: list[TraceRow], broken: bool) -> None:
-    story = Trace(tuple(rows), CALM.profiles, GRACE, 0.01, rows[-1].at)
+    story = Trace(tuple(rows), CALM.profiles, DRAIN_GRACE_S, 0.01, rows[-1].at)
     assert bool(list(none_for_the_gone(story))) is broken
 
 
@@ -375,21 +401,21 @@
     ("end", "crossing", "after", "broken"),
     [
         (FinalResponse.CANCELLED, 0.0, 0.0, True),
-        (FinalResponse.CANCELLED, GONE_AFTER, 0.09, False),
-        (FinalResponse.CANCELLED, GONE_AFTER, 0.11, True),
-        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.14, False),  # read by so much late at most
-        (FinalResponse.CANCELLED, GONE_AFTER + 0.05, 0.16, True),
-        (FinalResponse.SUCCEEDED, GONE_AFTER, 0.0, True),
-        (FinalResponse.REJECTED, GONE_AFTER, 0.09, True),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S, 0.09, False),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S, 0.11, True),
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S + 0.05, 0.14, False),  # read by so much late at most
+        (FinalResponse.CANCELLED, CANCEL_GRACE_S + 0.05, 0.16, True),
+        (FinalResponse.SUCCEEDED, CANCEL_GRACE_S, 0.0, True),
+        (FinalResponse.REJECTED, CANCEL_GRACE_S, 0.09, True),
     ],
 )
 def test_a_send_may_cross_its_callers_close_on_sockets_and_no_other_end(
     end: FinalResponse, crossing: float, after: float, broken: bool
 ) -> None:
     rows = (RequestAccepted(9.0, 1, 1, 0, 12.0, 1), RequestAnswered(10.0, 1, 1, end), again(10.0 + after))
-    story = Trace(rows, CALM.profiles, GRACE, 0.01, 11.0, cancel_delay=crossing)
+    story = Trace(rows, CALM.profiles, DRAIN_GRACE_S, 0.01, 11.0, cancel_delay=crossing)
     assert bool(list(one_answer(story))) is broken
-    late = end is FinalResponse.CANCELLED and after > max(GONE_AFTER, crossing)
+    late = end is FinalResponse.CANCELLED and after > max(CANCEL_GRACE_S, crossing)
     assert bool(list(none_for_the_gone(story))) is late
 
 
