--- a/tests/test_large_bodies.py
+++ b/tests/test_large_bodies.py
@@ -35,7 +35,7 @@
 from notchjunction.upgrade import handover, shared_folder, shutdown
 from tests.helpers import Client, FakeHost, Peer, call, configuration, free_address, rows, running
 from tests.test_net import REQUEST, PoolHarness, run
-from tests.test_upgrade import until_yes
+from tests.test_upgrade import wait_until_ready
 
 MB = 1024 * 1024
 BODY = bytes(range(256)) * (MB // 256)  # 1 MB in which neighbouring bytes differ
@@ -631,7 +631,7 @@
 
             succeeded: list[int] = []
             try:
-                await until_yes(mgmt)
+                await wait_until_ready(mgmt)
                 while len(succeeded) < 16:
                     await asyncio.gather(*(exchange() for _ in range(4)))
                 status_text = Path(f"/proc/{process.pid}/status").read_text()
